--- a/conn/conn_test.go
+++ b/conn/conn_test.go
@@ -23,12 +23,12 @@
 	f.Add([]byte(`[]`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		rep, err := ParseReport(b)
-		assert.Assert(t, err != nil || rep.InFlight >= 0 && rep.Slots >= 0 && len(rep.Boot) <= maxBoot)
+		assert.Assert(t, err != nil || rep.InFlight >= 0 && rep.Slots >= 0 && len(rep.Boot) <= maxBootIDBytes)
 	})
 }
 
 // script is a server that does one thing with each connection.
-func script(t *testing.T, f func(net.Conn, *bufio.Reader)) *Pool {
+func startScriptedBackend(t *testing.T, f func(net.Conn, *bufio.Reader)) *Pool {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -69,9 +69,9 @@
 	return got, err, silent
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	var conns atomic.Int64
-	p := script(t, func(c net.Conn, r *bufio.Reader) {
+	p := startScriptedBackend(t, func(c net.Conn, r *bufio.Reader) {
 		conns.Add(1)
 		for {
 			req, err := http.ReadRequest(r)
@@ -90,8 +90,8 @@
 	assert.Equal(t, conns.Load(), int64(1))
 }
 
-func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
-	p := script(t, func(c net.Conn, r *bufio.Reader) {
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
+	p := startScriptedBackend(t, func(c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
@@ -109,12 +109,12 @@
 
 func TestRefusedDispatchSendsNothing(t *testing.T) {
 	var got atomic.Int64
-	p := script(t, func(_ net.Conn, r *bufio.Reader) {
+	p := startScriptedBackend(t, func(_ net.Conn, r *bufio.Reader) {
 		n, _ := io.Copy(io.Discard, r)
 		got.Add(n)
 	})
 	_, err, _ := exchange(t, p, "body", time.Second, false)
-	assert.ErrorIs(t, err, NotAllowed)
+	assert.ErrorIs(t, err, ErrNotAllowed)
 	assert.Equal(t, got.Load(), int64(0))
 }
 
@@ -123,9 +123,9 @@
 // as its dispatch begins and no longer as its first byte is to leave, as it happens when the
 // answer to another one says meanwhile that its server wants rest. Cause: the sender of the
 // body woke the reader of the answer, which took that for a lost answer.
-func TestDispatchThatIsRefusedMidwaySendsNothing(t *testing.T) {
+func TestDispatchRefusedAfterStartSendsNothing(t *testing.T) {
 	var got atomic.Int64
-	p := script(t, func(_ net.Conn, r *bufio.Reader) {
+	p := startScriptedBackend(t, func(_ net.Conn, r *bufio.Reader) {
 		n, _ := io.Copy(io.Discard, r)
 		got.Add(n)
 	})
@@ -136,9 +136,9 @@
 		_, err = p.Dispatch(context.Background(), req, Options{
 			Deadline: time.Now().Add(time.Second),
 			Allowed:  func() bool { asked++; return asked == 1 },
-			Release:  func(bool) {}, CloseAtOnce: true,
+			Release:  func(bool) {}, CloseImmediately: true,
 		})
-		assert.ErrorIs(t, err, NotAllowed)
+		assert.ErrorIs(t, err, ErrNotAllowed)
 		var d *DispatchError
 		assert.Assert(t, errors.As(err, &d) && !d.Sent)
 	}
@@ -147,32 +147,32 @@
 
 // TestSilentBackend: the token comes back after deadline and margin, as silent,
 // if the backend server does not close its side; at once if it does.
-func TestSilentBackend(t *testing.T) {
+func TestUnresponsiveBackend(t *testing.T) {
 	done := make(chan struct{})
 	defer close(done)
-	silentPool := script(t, func(c net.Conn, _ *bufio.Reader) {
+	silentPool := startScriptedBackend(t, func(c net.Conn, _ *bufio.Reader) {
 		<-done // a connection that nothing refers to would be closed by the collector
 		_ = c.Close()
 	})
 	start := time.Now()
 	_, err, silent := exchange(t, silentPool, "body", 100*time.Millisecond, true)
 	assert.Assert(t, err != nil && silent)
-	assert.Assert(t, time.Since(start) >= 100*time.Millisecond+Margin)
-	closing := script(t, func(c net.Conn, r *bufio.Reader) {
+	assert.Assert(t, time.Since(start) >= 100*time.Millisecond+ReleaseMargin)
+	closing := startScriptedBackend(t, func(c net.Conn, r *bufio.Reader) {
 		_, _ = io.Copy(io.Discard, r) // until the half close
 		_ = c.Close()
 	})
 	start = time.Now()
 	_, err, silent = exchange(t, closing, "body", 100*time.Millisecond, true)
 	assert.Assert(t, err != nil && !silent)
-	assert.Assert(t, time.Since(start) < 100*time.Millisecond+Margin)
+	assert.Assert(t, time.Since(start) < 100*time.Millisecond+ReleaseMargin)
 }
 
 // TestHeadersBelongToTheCaller checks, with the race detector, that nothing
 // reads an answer's headers once the exchange is closed: the caller changes
 // them. It is the crash that TestOutageWithDeaths saw.
-func TestHeadersBelongToTheCaller(t *testing.T) {
-	p := script(t, func(c net.Conn, r *bufio.Reader) {
+func TestHeadersMayBeModifiedAfterClose(t *testing.T) {
+	p := startScriptedBackend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
 			req, err := http.ReadRequest(r)
 			if err != nil {
@@ -199,24 +199,24 @@
 	}
 }
 
-func TestKeepAliveBoundsIdleTime(t *testing.T) {
+func TestKeepAliveBoundsIdleTimeout(t *testing.T) {
 	for header, want := range map[string]time.Duration{
 		"": 30 * time.Second, "timeout=7": 6 * time.Second, "max=5, timeout=3": 2 * time.Second,
 		"timeout=x": 30 * time.Second, "timeout=600": 30 * time.Second, "timeout=0": -time.Second,
 	} {
-		assert.Equal(t, keptIdle(30*time.Second, header), want, header)
+		assert.Equal(t, keepAliveTimeout(30*time.Second, header), want, header)
 	}
 }
 
 // TestOpenKeepsAConnectionForARequest checks that a connection that was opened
 // beforehand is used by the next request, and that a dead port is an error.
-func TestOpenKeepsAConnectionForARequest(t *testing.T) {
+func TestOpenKeepsConnectionForNextRequest(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	p := &Pool{Address: l.Addr().String()}
 	assert.NilError(t, p.Open(context.Background()))
 	assert.Equal(t, len(p.idle), 1)
-	c, err := p.get(context.Background())
+	c, err := p.getConn(context.Background())
 	assert.NilError(t, err)
 	assert.Equal(t, len(p.idle), 0)
 	assert.NilError(t, c.Close())
--- a/conn/dispatch.go
+++ b/conn/dispatch.go
@@ -27,15 +27,15 @@
 	// CloseAtOnce closes the connection of a request that is given up, for an
 	// backend server that drops a request then. Otherwise the backend server is asked by a
 	// half close, and its answer waited for.
-	CloseAtOnce bool
+	CloseImmediately bool
 }
 
 // past is a deadline that ends all waiting.
-var past = time.Unix(1, 0)
+var aLongTimeAgo = time.Unix(1, 0)
 
 // Margin is how long after its deadline a request is held to occupy a slot of
 // a backend server that did not say it let go. It covers the time on the way.
-const Margin = 500 * time.Millisecond
+const ReleaseMargin = 500 * time.Millisecond
 
 // DispatchError is a dispatch that got no answer.
 type DispatchError struct {
@@ -54,14 +54,14 @@
 type Exchange struct {
 	Response *http.Response
 
-	pool    *Pool
-	link    *link
-	opts    Options
-	written chan error // result of sending the body; nil once received
-	stop    func() bool
-	broken  chan struct{} // closed once the context's end was carried out
-	once    sync.Once
-	whole   bool
+	pool       *Pool
+	conn       *pooledConn
+	opts       Options
+	bodySent   chan error // result of sending the body; nil once received
+	stopCancel func() bool
+	cancelled  chan struct{} // closed once the context's end was carried out
+	once       sync.Once
+	complete   bool
 }
 
 // Dispatch sends the request and reads the head of the answer. It never sends
@@ -69,26 +69,26 @@
 // closed and Release is called as Close does.
 func (p *Pool) Dispatch(ctx context.Context, req *http.Request, o Options) (*Exchange, error) {
 	dialCtx, cancel := context.WithDeadline(ctx, o.Deadline)
-	l, err := p.get(dialCtx)
+	l, err := p.getConn(dialCtx)
 	cancel()
 	if err != nil {
 		o.Release(false)
 		return nil, &DispatchError{Err: err}
 	}
-	l.sent = 0
+	l.bytesSent = 0
 	l.allowed = o.Allowed
-	ex := &Exchange{pool: p, link: l, opts: o}
+	ex := &Exchange{pool: p, conn: l, opts: o}
 	if err := l.SetDeadline(o.Deadline); err != nil {
 		ex.Close()
 		return nil, &DispatchError{Err: err}
 	}
-	ex.broken = make(chan struct{})
-	ex.stop = context.AfterFunc(ctx, func() {
-		_ = l.SetDeadline(past) // wakes whoever reads or writes
-		close(ex.broken)
+	ex.cancelled = make(chan struct{})
+	ex.stopCancel = context.AfterFunc(ctx, func() {
+		_ = l.SetDeadline(aLongTimeAgo) // wakes whoever reads or writes
+		close(ex.cancelled)
 	})
 	if err := ex.send(req); err != nil {
-		sent := l.sent > 0
+		sent := l.bytesSent > 0
 		ex.Close()
 		return nil, &DispatchError{Sent: sent, Err: err}
 	}
@@ -102,56 +102,56 @@
 		withheld := l.withheld.Load()
 		ex.Close()
 		if withheld {
-			return nil, &DispatchError{Err: NotAllowed}
+			return nil, &DispatchError{Err: ErrNotAllowed}
 		}
 		return nil, &DispatchError{Sent: true, Err: errors.Annotate(err, "read answer")}
 	}
-	ex.take(res)
+	ex.setResponse(res)
 	return ex, nil
 }
 
 // Skip drops the present answer, which belongs to another request, and reads
 // the next one on the same connection. On error the exchange has to be closed.
-func (ex *Exchange) Skip(req *http.Request) error {
-	if _, err := io.CopyN(io.Discard, ex.Response.Body, maxSkipped); err != io.EOF {
+func (ex *Exchange) SkipResponse(req *http.Request) error {
+	if _, err := io.CopyN(io.Discard, ex.Response.Body, maxSkippedBytes); err != io.EOF {
 		return errors.New("an answer to another request is too long")
 	}
-	ex.whole = false
+	ex.complete = false
 	if ex.Response.Close {
 		return errors.New("the connection ends with an answer to another request")
 	}
-	res, err := http.ReadResponse(ex.link.r, req)
+	res, err := http.ReadResponse(ex.conn.r, req)
 	if err != nil {
 		return errors.Annotate(err, "read answer after one to another request")
 	}
-	ex.take(res)
+	ex.setResponse(res)
 	return nil
 }
 
 // take makes res the answer. Its headers are the caller's from then on.
-func (ex *Exchange) take(res *http.Response) {
-	ex.link.idle = keptIdle(ex.pool.idleTime(), res.Header.Get("Keep-Alive"))
-	res.Body = &body{ReadCloser: res.Body, ex: ex}
+func (ex *Exchange) setResponse(res *http.Response) {
+	ex.conn.idleTimeout = keepAliveTimeout(ex.pool.idleTimeout(), res.Header.Get("Keep-Alive"))
+	res.Body = &trackedBody{ReadCloser: res.Body, ex: ex}
 	ex.Response = res
 }
 
 // Deliver lets the rest of an answer be read until a time, though the context ends: an answer
 // that has begun is delivered, also late. The error says that the context had ended before.
-func (ex *Exchange) Deliver(until time.Time) error {
-	if ex.stop != nil && !ex.stop() {
+func (ex *Exchange) DetachUntil(until time.Time) error {
+	if ex.stopCancel != nil && !ex.stopCancel() {
 		return errors.New("the exchange was broken off")
 	}
-	ex.stop = nil
-	return errors.Trace(ex.link.SetDeadline(until))
+	ex.stopCancel = nil
+	return errors.Trace(ex.conn.SetDeadline(until))
 }
 
 // maxSkipped bounds an answer to another request that is dropped, in bytes.
-const maxSkipped = 1 << 20
+const maxSkippedBytes = 1 << 20
 
 // send writes the request. One without a body is written at once; a body is
 // sent beside the reading of the answer, which may come before its end.
 func (ex *Exchange) send(req *http.Request) error {
-	l := ex.link
+	l := ex.conn
 	if req.Body == nil || req.Body == http.NoBody {
 		if err := req.Write(l.w); err != nil {
 			return errors.Annotate(err, "write request")
@@ -159,32 +159,32 @@
 		return errors.Annotate(l.w.Flush(), "write request")
 	}
 	if !l.allowed() {
-		return NotAllowed
+		return ErrNotAllowed
 	}
-	ex.written = make(chan error, 1)
+	ex.bodySent = make(chan error, 1)
 	go func() {
 		err := req.Write(l.w)
 		if err == nil {
 			err = l.w.Flush()
 		}
 		if err != nil {
-			_ = l.SetDeadline(past) // wakes the reader of the answer
+			_ = l.SetDeadline(aLongTimeAgo) // wakes the reader of the answer
 		}
-		ex.written <- err
+		ex.bodySent <- err
 	}()
 	return nil
 }
 
 // body notes when the whole answer was read.
-type body struct {
+type trackedBody struct {
 	io.ReadCloser
 	ex *Exchange
 }
 
-func (b *body) Read(p []byte) (int, error) {
+func (b *trackedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == io.EOF {
-		b.ex.whole = true
+		b.ex.complete = true
 	}
 	return n, err
 }
@@ -196,76 +196,76 @@
 }
 
 func (ex *Exchange) close() {
-	undisturbed := ex.stop == nil || ex.stop()
+	undisturbed := ex.stopCancel == nil || ex.stopCancel()
 	if !undisturbed {
-		<-ex.broken
+		<-ex.cancelled
 	}
-	sent := ex.written != nil || ex.link.sent > 0
+	sent := ex.bodySent != nil || ex.conn.bytesSent > 0
 	if !sent {
-		_ = ex.link.Conn.Close() // nothing left on it
+		_ = ex.conn.Conn.Close() // nothing left on it
 		ex.opts.Release(false)
 		return
 	}
-	keep := ex.whole && undisturbed && !ex.Response.Close
-	if keep && ex.written == nil {
-		ex.keep()
+	keep := ex.complete && undisturbed && !ex.Response.Close
+	if keep && ex.bodySent == nil {
+		ex.reuse()
 		return
 	}
-	go ex.settle(keep)
+	go ex.closeAsync(keep)
 }
 
 // keep gives the connection back for the next request.
-func (ex *Exchange) keep() {
-	if ex.link.SetDeadline(time.Time{}) != nil {
-		ex.letGo()
+func (ex *Exchange) reuse() {
+	if ex.conn.SetDeadline(time.Time{}) != nil {
+		ex.abandon()
 		return
 	}
-	ex.pool.put(ex.link)
+	ex.pool.putIdle(ex.conn)
 	ex.opts.Release(false)
 }
 
 // settle ends an exchange whose body may still be on its way, or that was
 // broken off. The answer can be whole a moment before the sender of the body
 // has said that it is done; a backend server can also answer before the body's end.
-func (ex *Exchange) settle(keep bool) {
+func (ex *Exchange) closeAsync(keep bool) {
 	if !keep {
-		ex.letGo()
+		ex.abandon()
 		return
 	}
-	t := time.NewTimer(Margin)
+	t := time.NewTimer(ReleaseMargin)
 	defer t.Stop()
 	select {
-	case err := <-ex.written:
-		ex.written = nil
+	case err := <-ex.bodySent:
+		ex.bodySent = nil
 		if err == nil {
-			ex.keep()
+			ex.reuse()
 			return
 		}
 	case <-t.C: // answered before the body's end
 	}
-	ex.letGo()
+	ex.abandon()
 }
 
 // letGo tells the backend server that the request is given up, by closing the
 // sending side, and waits until the backend server closes its own. A late answer is
 // read and dropped.
-func (ex *Exchange) letGo() {
-	silent := ex.awaitEnd()
+func (ex *Exchange) abandon() {
+	silent := ex.awaitPeerClose()
 	ex.opts.Release(silent)
 }
 
 // awaitEnd ends the connection and reports whether the backend server was silent.
-func (ex *Exchange) awaitEnd() (silent bool) {
-	c := ex.link.Conn
+func (ex *Exchange) awaitPeerClose() (silent bool) {
+	c := ex.conn.Conn
 	defer c.Close()
-	if ex.opts.CloseAtOnce {
+	if ex.opts.CloseImmediately {
 		_ = c.Close()
 		return false
 	}
-	limit := ex.opts.Deadline.Add(Margin)
-	if ex.written != nil {
-		_ = c.SetWriteDeadline(past) // stops a body still being sent
-		<-ex.written
+	limit := ex.opts.Deadline.Add(ReleaseMargin)
+	if ex.bodySent != nil {
+		_ = c.SetWriteDeadline(aLongTimeAgo) // stops a body still being sent
+		<-ex.bodySent
 	}
 	tcp, ok := c.(*net.TCPConn)
 	if !ok || c.SetReadDeadline(limit) != nil {
--- a/conn/pool.go
+++ b/conn/pool.go
@@ -22,9 +22,9 @@
 // Bounds of a pool.
 const (
 	// MaxIdle is the number of idle connections kept to one backend server.
-	MaxIdle = 16
+	MaxIdleConns = 16
 	// IdleTime is how long an idle connection is kept.
-	IdleTime = 30 * time.Second
+	DefaultIdleTimeout = 30 * time.Second
 	// DialTimeout bounds the opening of a connection.
 	DialTimeout = time.Second
 )
@@ -36,20 +36,20 @@
 	Dialer *net.Dialer
 	// IdleTime is how long an idle connection is kept, unless the backend server
 	// says that it keeps it for less. Zero means the constant IdleTime.
-	IdleTime time.Duration
+	IdleTimeout time.Duration
 
 	mu   sync.Mutex
-	idle []*link // most recently used last
+	idle []*pooledConn // most recently used last
 }
 
 // link is one connection with its buffers.
-type link struct {
+type pooledConn struct {
 	net.Conn
-	r     *bufio.Reader
-	w     *bufio.Writer
-	since time.Duration // idle since, by clock.Now
-	idle  time.Duration
-	sent  int64 // bytes handed to the kernel for the present request
+	r           *bufio.Reader
+	w           *bufio.Writer
+	idleSince   time.Duration // idle since, by clock.Now
+	idleTimeout time.Duration
+	bytesSent   int64 // bytes handed to the kernel for the present request
 	// allowed is asked right before each first write of a request, so that a
 	// process that was frozen in between does not send what it no longer may.
 	allowed func() bool
@@ -61,27 +61,27 @@
 
 // NotAllowed is the error of a request that Options.Allowed refused. No byte
 // of it was sent.
-const NotAllowed = errors.ConstError("the dispatch is no longer allowed")
+const ErrNotAllowed = errors.ConstError("the dispatch is no longer allowed")
 
 // Write counts what leaves.
-func (l *link) Write(p []byte) (int, error) {
-	if l.sent == 0 && !l.allowed() {
+func (l *pooledConn) Write(p []byte) (int, error) {
+	if l.bytesSent == 0 && !l.allowed() {
 		l.withheld.Store(true)
-		return 0, NotAllowed
+		return 0, ErrNotAllowed
 	}
 	n, err := l.Conn.Write(p)
-	l.sent += int64(n)
+	l.bytesSent += int64(n)
 	return n, err
 }
 
 // get returns an idle connection that still looks open, or a new one.
-func (p *Pool) get(ctx context.Context) (*link, error) {
+func (p *Pool) getConn(ctx context.Context) (*pooledConn, error) {
 	for {
 		l := p.popIdle()
 		if l == nil {
 			break
 		}
-		if clock.Now()-l.since < l.idle && quiet(l.Conn) {
+		if clock.Now()-l.idleSince < l.idleTimeout && isIdle(l.Conn) {
 			return l, nil
 		}
 		_ = l.Conn.Close() // it is of no more use
@@ -96,13 +96,13 @@
 	if err != nil {
 		return err
 	}
-	l.idle = p.idleTime()
-	p.put(l)
+	l.idleTimeout = p.idleTimeout()
+	p.putIdle(l)
 	return nil
 }
 
 // dial opens a connection.
-func (p *Pool) dial(ctx context.Context) (*link, error) {
+func (p *Pool) dial(ctx context.Context) (*pooledConn, error) {
 	d := p.Dialer
 	if d == nil {
 		d = &net.Dialer{Timeout: DialTimeout}
@@ -111,13 +111,13 @@
 	if err != nil {
 		return nil, errors.Annotatef(err, "open connection to %s", p.Address)
 	}
-	l := &link{Conn: c, r: bufio.NewReaderSize(c, bufferSize)}
+	l := &pooledConn{Conn: c, r: bufio.NewReaderSize(c, bufferSize)}
 	l.w = bufio.NewWriterSize(l, bufferSize)
 	return l, nil
 }
 
-func (p *Pool) idleTime() time.Duration {
-	return cmp.Or(p.IdleTime, IdleTime)
+func (p *Pool) idleTimeout() time.Duration {
+	return cmp.Or(p.IdleTimeout, DefaultIdleTimeout)
 }
 
 // idleMargin is how long before the backend server would close an idle connection it
@@ -126,7 +126,7 @@
 
 // keptIdle bounds the time that an idle connection is kept by what a
 // Keep-Alive header says.
-func keptIdle(own time.Duration, header string) time.Duration {
+func keepAliveTimeout(own time.Duration, header string) time.Duration {
 	for field := range strings.SplitSeq(header, ",") {
 		text, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if !ok {
@@ -139,7 +139,7 @@
 	return own
 }
 
-func (p *Pool) popIdle() *link {
+func (p *Pool) popIdle() *pooledConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.idle)
@@ -151,10 +151,10 @@
 	return l
 }
 
-func (p *Pool) put(l *link) {
-	l.since = clock.Now()
+func (p *Pool) putIdle(l *pooledConn) {
+	l.idleSince = clock.Now()
 	p.mu.Lock()
-	if len(p.idle) < MaxIdle {
+	if len(p.idle) < MaxIdleConns {
 		p.idle = append(p.idle, l)
 		l = nil
 	}
@@ -173,7 +173,7 @@
 
 // quiet reports whether an idle connection is open with nothing to read. An
 // backend server that closed it, or that sent an answer nobody waits for, is not.
-func quiet(c net.Conn) bool {
+func isIdle(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
--- a/conn/report.go
+++ b/conn/report.go
@@ -27,7 +27,7 @@
 }
 
 // maxReport bounds a load report, in bytes.
-const maxReport = 4 << 10
+const maxReportBytes = 4 << 10
 
 // Probe asks the backend server at address for its load report.
 func Probe(ctx context.Context, c *http.Client, address string) (Report, error) {
@@ -44,7 +44,7 @@
 	if res.StatusCode != http.StatusOK {
 		return rep, errors.Errorf("probe of %s: status %d", address, res.StatusCode)
 	}
-	b, err := io.ReadAll(io.LimitReader(res.Body, maxReport))
+	b, err := io.ReadAll(io.LimitReader(res.Body, maxReportBytes))
 	if err != nil {
 		return rep, errors.Annotatef(err, "probe of %s", address)
 	}
@@ -52,7 +52,7 @@
 }
 
 // maxBoot bounds the id of a backend server's start, in bytes.
-const maxBoot = 64
+const maxBootIDBytes = 64
 
 // ParseReport reads a load report. It refuses one with an unknown state, with
 // numbers below zero, or with a boot id that is too long to be passed on.
@@ -62,7 +62,7 @@
 		return Report{}, errors.Annotate(err, "load report")
 	}
 	known := rep.State == StateReady || rep.State == StateCold || rep.State == StateLeaving
-	if !known || rep.InFlight < 0 || rep.Slots < 0 || len(rep.Boot) > maxBoot {
+	if !known || rep.InFlight < 0 || rep.Slots < 0 || len(rep.Boot) > maxBootIDBytes {
 		return Report{}, errors.Errorf("load report out of range: %.100q", b)
 	}
 	return rep, nil
--- a/process/edge/drain.go
+++ b/process/edge/drain.go
@@ -48,7 +48,7 @@
 	c, err := l.TCPListener.Accept()
 	until := l.until.Load()
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetWriteBuffer(conn.SocketBuffer) // it works all the same where it can't be set
+		_ = tcp.SetWriteBuffer(conn.SocketBufferSize) // it works all the same where it can't be set
 	}
 	if until == nil {
 		return c, err
--- a/process/edge/edge.go
+++ b/process/edge/edge.go
@@ -171,7 +171,7 @@
 		OnNotice: e.logNotice, OnAvoid: e.logAvoided, LeaveWithin: e.settings.DrainWithin / leaveShare,
 		Reach: func(p *conn.Pool) error { return p.Open(context.Background()) },
 		NewPool: func(address string) *conn.Pool {
-			return &conn.Pool{Address: address, Dialer: dialer, IdleTime: backendIdle}
+			return &conn.Pool{Address: address, Dialer: dialer, IdleTimeout: backendIdle}
 		},
 	}
 	e.beats.Observations, e.beats.Hear, e.beats.Ask = e.table.Observations, e.table.Hear, e.askPeer
@@ -180,13 +180,13 @@
 	e.quarantine = e.newQuarantine()
 	e.beats.Message = e.hearMessage
 	if e.settings.Memory > 0 {
-		e.held = &held.Budget{Limit: e.settings.Memory / heldShare, Now: e.now, OnCut: e.logCutOff}
+		e.held = &held.Budget{Limit: e.settings.Memory / heldShare, Now: e.now, OnCutOff: e.logCutOff}
 	}
 	e.proxy = &proxy.Proxy{
-		Quota: e.quota, Limits: e.limits, Rollouts: e.rollouts, Quarantine: e.quarantine, Held: e.held,
+		Quota: e.quota, Limits: e.limits, Rollouts: e.rollouts, Quarantine: e.quarantine, Memory: e.held,
 		Crashes: &crash.Watch{Now: e.now, OnCrash: e.backendCrashed},
-		Names:   e.deployment.Headers, Table: e.table, Metrics: e.metrics, Log: e.log, Now: e.now, Age: e.follower.Age,
-		Retries: &retry.Window{
+		Names:   e.deployment.Headers, Table: e.table, Metrics: e.metrics, Log: e.log, Now: e.now, ConfigAge: e.follower.Age,
+		RetryBudget: &retry.Window{
 			Span: e.settings.RetrySpan, Ratio: e.settings.RetryRatio * retryRatioShare,
 			Fixed: e.settings.RetryFixed * retryFixedShare, Instances: e.members.Count,
 		},
@@ -256,10 +256,10 @@
 		e.metrics.Gauge("spare").Update(1)
 	}
 	e.metrics.Gauge("instances").Update(int64(e.members.Count()))
-	for _, k := range []held.Kind{held.Requests, held.Bodies, held.Answers} {
+	for _, k := range []held.Kind{held.Requests, held.Bodies, held.Responses} {
 		e.metrics.Gauge("held_bytes{kind=" + strconv.Quote(k.String()) + "}").Update(e.held.Held(k))
 	}
-	e.metrics.Gauge("requests_running").Update(e.proxy.Running())
+	e.metrics.Gauge("requests_running").Update(e.proxy.InFlight())
 	e.metrics.Gauge("requests_quarantined").Update(int64(e.quarantine.Count()))
 	e.metrics.Gauge("rollouts_running").Update(e.rolling.running.Load())
 	e.metrics.Gauge("log_lines_left_out").Update(e.logLimit.LeftOut())
--- a/process/edge/stop.go
+++ b/process/edge/stop.go
@@ -21,9 +21,9 @@
 	begun := time.Now()
 	e.leaving.Store(true)
 	e.members.Leave()
-	e.proxy.Leave()
+	e.proxy.DisableKeepAlives()
 	e.beats.SendAll()
-	e.log.Info().Int64("running", e.proxy.Running()).Msg("stopping")
+	e.log.Info().Int64("running", e.proxy.InFlight()).Msg("stopping")
 	go e.deleteRow()
 	time.Sleep(e.settings.linger())
 	e.beats.SendAll()
@@ -41,7 +41,7 @@
 	case <-time.After(loopTime): // a call that does not end must not hold the process up
 		e.log.Warn().Msg("loops-left")
 	}
-	e.log.Info().Int64("running", e.proxy.Running()).Dur("took", time.Since(begun)).Msg("stopped")
+	e.log.Info().Int64("running", e.proxy.InFlight()).Dur("took", time.Since(begun)).Msg("stopped")
 }
 
 // awaitIdle waits until no request has been in flight for a moment, in which
@@ -52,7 +52,7 @@
 	for idle < idleTime && ctx.Err() == nil {
 		time.Sleep(stopPoll)
 		idle += stopPoll
-		if e.proxy.Running() > 0 || e.fresh.count() > 0 {
+		if e.proxy.InFlight() > 0 || e.fresh.count() > 0 {
 			idle = 0
 		}
 	}
--- a/process/edge/use.go
+++ b/process/edge/use.go
@@ -50,7 +50,7 @@
 }
 
 // logCutOff writes whose request was cut off, and why.
-func (e *Edge) logCutOff(c held.Cut) {
+func (e *Edge) logCutOff(c held.CutOff) {
 	e.log.Info().Str("owner", c.Owner).Str("waitedFor", c.Kind.String()).Int64("held", c.Held).Dur("stalled", c.Stalled).Msg("memory-freed")
 }
 
@@ -59,14 +59,14 @@
 func (e *Edge) watchUse(ctx context.Context) {
 	var u use
 	busy := false
-	last, carried := e.now(), e.proxy.Carried()
+	last, carried := e.now(), e.proxy.BytesCarried()
 	var suspension clock.Suspension
 	for clock.Sleep(ctx, usePause) {
-		e.held.CutStalled()
+		e.held.CutOffStalled()
 		if lost := suspension.Note(e.deployment.Clock(), time.Now()); lost > 0 {
-			e.log.Warn().Dur("stood", lost).Int("ended", e.proxy.EndLapsed()).Msg("machine-suspended")
+			e.log.Warn().Dur("stood", lost).Int("ended", e.proxy.CancelExpired()).Msg("machine-suspended")
 		}
-		now, total := e.now(), e.proxy.Carried()
+		now, total := e.now(), e.proxy.BytesCarried()
 		was := busy
 		busy = u.note(total-carried, e.settings.Link, now-last, now-last-usePause, now)
 		last, carried = now, total
--- a/process/entry/routes.go
+++ b/process/entry/routes.go
@@ -52,13 +52,13 @@
 		Now: e.now, Place: x.place, Hall: e.settings.Hall,
 		Reach: func(p *conn.Pool) error { return p.Open(context.Background()) },
 		NewPool: func(address string) *conn.Pool {
-			return &conn.Pool{Address: address, Dialer: dialer, IdleTime: routeIdle}
+			return &conn.Pool{Address: address, Dialer: dialer, IdleTimeout: routeIdle}
 		},
 	}
 	x.proxy = &proxy.Proxy{
 		Names: request.OwnNames, Table: x.table, Metrics: e.metrics, Log: e.log, Now: e.now,
-		Fresh: e.steer.Fresh, NewID: rand.Text, OnAnswer: x.answered, Age: x.age,
-		Retries: &retry.Window{Span: retrySpan, Ratio: retryRatio, Fixed: retryFixed, Instances: x.instances},
+		ConfigFresh: e.steer.Fresh, NewID: rand.Text, OnResponse: x.answered, ConfigAge: x.age,
+		RetryBudget: &retry.Window{Span: retrySpan, Ratio: retryRatio, Fixed: retryFixed, Instances: x.instances},
 	}
 	return x
 }
--- a/process/entry/stop.go
+++ b/process/entry/stop.go
@@ -35,7 +35,7 @@
 	begun := e.now()
 	e.members.UpdateSelf(func(m *peer.Member) { m.Leaving = true })
 	e.slots.Leave()
-	e.routes.proxy.Leave()
+	e.routes.proxy.DisableKeepAlives()
 	e.log.Info().Msg("stopping")
 	e.pushAll(ctx)
 	clock.Sleep(ctx, e.settings.Grace-keepBefore)
@@ -76,7 +76,7 @@
 // awaitRunning waits until no request is in flight.
 func (e *Entry) awaitRunning(ctx context.Context) {
 	limit := e.now() + version.MaxDeadline
-	for e.front.Running()+e.routes.proxy.Running() > 0 && e.now() < limit && ctx.Err() == nil {
+	for e.front.Running()+e.routes.proxy.InFlight() > 0 && e.now() < limit && ctx.Err() == nil {
 		time.Sleep(stopPoll)
 	}
 }
--- a/process/front/attempt.go
+++ b/process/front/attempt.go
@@ -100,7 +100,7 @@
 		f.Metrics.Retry(c.service)
 		var further *request.Result
 		a, further, again = t.attempt(ctx)
-		if further != nil && !further.Code.NoPlace() {
+		if further != nil && !further.Code.NoCapacity() {
 			res = further // else the end of the attempt before tells more
 		}
 		if a != nil {
@@ -223,7 +223,7 @@
 	if t.c.r.Context().Err() != nil {
 		return t.result(request.CallerGone), false
 	}
-	if errors.Is(err, conn.NotAllowed) {
+	if errors.Is(err, conn.ErrNotAllowed) {
 		return t.result(request.Unconfirmed), t.src.again()
 	}
 	if ctx.Err() != nil || !time.Now().Before(t.c.deadline) {
--- a/process/front/front.go
+++ b/process/front/front.go
@@ -141,7 +141,7 @@
 		}
 	}
 	// A caller that sends its body too slowly is given up at the deadline.
-	_ = http.NewResponseController(c.w).SetReadDeadline(c.deadline.Add(conn.Margin))
+	_ = http.NewResponseController(c.w).SetReadDeadline(c.deadline.Add(conn.ReleaseMargin))
 	return nil
 }
 
--- a/process/front/once.go
+++ b/process/front/once.go
@@ -146,7 +146,7 @@
 	req.Header.Set(request.HeaderForwarded, f.Members.Self().GetId())
 	req.Header.Set(request.HeaderService, c.service)
 	ex, err := f.peer(m.GetFront()).Dispatch(ctx, req, conn.Options{
-		Deadline: c.deadline.Add(conn.Margin),
+		Deadline: c.deadline.Add(conn.ReleaseMargin),
 		Allowed:  func() bool { return true },
 		Release:  func(bool) {},
 	})
--- a/process/held/budget.go
+++ b/process/held/budget.go
@@ -17,9 +17,9 @@
 	// Bodies are bytes of requests that a backend server has not read.
 	Bodies
 	// Answers are bytes of answers that a caller has not read.
-	Answers
+	Responses
 
-	kinds
+	numKinds
 )
 
 // String names the kind in logs and metrics.
@@ -28,16 +28,16 @@
 const (
 	// Overhead is what a request costs besides its body and its answer, in bytes: the
 	// buffers of two connections and their unread bytes, stacks and heads.
-	Overhead = 64 << 10
+	RequestOverhead = 64 << 10
 	// ownerShare divides what is free into what one owner may hold.
-	ownerShare = 8
+	ownerDivisor = 8
 	// admitShare divides the limit into what bodies and answers leave to new requests.
-	admitShare = 4
+	reserveDivisor = 4
 	// stalledLeast is how long a lease must have waited for the other side to be cut off for
 	// want of room.
-	stalledLeast = time.Second
+	minStall = time.Second
 	// StalledMost is how long one that reads may take nothing, even if there is room.
-	StalledMost = 5 * time.Second
+	MaxStall = 5 * time.Second
 )
 
 // Budget is the memory for what is held. The fields are set before use. A nil budget has no
@@ -47,16 +47,16 @@
 	Limit int64
 	Now   func() time.Duration
 	// OnCut, if set, is told of a lease that is cut off. It is called without locks.
-	OnCut func(Cut)
+	OnCutOff func(CutOff)
 
-	mu     sync.Mutex
-	held   [kinds]int64
-	ending int64 // bytes of leases that were cut off and have not ended
-	owners map[string]*owner
+	mu        sync.Mutex
+	held      [numKinds]int64
+	releasing int64 // bytes of leases that were cut off and have not ended
+	owners    map[string]*owner
 }
 
 // Cut is the cutting off of a lease.
-type Cut struct {
+type CutOff struct {
 	Owner string
 	// Kind tells who was waited for.
 	Kind    Kind
@@ -88,15 +88,15 @@
 		o = &owner{name: name, leases: make(map[*Lease]struct{})}
 	}
 	l.owner = o
-	cuts := b.makeRoom(o, Overhead, 0)
-	ok := b.fits(o, Overhead, 0)
+	cuts := b.reclaim(o, RequestOverhead, 0)
+	ok := b.fits(o, RequestOverhead, 0)
 	if ok {
 		b.owners[name] = o
 		o.leases[l] = struct{}{}
-		b.add(l, Requests, Overhead)
+		b.add(l, Requests, RequestOverhead)
 	}
 	b.mu.Unlock()
-	b.carryOut(cuts)
+	b.runCutOffs(cuts)
 	if !ok {
 		return nil, false
 	}
@@ -114,27 +114,27 @@
 }
 
 // CutStalled cuts off the leases whose backend server has taken nothing for StalledMost.
-func (b *Budget) CutStalled() {
+func (b *Budget) CutOffStalled() {
 	if b == nil {
 		return
 	}
 	b.mu.Lock()
-	var cuts []cutting
+	var cuts []pendingCutOff
 	now := b.Now()
 	for _, o := range b.owners {
 		for l := range o.leases {
-			if l.waitsFor == Bodies && l.stalled(now) >= StalledMost {
-				cuts = append(cuts, b.cut(l, now))
+			if l.waitingFor == Bodies && l.stalled(now) >= MaxStall {
+				cuts = append(cuts, b.markCutOff(l, now))
 			}
 		}
 	}
 	b.mu.Unlock()
-	b.carryOut(cuts)
+	b.runCutOffs(cuts)
 }
 
 // free returns the bytes that are not held, or soon will not be. The caller holds the lock.
 func (b *Budget) free() int64 {
-	free := b.Limit + b.ending
+	free := b.Limit + b.releasing
 	for _, n := range b.held {
 		free -= n
 	}
@@ -145,15 +145,15 @@
 // that holds nothing may have all that is free. The caller holds the lock.
 func (b *Budget) fits(o *owner, n, reserve int64) bool {
 	free := b.free()
-	return n+reserve <= free && (o.held == 0 || o.held+n <= free/ownerShare)
+	return n+reserve <= free && (o.held == 0 || o.held+n <= free/ownerDivisor)
 }
 
 // add notes bytes of a lease; n may be negative. The caller holds the lock.
 func (b *Budget) add(l *Lease, k Kind, n int64) {
 	l.held[k] += n
 	b.held[k] += n
-	if l.isCut {
-		b.ending += n
+	if l.isCutOff {
+		b.releasing += n
 	} else {
 		l.owner.held += n
 	}
@@ -161,14 +161,14 @@
 
 // makeRoom chooses leases to cut off until n bytes fit for an owner beside a reserve, or there are
 // none left. The caller holds the lock, and carries the cuts out without it.
-func (b *Budget) makeRoom(o *owner, n, reserve int64) (cuts []cutting) {
+func (b *Budget) reclaim(o *owner, n, reserve int64) (cuts []pendingCutOff) {
 	now := b.Now()
 	for !b.fits(o, n, reserve) {
 		l := b.victim(o, n+reserve > b.free(), now)
 		if l == nil {
 			return cuts
 		}
-		cuts = append(cuts, b.cut(l, now))
+		cuts = append(cuts, b.markCutOff(l, now))
 	}
 	return cuts
 }
@@ -178,7 +178,7 @@
 func (b *Budget) victim(o *owner, full bool, now time.Duration) (first *Lease) {
 	look := func(o *owner) {
 		for l := range o.leases {
-			if l.stalled(now) >= stalledLeast && (first == nil || l.before(first)) {
+			if l.stalled(now) >= minStall && (first == nil || l.cutOffBefore(first)) {
 				first = l
 			}
 		}
@@ -196,24 +196,24 @@
 }
 
 // cutting is a cut that is still to be carried out.
-type cutting struct {
-	cut    Cut
+type pendingCutOff struct {
+	event  CutOff
 	cutOff func(Kind)
 }
 
 // cut marks a lease as cut off. The caller holds the lock.
-func (b *Budget) cut(l *Lease, now time.Duration) cutting {
-	n := l.sum()
-	c := cutting{Cut{Owner: l.owner.name, Kind: l.waitsFor, Held: n, Stalled: l.stalled(now)}, l.cutOff}
-	l.isCut = true
+func (b *Budget) markCutOff(l *Lease, now time.Duration) pendingCutOff {
+	n := l.total()
+	c := pendingCutOff{CutOff{Owner: l.owner.name, Kind: l.waitingFor, Held: n, Stalled: l.stalled(now)}, l.cutOff}
+	l.isCutOff = true
 	l.owner.held -= n
-	b.ending += n
-	b.drop(l)
+	b.releasing += n
+	b.removeLease(l)
 	return c
 }
 
 // drop takes a lease off its owner's list. The caller holds the lock.
-func (b *Budget) drop(l *Lease) {
+func (b *Budget) removeLease(l *Lease) {
 	delete(l.owner.leases, l)
 	if len(l.owner.leases) == 0 {
 		delete(b.owners, l.owner.name)
@@ -221,11 +221,11 @@
 }
 
 // carryOut cuts leases off. The caller does not hold the lock.
-func (b *Budget) carryOut(cuts []cutting) {
+func (b *Budget) runCutOffs(cuts []pendingCutOff) {
 	for _, c := range cuts {
-		c.cutOff(c.cut.Kind)
-		if b.OnCut != nil {
-			b.OnCut(c.cut)
+		c.cutOff(c.event.Kind)
+		if b.OnCutOff != nil {
+			b.OnCutOff(c.event)
 		}
 	}
 }
--- a/process/held/budget_test.go
+++ b/process/held/budget_test.go
@@ -15,14 +15,14 @@
 // fixture is a budget with a clock that the test moves.
 type fixture struct {
 	*Budget
-	now time.Duration
-	cut []string // owners of the leases that were cut off, in order
+	now          time.Duration
+	cutOffOwners []string // owners of the leases that were cut off, in order
 }
 
 // newFixture returns a budget with room for so many requests.
 func newFixture(requests int64) *fixture {
 	f := &fixture{now: time.Hour}
-	f.Budget = &Budget{Limit: requests * Overhead, Now: func() time.Duration { return f.now }}
+	f.Budget = &Budget{Limit: requests * RequestOverhead, Now: func() time.Duration { return f.now }}
 	return f
 }
 
@@ -34,11 +34,11 @@
 }
 
 func (f *fixture) tryAdmit(owner string) (*Lease, bool) {
-	return f.Admit(owner, func(Kind) { f.cut = append(f.cut, owner) })
+	return f.Admit(owner, func(Kind) { f.cutOffOwners = append(f.cutOffOwners, owner) })
 }
 
 func (f *fixture) total() (n int64) {
-	for k := range kinds {
+	for k := range numKinds {
 		n += f.Held(k)
 	}
 	return n
@@ -46,7 +46,7 @@
 
 // TestOneOwnerLeavesRoomForOthers checks that whoever asks for all that there is gets a part, so
 // that a new owner finds room, however many others hold what they may.
-func TestOneOwnerLeavesRoomForOthers(t *testing.T) {
+func TestGreedyOwnersLeaveCapacityForNewOnes(t *testing.T) {
 	for _, owners := range []int{1, 5, 20} {
 		f := newFixture(1000)
 		for i := range owners {
@@ -57,18 +57,18 @@
 			}
 		}
 		// Each takes its part of what the ones before have left.
-		least := float64(f.Limit) * math.Pow(1-1.0/(ownerShare+1), float64(owners))
+		least := float64(f.Limit) * math.Pow(1-1.0/(ownerDivisor+1), float64(owners))
 		free := f.free()
-		assert.Assert(t, float64(free) >= least-float64(owners*Overhead), "%d owners leave %d of %d", owners, free, f.Limit)
+		assert.Assert(t, float64(free) >= least-float64(owners*RequestOverhead), "%d owners leave %d of %d", owners, free, f.Limit)
 		f.admit(t, "new")
-		assert.Equal(t, len(f.cut), 0)
+		assert.Equal(t, len(f.cutOffOwners), 0)
 	}
 }
 
 // TestAnswersLeaveRoomForRequests tells of quick callers that were refused with MEMORY_FULL in the
 // first second of 2,000 slow ones: the answers of other quick callers, of 1 MB each, had taken all
 // that was free, while nobody had stalled for long enough to be cut off.
-func TestAnswersLeaveRoomForRequests(t *testing.T) {
+func TestResponsesLeaveCapacityForRequests(t *testing.T) {
 	const requests = 400
 	f := newFixture(requests)
 	var readers []*Lease
@@ -76,23 +76,23 @@
 		readers = append(readers, f.admit(t, fmt.Sprint("reader", i)))
 	}
 	for _, l := range readers {
-		for l.Grow(Answers, Overhead) {
+		for l.Grow(Responses, RequestOverhead) {
 			continue
 		}
 	}
-	for i := range requests/admitShare - 1 {
+	for i := range requests/reserveDivisor - 1 {
 		f.admit(t, fmt.Sprint("late", i))
 	}
 }
 
 // TestStalledAreCutOffForOthers checks that a request finds room though others hold it all, once
 // these have stalled, and that those who move are left alone.
-func TestStalledAreCutOffForOthers(t *testing.T) {
+func TestStalledLeasesAreCutOffForNewRequests(t *testing.T) {
 	f := newFixture(40)
 	var slow, quick []*Lease
 	for i := range 40 {
 		l := f.admit(t, fmt.Sprint("owner", i))
-		l.Wait(Answers)
+		l.Wait(Responses)
 		if i%2 == 0 {
 			slow = append(slow, l)
 		} else {
@@ -101,15 +101,15 @@
 	}
 	_, ok := f.tryAdmit("new")
 	assert.Assert(t, !ok, "nobody has stalled yet")
-	f.now += stalledLeast
+	f.now += minStall
 	for _, l := range quick {
-		l.Moved()
+		l.StopWaiting()
 	}
 	for i := range 20 {
 		f.admit(t, fmt.Sprint("new", i))
 	}
-	assert.Equal(t, len(f.cut), 20)
-	for _, owner := range f.cut {
+	assert.Equal(t, len(f.cutOffOwners), 20)
+	for _, owner := range f.cutOffOwners {
 		var i int
 		_, err := fmt.Sscanf(owner, "owner%d", &i)
 		assert.NilError(t, err)
@@ -118,49 +118,49 @@
 	for _, l := range append(slow, quick...) {
 		l.End()
 	}
-	assert.Equal(t, f.total(), int64(20*Overhead))
+	assert.Equal(t, f.total(), int64(20*RequestOverhead))
 }
 
 // TestWhoHoldsMostIsCutOffFirst checks the order.
-func TestWhoHoldsMostIsCutOffFirst(t *testing.T) {
+func TestLargestHolderIsCutOffFirst(t *testing.T) {
 	f := newFixture(100)
 	small, large := f.admit(t, "small"), f.admit(t, "large")
-	assert.Assert(t, large.Grow(Answers, 9*Overhead))
+	assert.Assert(t, large.Grow(Responses, 9*RequestOverhead))
 	for i := range 89 {
 		f.admit(t, fmt.Sprint("other", i))
 	}
-	small.Wait(Answers)
-	large.Wait(Answers)
-	f.now += stalledLeast
+	small.Wait(Responses)
+	large.Wait(Responses)
+	f.now += minStall
 	_, ok := f.tryAdmit("new")
 	assert.Assert(t, ok)
-	assert.DeepEqual(t, f.cut, []string{"large"})
+	assert.DeepEqual(t, f.cutOffOwners, []string{"large"})
 }
 
 // TestServerThatDoesNotReadIsCutOff checks that a body that its backend server does not take is
 // given up, even if there is room, and that other waits are not.
-func TestServerThatDoesNotReadIsCutOff(t *testing.T) {
+func TestBackendThatDoesNotReadIsCutOff(t *testing.T) {
 	f := newFixture(100)
-	for _, k := range []Kind{Requests, Bodies, Answers} {
+	for _, k := range []Kind{Requests, Bodies, Responses} {
 		f.admit(t, k.String()).Wait(k)
 	}
-	f.now += StalledMost - 1
-	f.CutStalled()
-	assert.Equal(t, len(f.cut), 0)
+	f.now += MaxStall - 1
+	f.CutOffStalled()
+	assert.Equal(t, len(f.cutOffOwners), 0)
 	f.now++
-	f.CutStalled()
-	f.CutStalled()
-	assert.DeepEqual(t, f.cut, []string{"bodies"})
+	f.CutOffStalled()
+	f.CutOffStalled()
+	assert.DeepEqual(t, f.cutOffOwners, []string{"bodies"})
 }
 
 // TestBudgetHolds checks, over any order of calls, that no more is held than the limit but for what
 // was cut off and has not ended, and that all comes back.
-func TestBudgetHolds(t *testing.T) {
+func TestBudgetIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFixture(rapid.Int64Range(1, 30).Draw(t, "requests"))
 		var leases []*Lease
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			f.now += time.Duration(rapid.Int64Range(0, int64(stalledLeast)).Draw(t, "pause"))
+			f.now += time.Duration(rapid.Int64Range(0, int64(minStall)).Draw(t, "pause"))
 			step := rapid.IntRange(0, 5).Draw(t, "step")
 			if step == 0 || len(leases) == 0 {
 				if l, ok := f.tryAdmit(fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "owner"))); ok {
@@ -169,29 +169,29 @@
 				continue
 			}
 			i := rapid.IntRange(0, len(leases)-1).Draw(t, "lease")
-			l, k := leases[i], Kind(rapid.IntRange(0, int(kinds)-1).Draw(t, "kind"))
+			l, k := leases[i], Kind(rapid.IntRange(0, int(numKinds)-1).Draw(t, "kind"))
 			switch step {
 			case 1:
-				l.Grow(k, rapid.Int64Range(1, 4*Overhead).Draw(t, "bytes"))
+				l.Grow(k, rapid.Int64Range(1, 4*RequestOverhead).Draw(t, "bytes"))
 			case 2:
 				l.Wait(k)
 			case 3:
-				l.Moved()
+				l.StopWaiting()
 			case 4:
 				l.Free(k)
 			case 5:
 				l.End()
 				leases = append(leases[:i], leases[i+1:]...)
 			}
-			if over := f.total() - f.ending; over > f.Limit {
+			if over := f.total() - f.releasing; over > f.Limit {
 				t.Fatalf("%d of %d", over, f.Limit)
 			}
 		}
 		for _, l := range leases {
 			l.End()
 		}
-		if f.total() != 0 || f.ending != 0 || len(f.owners) != 0 {
-			t.Fatalf("%d bytes, %d ending, %d owners are left", f.total(), f.ending, len(f.owners))
+		if f.total() != 0 || f.releasing != 0 || len(f.owners) != 0 {
+			t.Fatalf("%d bytes, %d ending, %d owners are left", f.total(), f.releasing, len(f.owners))
 		}
 	})
 }
--- a/process/held/lease.go
+++ b/process/held/lease.go
@@ -11,11 +11,11 @@
 	owner  *owner
 	cutOff func(Kind)
 	// The rest is guarded by the budget's mutex.
-	held     [kinds]int64
-	waits    bool // for the other side
-	waitsFor Kind
-	since    time.Duration // when the other side was last seen to move
-	isCut    bool
+	held         [numKinds]int64
+	waiting      bool // for the other side
+	waitingFor   Kind
+	waitingSince time.Duration // when the other side was last seen to move
+	isCutOff     bool
 }
 
 // Grow takes n bytes more. It returns false, and takes none, if there is no room beside what is
@@ -27,15 +27,15 @@
 	}
 	b := l.budget
 	b.mu.Lock()
-	l.waits = false // it moves right now, so that it does not cut itself off
-	reserve := b.Limit / admitShare
-	cuts := b.makeRoom(l.owner, n, reserve)
-	ok := b.fits(l.owner, n, reserve) && !l.isCut
+	l.waiting = false // it moves right now, so that it does not cut itself off
+	reserve := b.Limit / reserveDivisor
+	cuts := b.reclaim(l.owner, n, reserve)
+	ok := b.fits(l.owner, n, reserve) && !l.isCutOff
 	if ok {
 		b.add(l, k, n)
 	}
 	b.mu.Unlock()
-	b.carryOut(cuts)
+	b.runCutOffs(cuts)
 	return ok
 }
 
@@ -57,17 +57,17 @@
 	}
 	l.budget.mu.Lock()
 	defer l.budget.mu.Unlock()
-	l.waits, l.waitsFor, l.since = true, k, l.budget.Now()
+	l.waiting, l.waitingFor, l.waitingSince = true, k, l.budget.Now()
 }
 
 // Moved notes that nobody is waited for any more.
-func (l *Lease) Moved() {
+func (l *Lease) StopWaiting() {
 	if l == nil {
 		return
 	}
 	l.budget.mu.Lock()
 	defer l.budget.mu.Unlock()
-	l.waits = false
+	l.waiting = false
 }
 
 // End gives all back. It is called once.
@@ -78,24 +78,24 @@
 	b := l.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for k := range kinds {
+	for k := range numKinds {
 		b.add(l, k, -l.held[k])
 	}
-	if !l.isCut {
-		b.drop(l)
+	if !l.isCutOff {
+		b.removeLease(l)
 	}
 }
 
 // stalled returns for how long the other side has not moved; zero if it is not waited for, or
 // the lease was cut off. The caller holds the lock.
 func (l *Lease) stalled(now time.Duration) time.Duration {
-	if !l.waits || l.isCut {
+	if !l.waiting || l.isCutOff {
 		return 0
 	}
-	return now - l.since
+	return now - l.waitingSince
 }
 
-func (l *Lease) sum() (n int64) {
+func (l *Lease) total() (n int64) {
 	for _, held := range l.held {
 		n += held
 	}
@@ -103,12 +103,12 @@
 }
 
 // before reports whether a lease is cut off rather than another one.
-func (l *Lease) before(o *Lease) bool {
+func (l *Lease) cutOffBefore(o *Lease) bool {
 	if l.owner.held != o.owner.held {
 		return l.owner.held > o.owner.held
 	}
-	if a, b := l.sum(), o.sum(); a != b {
+	if a, b := l.total(), o.total(); a != b {
 		return a > b
 	}
-	return l.since < o.since
+	return l.waitingSince < o.waitingSince
 }
--- a/process/held/read.go
+++ b/process/held/read.go
@@ -10,9 +10,9 @@
 
 const (
 	// first is the size of the buffer that reading begins with, in bytes. It is part of Overhead.
-	first = 8 << 10
+	initialBuffer = 8 << 10
 	// growth is by how much a full buffer grows.
-	growth = 4
+	growthFactor = 4
 	// ChunkSize is how many bytes are passed on at a time.
 	ChunkSize = 16 << 10
 )
@@ -24,7 +24,7 @@
 	if length < 0 || length > most {
 		length = most
 	}
-	text = make([]byte, 0, min(first, length+1)) // a small one is not worth pooling
+	text = make([]byte, 0, min(initialBuffer, length+1)) // a small one is not worth pooling
 	for {
 		n, err := r.Read(text[len(text):cap(text)])
 		text = text[:len(text)+n]
@@ -38,12 +38,12 @@
 		case int64(cap(text)) > most:
 			return text, false, nil
 		}
-		size := grown(int64(cap(text)), length, most)
+		size := nextBufferSize(int64(cap(text)), length, most)
 		if !l.Grow(k, size-int64(cap(text))) {
 			return text, false, nil
 		}
-		larger := append(take(size), text...)
-		Release(text)
+		larger := append(getBuffer(size), text...)
+		ReleaseBuffer(text)
 		text = larger
 	}
 }
@@ -51,14 +51,14 @@
 // pooled are the buffers of large bodies and answers by their size, those of growth from first on and
 // that of the most that is held. Each answer of a megabyte would otherwise leave almost two
 // of garbage, of which a busy machine holds many before it is collected.
-var pooled sync.Map // of int64 to *sync.Pool
+var bufferPools sync.Map // of int64 to *sync.Pool
 
 // leastPooled is the size of the smallest buffer that is used again, in bytes.
-const leastPooled = 32 << 10
+const minPooledBuffer = 32 << 10
 
 // take returns an empty buffer of a size.
-func take(size int64) []byte {
-	if pool, ok := pooled.Load(size); ok {
+func getBuffer(size int64) []byte {
+	if pool, ok := bufferPools.Load(size); ok {
 		if b, ok := pool.(*sync.Pool).Get().(*[]byte); ok {
 			return (*b)[:0]
 		}
@@ -67,42 +67,42 @@
 }
 
 // Release lets the buffer of what Read returned be used again. Nobody may read it any more.
-func Release(text []byte) {
+func ReleaseBuffer(text []byte) {
 	size := int64(cap(text))
-	if size < leastPooled || !powerOfTwo(size) && !powerOfTwo(size-1) {
+	if size < minPooledBuffer || !isPowerOfTwo(size) && !isPowerOfTwo(size-1) {
 		return // of a size that few have
 	}
-	pool, _ := pooled.LoadOrStore(size, new(sync.Pool))
+	pool, _ := bufferPools.LoadOrStore(size, new(sync.Pool))
 	pool.(*sync.Pool).Put(&text)
 }
 
-func powerOfTwo(n int64) bool { return n&(n-1) == 0 }
+func isPowerOfTwo(n int64) bool { return n&(n-1) == 0 }
 
 // grown returns the next size of a buffer that is full. One byte more than is expected tells
 // the end.
-func grown(size, length, most int64) int64 {
+func nextBufferSize(size, length, most int64) int64 {
 	if size < length+1 {
-		return min(growth*size, length+1)
+		return min(growthFactor*size, length+1)
 	}
-	return min(growth*size, most+1)
+	return min(growthFactor*size, most+1)
 }
 
 // Watch returns a reader of a body that a backend server is sent: while it is not read, the
 // backend server is waited for.
-func Watch(l *Lease, r io.ReadCloser) io.ReadCloser {
+func WatchBody(l *Lease, r io.ReadCloser) io.ReadCloser {
 	if l == nil {
 		return r
 	}
-	return &watched{ReadCloser: r, lease: l}
+	return &watchedBody{ReadCloser: r, lease: l}
 }
 
-type watched struct {
+type watchedBody struct {
 	io.ReadCloser
 	lease *Lease
 }
 
-func (w *watched) Read(p []byte) (int, error) {
-	w.lease.Moved()
+func (w *watchedBody) Read(p []byte) (int, error) {
+	w.lease.StopWaiting()
 	n, err := w.ReadCloser.Read(p)
 	if err == nil {
 		w.lease.Wait(Bodies)
@@ -110,7 +110,7 @@
 	return n, err
 }
 
-func (w *watched) Close() error {
-	w.lease.Moved()
+func (w *watchedBody) Close() error {
+	w.lease.StopWaiting()
 	return w.ReadCloser.Close()
 }
--- a/process/held/read_test.go
+++ b/process/held/read_test.go
@@ -14,13 +14,13 @@
 )
 
 // TestReadTakesWhatThereIsRoomFor checks what is read, and that the rest stays to be read.
-func TestReadTakesWhatThereIsRoomFor(t *testing.T) {
+func TestReadStopsAtCapacity(t *testing.T) {
 	const most = 1 << 20
 	for _, x := range []struct {
 		size, length, room int64
 		whole              bool
 	}{
-		{0, 0, 1000, true}, {0, -1, 1000, true}, {1, 1, 1000, true}, {first, first, 1000, true}, {300_000, 300_000, 1000, true},
+		{0, 0, 1000, true}, {0, -1, 1000, true}, {1, 1, 1000, true}, {initialBuffer, initialBuffer, 1000, true}, {300_000, 300_000, 1000, true},
 		{300_000, -1, 1000, true}, {300_000, 5, 1000, true}, {most, most, 1000, true}, {most, -1, 1000, true},
 		{most + 1, most + 1, 1000, false}, {2 * most, -1, 1000, false}, {300_000, 300_000, 4, false}, {300_000, -1, 4, false},
 	} {
@@ -32,14 +32,14 @@
 			if slow {
 				r = iotest.HalfReader(r)
 			}
-			begin, whole, err := Read(l, Answers, r, x.length, most)
+			begin, whole, err := Read(l, Responses, r, x.length, most)
 			assert.NilError(t, err)
 			assert.Equal(t, whole, x.whole, "%+v", x)
 			rest, err := io.ReadAll(r)
 			assert.NilError(t, err)
 			assert.Assert(t, bytes.Equal(append(begin, rest...), text), "%+v", x)
 			assert.Assert(t, f.total() <= f.Limit && int64(cap(begin)) <= most+1+4096, "%+v: %d", x, cap(begin))
-			l.Free(Answers)
+			l.Free(Responses)
 			l.End()
 			assert.Equal(t, f.total(), int64(0))
 		}
@@ -47,7 +47,7 @@
 }
 
 // TestReadTellsErrors checks that an error of the other side is passed on with what came before.
-func TestReadTellsErrors(t *testing.T) {
+func TestReadReturnsErrors(t *testing.T) {
 	broken := errors.New("broken")
 	text, whole, err := Read(nil, Bodies, io.MultiReader(strings.NewReader("abc"), iotest.ErrReader(broken)), 10, 100)
 	assert.Assert(t, errors.Is(err, broken) && !whole)
@@ -56,17 +56,17 @@
 
 // TestWatchTellsWhoIsWaitedFor checks that a backend server counts as waited for while it has to
 // take what was read, and no more once the body has ended.
-func TestWatchTellsWhoIsWaitedFor(t *testing.T) {
+func TestWatchBodyTracksWaiting(t *testing.T) {
 	f := newFixture(10)
 	l := f.admit(t, "a")
-	r := Watch(l, io.NopCloser(iotest.OneByteReader(strings.NewReader("ab"))))
+	r := WatchBody(l, io.NopCloser(iotest.OneByteReader(strings.NewReader("ab"))))
 	var b [1]byte
 	for range 2 {
 		_, err := r.Read(b[:])
 		assert.NilError(t, err)
-		assert.Assert(t, l.waits && l.waitsFor == Bodies)
+		assert.Assert(t, l.waiting && l.waitingFor == Bodies)
 	}
 	_, err := r.Read(b[:])
 	assert.Equal(t, err, io.EOF)
-	assert.Assert(t, !l.waits)
+	assert.Assert(t, !l.waiting)
 }
--- a/process/proxy/account_test.go
+++ b/process/proxy/account_test.go
@@ -25,22 +25,22 @@
 
 // TestLateAnswerIsPassedOn checks that an answer that comes after the objective,
 // with little of the route's time left, is the caller's.
-func TestLateAnswerIsPassedOn(t *testing.T) {
+func TestLateResponseIsDelivered(t *testing.T) {
 	f := newFixture(t, 1)
 	f.backends[0].Work = 520 * time.Millisecond // of 600; the objective is 300
 	for i, path := range []string{"/reads/1", "/bids/1"} {
 		id := fmt.Sprint("x", i)
-		f.own(f.send(id, path, "body"), id)
+		f.assertServed(f.send(id, path, "body"), id)
 	}
 	assert.Equal(t, len(f.runs()), 2)
 }
 
 // TestOwnFailureOfABackendIsPassedOn checks that a backend server's failure reaches
 // the caller as it is, and is neither replaced nor tried elsewhere.
-func TestOwnFailureOfABackendIsPassedOn(t *testing.T) {
+func TestBackendServerErrorIsDeliveredUnchanged(t *testing.T) {
 	for _, path := range []string{"/reads/1", "/bids/1"} {
 		f := newFixture(t, 2)
-		f.firstFails(server.Broken)
+		f.failFirstBackend(server.Broken)
 		r := f.send("x", path, "body")
 		assert.NilError(t, r.err)
 		assert.Equal(t, r.status, http.StatusInternalServerError)
@@ -52,10 +52,10 @@
 
 // TestRefusalThatComesLateIsTrue checks that a request that backend servers refuse only
 // after a while is tried elsewhere, or refused as one that has not run.
-func TestRefusalThatComesLateIsTrue(t *testing.T) {
+func TestLateRefusalIsRetriedOrReportedNotRun(t *testing.T) {
 	f := newFixture(t, 2)
-	f.firstFails(server.ShedLate)
-	f.own(f.send("x", "/bids/1", "body"), "x")
+	f.failFirstBackend(server.ShedLate)
+	f.assertServed(f.send("x", "/bids/1", "body"), "x")
 	assert.Equal(t, len(f.runs()), 2)
 	for _, s := range f.backends {
 		s.Next(server.ShedLate, server.ShedLate)
@@ -71,12 +71,12 @@
 
 // TestNothingIsSentWithoutTimeToBeServed checks that a request with less time than
 // backend servers need is refused at once, and has not run.
-func TestNothingIsSentWithoutTimeToBeServed(t *testing.T) {
+func TestTooShortDeadlineIsRefusedImmediately(t *testing.T) {
 	f := newFixture(t, 1)
 	f.backends[0].Work = 100 * time.Millisecond
 	for i := range 25 { // so that the usual work is known
 		id := fmt.Sprint("w", i)
-		f.own(f.send(id, "/reads/1", ""), id)
+		f.assertServed(f.send(id, "/reads/1", ""), id)
 	}
 	ran := len(f.runs())
 	req, err := http.NewRequest(http.MethodGet, f.front.URL+"/reads/1", nil)
@@ -98,7 +98,7 @@
 
 // TestDeadConnectionIsNoLostAnswer checks that a connection whose peer
 // acknowledges nothing any more counts as a backend server that can't be reached.
-func TestDeadConnectionIsNoLostAnswer(t *testing.T) {
+func TestUserTimeoutCountsAsUnreachable(t *testing.T) {
 	timedOut := &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", syscall.ETIMEDOUT)}
 	dead := &conn.DispatchError{Sent: true, Err: errors.Annotate(timedOut, "read answer")}
 	assert.Equal(t, outcomeOf(dead), balance.Unreachable)
--- a/process/proxy/answer.go
+++ b/process/proxy/answer.go
@@ -17,26 +17,26 @@
 
 // relay passes an answer on. One that is cut short breaks the caller's
 // connection off, so that it never looks whole.
-func (p *Proxy) relay(c *call, a *answer) {
+func (p *Proxy) relay(c *call, a *response) {
 	h := c.w.Header()
 	for k, vs := range request.Forwardable(a.res.Header) {
 		h[k] = vs
 	}
 	if a.ex == nil && request.BodyAllowed(c.r.Method, a.res.StatusCode) {
-		h.Set("Content-Length", strconv.Itoa(len(a.whole)))
+		h.Set("Content-Length", strconv.Itoa(len(a.buffered)))
 	}
-	if p.leaving.Load() {
+	if p.keepAlivesDisabled.Load() {
 		h.Set("Connection", "close")
 	}
 	c.w.WriteHeader(a.res.StatusCode)
-	p.carried.Add(max(int64(len(a.whole)), a.res.ContentLength))
-	err := c.write(a.whole)
-	held.Release(a.whole)
-	a.whole = nil
+	p.bytesCarried.Add(max(int64(len(a.buffered)), a.res.ContentLength))
+	err := c.writeBuffered(a.buffered)
+	held.ReleaseBuffer(a.buffered)
+	a.buffered = nil
 	if a.ex != nil {
 		if err == nil {
-			c.lease.Free(held.Answers)
-			err = c.passOn(a.ex)
+			c.lease.Free(held.Responses)
+			err = c.streamRest(a.ex)
 		}
 		a.close()
 	}
@@ -44,23 +44,23 @@
 	if err != nil {
 		code = request.AnswerLost
 	}
-	if errors.Is(err, errCutOff) && !c.cut.Load() {
-		p.noteCutOff(c, held.Answers)
+	if errors.Is(err, errCutOff) && !c.isCutOff.Load() {
+		p.recordCutOff(c, held.Responses)
 	}
-	took := time.Since(c.began)
-	p.measure(c, c.route.Class, code, took)
+	took := time.Since(c.startedAt)
+	p.recordMetrics(c, c.route.Class, code, took)
 	end := metric.EndInTime
 	if took > time.Duration(c.route.Objective) {
 		end = metric.EndLate
 	}
-	p.Metrics.Noticed(c.service, c.met, end)
+	p.Metrics.Noticed(c.service, c.notices, end)
 	if err != nil && a.ex != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
 // measure counts the end of a request.
-func (p *Proxy) measure(c *call, class request.Class, code request.Code, took time.Duration) {
+func (p *Proxy) recordMetrics(c *call, class request.Class, code request.Code, took time.Duration) {
 	p.Metrics.Request(c.service, class, code, took)
 	if c.workspace != nil {
 		p.Metrics.Workspace(c.workspace.Name, code, took)
@@ -69,13 +69,13 @@
 
 // finish answers with a result. What may have run never gets a status that
 // promises that it has not.
-func (p *Proxy) finish(c *call, res *request.Result) {
+func (p *Proxy) writeResult(c *call, res *request.Result) {
 	class := request.ClassInvalid
 	if c.route != nil {
 		class = c.route.Class
 	}
-	took := time.Since(c.began)
-	p.measure(c, class, res.Code, took)
+	took := time.Since(c.startedAt)
+	p.recordMetrics(c, class, res.Code, took)
 	p.logRefusal(c, res, class, took)
 	status := res.Code.Info().Status
 	if res.Ran == request.RanUnknown && status == http.StatusServiceUnavailable {
@@ -88,7 +88,7 @@
 	if res.Ran == request.RanNo {
 		end = metric.EndRefused
 	}
-	p.Metrics.Noticed(c.service, c.met, end)
+	p.Metrics.Noticed(c.service, c.notices, end)
 	h := c.w.Header()
 	h.Set(request.HeaderResult, res.Code.String())
 	h.Set(request.HeaderRan, string(res.Ran))
@@ -105,20 +105,20 @@
 	e := p.Log.Info().Str("id", c.id).Str("service", c.service).Str("class", class.String()).Str("workspace", c.workspaceName()).Int("code", int(res.Code)).
 		Str("result", res.Code.Info().Name).Str("ran", string(res.Ran)).Int("attempts", c.attempts).
 		Int64("version", c.version).Dur("retry", res.Retry).Dur("took", took)
-	if p.Age != nil {
-		e.Dur("confirmed", p.Age())
+	if p.ConfigAge != nil {
+		e.Dur("confirmed", p.ConfigAge())
 	}
-	if c.why != nil {
-		e.EmbedObject(*c.why)
+	if c.noBackendReason != nil {
+		e.EmbedObject(*c.noBackendReason)
 	}
-	if c.overQuota != nil {
-		e.EmbedObject(*c.overQuota)
+	if c.quotaRefusal != nil {
+		e.EmbedObject(*c.quotaRefusal)
 	}
-	if c.print != 0 {
-		e.Str("request", c.print.String())
+	if c.fingerprint != 0 {
+		e.Str("request", c.fingerprint.String())
 	}
 	if res.Code == request.Quarantined {
-		e.Str("path", c.path()).Int("crashes", p.Quarantine.Crashes(c.print))
+		e.Str("path", c.path()).Int("crashes", p.Quarantine.Crashes(c.fingerprint))
 	}
 	if c.route == nil {
 		e.Str("host", c.r.Host).Str("path", c.r.URL.Path)
--- a/process/proxy/caller.go
+++ b/process/proxy/caller.go
@@ -16,34 +16,34 @@
 	// staleKeys is the age of the configuration from which a key that is not known
 	// may be one that the instance has not heard of yet. Origin: followers that
 	// others tell nothing ask the store after 2.7 s.
-	staleKeys = 2700 * time.Millisecond
+	staleKeyAge = 2700 * time.Millisecond
 	// staleKeyRetry is when a caller with such a key should come back: by then
 	// another source was asked.
-	staleKeyRetry = 300 * time.Millisecond
+	staleKeyRetryAfter = 300 * time.Millisecond
 )
 
 // identify finds the workspace of the caller by the key that the request carries.
 // Where there are no workspaces nobody needs a key.
-func (p *Proxy) identify(c *call, routing *version.Routing) *request.Result {
+func (p *Proxy) authenticate(c *call, routing *version.Routing) *request.Result {
 	if routing.Workspaces.None() {
 		return nil
 	}
-	c.keyed = true
+	c.keysInUse = true
 	key, given := bearer(c.r.Header.Values(p.Names.Key))
 	if !given && c.route.Anonymous {
 		return nil
 	}
 	if !given {
-		return refuse(request.KeyMissing, 0)
+		return notRun(request.KeyMissing, 0)
 	}
 	c.workspace = routing.Workspaces.Find(key)
 	if c.workspace != nil {
 		return nil
 	}
-	if p.Age != nil && p.Age() > staleKeys {
-		return refuse(request.KeyUnconfirmed, staleKeyRetry)
+	if p.ConfigAge != nil && p.ConfigAge() > staleKeyAge {
+		return notRun(request.KeyUnconfirmed, staleKeyRetryAfter)
 	}
-	return refuse(request.KeyUnknown, 0)
+	return notRun(request.KeyUnknown, 0)
 }
 
 // bearer returns the key of a header's values. One that can't be read is a key that
@@ -61,8 +61,8 @@
 
 // introduce replaces the caller's key by the name of its workspace, in the headers
 // that a backend server gets. What the caller says of its workspace goes, too.
-func (p *Proxy) introduce(c *call, h http.Header) {
-	if !c.keyed {
+func (p *Proxy) setWorkspaceHeaders(c *call, h http.Header) {
+	if !c.keysInUse {
 		return
 	}
 	h.Del(p.Names.Key)
@@ -79,23 +79,23 @@
 	}
 	in, why := p.Quota.Take(ctx, c.workspace)
 	if !in {
-		c.overQuota = &why
-		return refuse(request.OverQuota, why.Retry)
+		c.quotaRefusal = &why
+		return notRun(request.OverQuota, why.Retry)
 	}
-	c.counted = true
+	c.quotaTaken = true
 	return nil
 }
 
 // settleQuota gives back what was taken for a request that has not run, and counts
 // each time that it may have run beyond the first.
 func (p *Proxy) settleQuota(c *call) {
-	if !c.counted {
+	if !c.quotaTaken {
 		return
 	}
-	if c.runs == 0 {
+	if c.possibleRuns == 0 {
 		p.Quota.Return(c.workspace)
 	}
-	for range c.runs - 1 {
+	for range c.possibleRuns - 1 {
 		p.Quota.Again(c.workspace)
 	}
 }
--- a/process/proxy/caller_test.go
+++ b/process/proxy/caller_test.go
@@ -49,7 +49,7 @@
 
 // TestCallerNeedsAKeyOfAWorkspace checks who is served, and with which result the
 // others are refused.
-func TestCallerNeedsAKeyOfAWorkspace(t *testing.T) {
+func TestCallerAuthentication(t *testing.T) {
 	f := newFixture(t, 1)
 	f.route("open", "/open/", request.ClassRead, true)
 	f.config.Resources[version.Key{Kind: version.KindRoute, Name: "open"}].Route.Anonymous = true
@@ -83,7 +83,7 @@
 }
 
 // TestBackendIsToldTheWorkspaceAndNotTheKey checks the headers of what runs.
-func TestBackendIsToldTheWorkspaceAndNotTheKey(t *testing.T) {
+func TestBackendReceivesWorkspaceNotKey(t *testing.T) {
 	f := newFixture(t, 1)
 	f.route("open", "/open/", request.ClassRead, true)
 	f.config.Resources[version.Key{Kind: version.KindRoute, Name: "open"}].Route.Anonymous = true
@@ -105,13 +105,13 @@
 // TestUnknownKeyIsNotRejectedForGoodByAStaleInstance checks that an instance whose
 // configuration nobody has confirmed lately says when to come back, since the key
 // may be one that it has not heard of yet, and that keys it knows are served.
-func TestUnknownKeyIsNotRejectedForGoodByAStaleInstance(t *testing.T) {
+func TestStaleInstanceRefusesUnknownKeyTemporarily(t *testing.T) {
 	f := newFixture(t, 1)
 	f.workspace("farm", "good", nil)
 	age := time.Second
-	f.proxy.Age = func() time.Duration { return age }
+	f.proxy.ConfigAge = func() time.Duration { return age }
 	assert.Equal(t, f.sendAs("a", "/reads/1", key("new")).status, http.StatusUnauthorized)
-	age = staleKeys + 1
+	age = staleKeyAge + 1
 	got := f.sendAs("b", "/reads/1", key("new"))
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
@@ -120,7 +120,7 @@
 
 // TestKeysStandInNoLogLine sends keys in all ways and looks for them in what was
 // logged and measured.
-func TestKeysStandInNoLogLine(t *testing.T) {
+func TestKeysAreNotLogged(t *testing.T) {
 	f := newFixture(t, 1)
 	f.workspace("farm", "secret-good", nil)
 	var log, measured bytes.Buffer
@@ -153,7 +153,7 @@
 
 // TestOverQuotaIsRefusedAtOnce checks the answer, and that requests that do not run
 // use nothing up.
-func TestOverQuotaIsRefusedAtOnce(t *testing.T) {
+func TestOverQuotaIsRefusedImmediately(t *testing.T) {
 	f := newFixture(t, 1)
 	f.workspace("farm", "good", func(w *version.Workspace) { w.Rate, w.Burst = 1, 3 })
 	f.proxy.Quota = &quota.Quota{
--- a/process/proxy/failure.go
+++ b/process/proxy/failure.go
@@ -17,34 +17,34 @@
 )
 
 // failed classifies a dispatch that got no answer.
-func (t *trial) failed(ctx context.Context, pick *balance.Pick, err error, sent time.Time) *request.Result {
+func (t *transaction) dispatchFailed(ctx context.Context, pick *balance.Pick, err error, sent time.Time) *request.Result {
 	var d *conn.DispatchError
 	if !errors.As(err, &d) || d.Sent {
 		t.c.attempts++
-		return t.lost(ctx, pick, err, sent)
+		return t.exchangeLost(ctx, pick, err, sent)
 	}
-	t.over(pick, rollout.Outcome{Inconclusive: true})
+	t.reportOutcome(pick, rollout.Outcome{Inconclusive: true})
 	t.returnPermit(pick)
 	if t.c.r.Context().Err() != nil {
 		pick.Done(balance.Abandoned, nil)
 		return t.result(request.CallerGone, 0)
 	}
-	if errors.Is(err, conn.NotAllowed) {
+	if errors.Is(err, conn.ErrNotAllowed) {
 		pick.Done(balance.Abandoned, nil)
-		t.line(pick).Dur("left", t.c.left()).Msg("withdrawn")
-		return t.result(request.BackendRefused, minRetry)
+		t.logLine(pick).Dur("left", t.c.timeLeft()).Msg("withdrawn")
+		return t.result(request.BackendRefused, minRetryAfter)
 	}
 	pick.Done(balance.Unreachable, nil)
-	t.line(pick).Err(err).Msg("connect-failed")
-	return t.result(request.ConnectFailed, minRetry)
+	t.logLine(pick).Err(err).Msg("connect-failed")
+	return t.result(request.ConnectFailed, minRetryAfter)
 }
 
 // lost classifies an exchange that was sent at a time and got no whole answer.
-func (t *trial) lost(ctx context.Context, pick *balance.Pick, err error, sent time.Time) *request.Result {
+func (t *transaction) exchangeLost(ctx context.Context, pick *balance.Pick, err error, sent time.Time) *request.Result {
 	t.mayHaveRun = true
-	t.c.runs++
+	t.c.possibleRuns++
 	if t.c.r.Context().Err() != nil {
-		t.over(pick, rollout.Outcome{Inconclusive: true})
+		t.reportOutcome(pick, rollout.Outcome{Inconclusive: true})
 		pick.Done(balance.Abandoned, nil)
 		return t.result(request.CallerGone, 0)
 	}
@@ -57,11 +57,11 @@
 		// with it: each would cost a request its whole time.
 		pick.Pool.CloseIdle()
 	}
-	unsent := code == request.DeadlinePassed && t.c.tooShort(pick, sent)
-	t.over(pick, rollout.Outcome{Failed: !unsent, Inconclusive: unsent, Took: time.Since(sent)})
-	t.line(pick).Str("request", t.c.print.String()).Str("path", t.c.path()).Err(err).Msg("answer-lost")
+	unsent := code == request.DeadlinePassed && t.c.deadlineTooShort(pick, sent)
+	t.reportOutcome(pick, rollout.Outcome{Failed: !unsent, Inconclusive: unsent, Took: time.Since(sent)})
+	t.logLine(pick).Str("request", t.c.fingerprint.String()).Str("path", t.c.path()).Err(err).Msg("answer-lost")
 	if code != request.DeadlinePassed { // the end of its process ends the connection
-		t.suspect(pick)
+		t.reportLoss(pick)
 	}
 	return t.result(code, 0)
 }
@@ -76,10 +76,10 @@
 }
 
 // result is a result with what is known of whether the request ran.
-func (t *trial) result(code request.Code, retry time.Duration) *request.Result {
+func (t *transaction) result(code request.Code, retry time.Duration) *request.Result {
 	if t.mayHaveRun {
 		r := request.Unknown(code)
 		return &r
 	}
-	return refuse(code, retry)
+	return notRun(code, retry)
 }
--- a/process/proxy/forward.go
+++ b/process/proxy/forward.go
@@ -15,11 +15,11 @@
 )
 
 // request builds the request for one attempt.
-func (t *trial) request(ctx context.Context, pick *balance.Pick) *http.Request {
+func (t *transaction) newRequest(ctx context.Context, pick *balance.Pick) *http.Request {
 	in := t.c.r
 	out := &http.Request{
 		Method: in.Method, URL: target(in), Host: in.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		Header: request.Forwardable(in.Header), Body: held.Watch(t.c.lease, t.c.body.reader()), ContentLength: t.c.body.length,
+		Header: request.Forwardable(in.Header), Body: held.WatchBody(t.c.lease, t.c.body.reader()), ContentLength: t.c.body.length,
 	}
 	h := out.Header
 	if _, ok := h["User-Agent"]; !ok {
@@ -28,9 +28,9 @@
 	if in.Header.Get(t.p.Names.ID) == "" && t.c.id != "" {
 		h.Set(t.p.Names.ID, t.c.id)
 	}
-	t.p.introduce(t.c, h)
+	t.p.setWorkspaceHeaders(t.c, h)
 	h.Set(t.p.Names.Target, pick.Name)
-	h.Set(t.p.Names.Deadline, strconv.FormatInt(max(1, t.c.left().Milliseconds()), 10))
+	h.Set(t.p.Names.Deadline, strconv.FormatInt(max(1, t.c.timeLeft().Milliseconds()), 10))
 	return out.WithContext(ctx)
 }
 
--- a/process/proxy/gone_test.go
+++ b/process/proxy/gone_test.go
@@ -21,10 +21,10 @@
 )
 
 // goneWithin is the time within which the work for a caller that left has to end.
-const goneWithin = 500 * time.Millisecond
+const maxCancelDelay = 500 * time.Millisecond
 
 // raw opens a connection to the proxy and writes to it.
-func (f *fixture) raw(text string) net.Conn {
+func (f *fixture) sendRaw(text string) net.Conn {
 	f.t.Helper()
 	c, err := net.Dial("tcp", f.front.Listener.Addr().String())
 	assert.NilError(f.t, err)
@@ -34,60 +34,60 @@
 	return c
 }
 
-func head(method, path, id, more string) string {
+func rawRequestHead(method, path, id, more string) string {
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: a.example\r\n%s: %s\r\n%s\r\n", method, path, request.OwnNames.ID, id, more)
 }
 
 // idle waits until no request is under way.
-func (f *fixture) idle() {
+func (f *fixture) awaitIdle() {
 	f.t.Helper()
-	for begun := time.Now(); f.proxy.Running() > 0; time.Sleep(5 * time.Millisecond) {
-		assert.Assert(f.t, time.Since(begun) < goneWithin, "a request goes on")
+	for begun := time.Now(); f.proxy.InFlight() > 0; time.Sleep(5 * time.Millisecond) {
+		assert.Assert(f.t, time.Since(begun) < maxCancelDelay, "a request goes on")
 	}
 }
 
 // TestCallerThatLeavesBeforeItsBodyIsReadRunsNothing checks a caller that stops in
 // the middle of a body that is held whole.
-func TestCallerThatLeavesBeforeItsBodyIsReadRunsNothing(t *testing.T) {
+func TestDisconnectDuringBufferedBodyRunsNothing(t *testing.T) {
 	f := newFixture(t, 1)
-	c := f.raw(head("POST", "/reads/1", "x", "Content-Length: 100\r\n") + "half")
+	c := f.sendRaw(rawRequestHead("POST", "/reads/1", "x", "Content-Length: 100\r\n") + "half")
 	time.Sleep(30 * time.Millisecond)
 	c.Close()
-	f.idle()
+	f.awaitIdle()
 	assert.Equal(t, len(f.runs()), 0)
 }
 
 // TestCallerThatLeavesAmidALargeBodyEndsIt checks one whose body goes on to the
 // backend server while it comes.
-func TestCallerThatLeavesAmidALargeBodyEndsIt(t *testing.T) {
+func TestDisconnectDuringStreamedBodyCancelsRequest(t *testing.T) {
 	f := newFixture(t, 1)
-	c := f.raw(head("POST", "/bids/1", "x", fmt.Sprintf("Content-Length: %d\r\n", maxHeldBody+1000)) + strings.Repeat("v", maxHeldBody+10))
+	c := f.sendRaw(rawRequestHead("POST", "/bids/1", "x", fmt.Sprintf("Content-Length: %d\r\n", maxBufferedBody+1000)) + strings.Repeat("v", maxBufferedBody+10))
 	time.Sleep(100 * time.Millisecond)
-	assert.Equal(t, f.proxy.Running(), int64(1))
+	assert.Equal(t, f.proxy.InFlight(), int64(1))
 	c.Close()
-	f.idle()
+	f.awaitIdle()
 	assert.Equal(t, len(f.runs()), 0)
 }
 
 // TestCallerThatLeavesBetweenAttemptsCausesNoFurther checks one that leaves while the
 // first backend server takes long to refuse.
-func TestCallerThatLeavesBetweenAttemptsCausesNoFurther(t *testing.T) {
+func TestDisconnectBetweenAttemptsStopsRetries(t *testing.T) {
 	f := newFixture(t, 2)
 	for _, s := range f.backends {
 		s.Next(server.ShedLate, server.ShedLate)
 	}
-	c := f.raw(head("GET", "/reads/1", "x", ""))
+	c := f.sendRaw(rawRequestHead("GET", "/reads/1", "x", ""))
 	time.Sleep(50 * time.Millisecond)
 	c.Close()
-	f.idle()
-	time.Sleep(2 * goneWithin / 5)
+	f.awaitIdle()
+	time.Sleep(2 * maxCancelDelay / 5)
 	assert.Equal(t, len(f.runs()), 0)
 	assert.Equal(t, f.backends[0].Connections()+f.backends[1].Connections(), 1)
 }
 
 // TestCallerThatLeavesWhileItWaitsForATokenRunsNothing checks one that the owner of
 // its workspace's limit has not answered yet.
-func TestCallerThatLeavesWhileItWaitsForATokenRunsNothing(t *testing.T) {
+func TestDisconnectDuringQuotaRequestRunsNothing(t *testing.T) {
 	f := newFixture(t, 1)
 	f.workspace("farm", "good", func(w *version.Workspace) { w.Rate, w.Burst = 1, 1 })
 	f.proxy.Quota = &quota.Quota{
@@ -100,17 +100,17 @@
 		},
 	}
 	f.proxy.Quota.Install(f.table.Routing().Workspaces)
-	c := f.raw(head("GET", "/reads/1", "x", "Authorization: Bearer good\r\n"))
+	c := f.sendRaw(rawRequestHead("GET", "/reads/1", "x", "Authorization: Bearer good\r\n"))
 	time.Sleep(20 * time.Millisecond)
 	c.Close()
-	f.idle()
+	f.awaitIdle()
 	assert.Equal(t, len(f.runs()), 0)
 }
 
 // TestConnectionsThatFallSilentAreLeft checks that when all open connections to the
 // backend servers fall silent for good, without a reset, no more than one request
 // for each waits in vain, and the next ones are served on new connections.
-func TestConnectionsThatFallSilentAreLeft(t *testing.T) {
+func TestUnresponsiveConnectionsAreReplaced(t *testing.T) {
 	f := newFixture(t, 0)
 	s := &server.Server{Name: "u", Names: request.OwnNames, Slots: 8, Work: 20 * time.Millisecond}
 	assert.NilError(t, s.Start())
--- a/process/proxy/held_test.go
+++ b/process/proxy/held_test.go
@@ -20,9 +20,9 @@
 )
 
 // bound gives the proxy room for so many requests.
-func (f *fixture) bound(requests int64) *held.Budget {
-	b := &held.Budget{Limit: requests * held.Overhead, Now: f.proxy.Now}
-	f.proxy.Held = b
+func (f *fixture) limitMemory(requests int64) *held.Budget {
+	b := &held.Budget{Limit: requests * held.RequestOverhead, Now: f.proxy.Now}
+	f.proxy.Memory = b
 	return b
 }
 
@@ -33,7 +33,7 @@
 }
 
 // slowly sends a request over a connection of its own.
-func (f *fixture) slowly(head, body string) *slowCaller {
+func (f *fixture) openSlowCaller(head, body string) *slowCaller {
 	f.t.Helper()
 	c, err := net.Dial("tcp", f.front.Listener.Addr().String())
 	assert.NilError(f.t, err)
@@ -44,9 +44,9 @@
 }
 
 // beyondSockets is more than the sockets of a connection take up, in bytes.
-const beyondSockets = 16 << 20
+const largeBodySize = 16 << 20
 
-const slowGet = "GET /reads/1 HTTP/1.1\r\nHost: a.example\r\n" + request.HeaderID + ": slow"
+const slowGetHead = "GET /reads/1 HTTP/1.1\r\nHost: a.example\r\n" + request.HeaderID + ": slow"
 
 // eventually waits until something holds.
 func eventually(t *testing.T, what string, holds func() bool) {
@@ -59,13 +59,13 @@
 // TestRequestBeyondTheMemoryIsRefusedAtOnce checks that a caller hears at once that its request
 // has not run, and when to come back, while others hold all memory, and that it is served
 // once they are cut off.
-func TestRequestBeyondTheMemoryIsRefusedAtOnce(t *testing.T) {
+func TestMemoryFullIsRefusedImmediately(t *testing.T) {
 	f := newFixture(t, 1)
-	f.backends[0].Size = beyondSockets
-	b := f.bound(1)
+	f.backends[0].Size = largeBodySize
+	b := f.limitMemory(1)
 	var log syncBuffer
 	f.proxy.Log = logging.New(&log)
-	slow := f.slowly(slowGet, "")
+	slow := f.openSlowCaller(slowGetHead, "")
 	eventually(t, "its answer is held up", func() bool { return len(f.backends[0].Runs()) == 1 && b.Held(held.Requests) > 0 })
 	began := time.Now()
 	got := f.send("second", "/reads/2", "")
@@ -74,7 +74,7 @@
 	assert.Equal(t, got.header.Get(request.HeaderRan), string(request.RanNo))
 	assert.Assert(t, got.header.Get("Retry-After") != "" && time.Since(began) < 300*time.Millisecond)
 	eventually(t, "the second caller is served", func() bool { return f.send("third", "/reads/2", "").status == http.StatusOK })
-	eventually(t, "all is given back", func() bool { return b.Held(held.Requests) == 0 && b.Held(held.Answers) == 0 })
+	eventually(t, "all is given back", func() bool { return b.Held(held.Requests) == 0 && b.Held(held.Responses) == 0 })
 	_ = slow.Close()
 	cut := log.lines("cut-off")
 	assert.Equal(t, len(cut), 1)
@@ -83,19 +83,19 @@
 
 // TestAnswerWithoutRoomIsPassedOn checks that an answer for which there is no room reaches a caller
 // that reads as it would otherwise, though the request's deadline passes meanwhile.
-func TestAnswerWithoutRoomIsPassedOn(t *testing.T) {
+func TestUnbufferedResponseIsStreamed(t *testing.T) {
 	f := newFixture(t, 1)
-	f.backends[0].Size = beyondSockets
-	b := f.bound(2) // for the request, and not for its answer
-	slow := f.slowly(slowGet, "")
+	f.backends[0].Size = largeBodySize
+	b := f.limitMemory(2) // for the request, and not for its answer
+	slow := f.openSlowCaller(slowGetHead, "")
 	time.Sleep(700 * time.Millisecond) // the route's timeout is 600 ms
 	res, err := http.ReadResponse(slow.r, nil)
 	assert.NilError(t, err)
 	text, err := io.ReadAll(res.Body)
 	assert.NilError(t, err)
-	assert.Equal(t, len(text), len("answer to slow")+beyondSockets)
+	assert.Equal(t, len(text), len("answer to slow")+largeBodySize)
 	assert.Assert(t, strings.HasPrefix(string(text), "answer to slow"))
-	assert.Equal(t, b.Held(held.Answers), int64(0))
+	assert.Equal(t, b.Held(held.Responses), int64(0))
 }
 
 // TestCallerThatDoesNotReadIsCutOff checks that its connection ends, and the one to the backend
@@ -105,13 +105,13 @@
 		t.Run(fmt.Sprint(room), func(t *testing.T) {
 			t.Parallel()
 			f := newFixture(t, 1)
-			f.backends[0].Size = beyondSockets
-			b := f.bound(room)
-			f.slowly(slowGet, "")
+			f.backends[0].Size = largeBodySize
+			b := f.limitMemory(room)
+			f.openSlowCaller(slowGetHead, "")
 			eventually(t, "it is held", func() bool { return b.Held(held.Requests) > 0 })
 			began := time.Now()
 			eventually(t, "it is cut off", func() bool { return b.Held(held.Requests) == 0 })
-			assert.Assert(t, time.Since(began) < held.StalledMost+2*time.Second)
+			assert.Assert(t, time.Since(began) < held.MaxStall+2*time.Second)
 			assert.Equal(t, f.table.InFlight("s"), 0)
 		})
 	}
@@ -119,10 +119,10 @@
 
 // TestSlowBodyTakesNoRoom checks that a caller that says that it sends much, and sends little, holds
 // no memory for what has not come, and that it is cut off for others.
-func TestSlowBodyTakesNoRoom(t *testing.T) {
+func TestSlowBodyReservesNoMemory(t *testing.T) {
 	f := newFixture(t, 1)
-	b := f.bound(1)
-	slow := f.slowly("POST /reads/1 HTTP/1.1\r\nHost: a.example\r\nContent-Length: 1000000\r\n"+request.HeaderID+": slow", "begin")
+	b := f.limitMemory(1)
+	slow := f.openSlowCaller("POST /reads/1 HTTP/1.1\r\nHost: a.example\r\nContent-Length: 1000000\r\n"+request.HeaderID+": slow", "begin")
 	eventually(t, "it is held", func() bool { return b.Held(held.Requests) > 0 })
 	assert.Equal(t, b.Held(held.Bodies), int64(0))
 	res, err := http.ReadResponse(slow.r, nil)
@@ -133,11 +133,11 @@
 
 // TestLargeBodyWithoutRoomIsPassedOn checks that a body for which there is no room is sent whole
 // as it comes.
-func TestLargeBodyWithoutRoomIsPassedOn(t *testing.T) {
+func TestUnbufferedBodyIsStreamed(t *testing.T) {
 	f := newFixture(t, 1)
-	f.bound(2)
+	f.limitMemory(2)
 	body := strings.Repeat("0123456789", 100_000)
-	slow := f.slowly(fmt.Sprintf("POST /reads/1 HTTP/1.1\r\nHost: a.example\r\nContent-Length: %d\r\n%s: slow", len(body), request.HeaderID), body)
+	slow := f.openSlowCaller(fmt.Sprintf("POST /reads/1 HTTP/1.1\r\nHost: a.example\r\nContent-Length: %d\r\n%s: slow", len(body), request.HeaderID), body)
 	res, err := http.ReadResponse(slow.r, nil)
 	assert.NilError(t, err)
 	assert.Equal(t, res.StatusCode, http.StatusOK)
@@ -149,16 +149,16 @@
 // TestRefusalAfterAPauseIsDelivered checks that a caller whose connection has rested gets whatever its
 // next request ends with: the time in which the answer before had to be written must not end the
 // connection.
-func TestRefusalAfterAPauseIsDelivered(t *testing.T) {
+func TestRefusalAfterIdlePeriodIsDelivered(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, 1)
-	f.own(f.send("first", "/reads/1", ""), "first")
-	c := f.slowly(slowGet, "")
+	f.assertServed(f.send("first", "/reads/1", ""), "first")
+	c := f.openSlowCaller(slowGetHead, "")
 	_, err := http.ReadResponse(c.r, nil)
 	assert.NilError(t, err)
 	_, err = io.CopyN(io.Discard, c.r, int64(len("answer to slow")))
 	assert.NilError(t, err)
-	time.Sleep(held.StalledMost + 500*time.Millisecond)
+	time.Sleep(held.MaxStall + 500*time.Millisecond)
 	_, err = io.WriteString(c, "GET /nowhere HTTP/1.1\r\nHost: a.example\r\n\r\n")
 	assert.NilError(t, err)
 	res, err := http.ReadResponse(c.r, nil)
--- a/process/proxy/lapse.go
+++ b/process/proxy/lapse.go
@@ -11,77 +11,77 @@
 
 // leastSuspended is what the two clocks of a request may differ by without a suspension of the
 // machine: they are read one after the other, and a thread may be held up in between.
-const leastSuspended = 100 * time.Millisecond
+const minSuspension = 100 * time.Millisecond
 
 // left returns the time until the request's deadline. Contexts, timers and sockets wait by a
 // clock that stands still while the machine is suspended; the caller's time goes on.
-func (c *call) left() time.Duration {
+func (c *call) timeLeft() time.Duration {
 	left := time.Until(c.deadline)
-	if lost := (c.now() - c.begun) - time.Since(c.began); lost >= leastSuspended {
+	if lost := (c.bootClock() - c.startedOnBootClock) - time.Since(c.startedAt); lost >= minSuspension {
 		left -= lost
 	}
 	return left
 }
 
 // reading tells whether a request's body is being read. The zero value is ready.
-type reading struct {
-	mu sync.Mutex
-	on bool
+type bodyReadState struct {
+	mu     sync.Mutex
+	active bool
 }
 
 // reads lets the reading of the body end at a time; zero: it is over.
-func (c *call) reads(until time.Time) {
-	c.reading.mu.Lock()
-	defer c.reading.mu.Unlock()
-	c.reading.on = !until.IsZero()
+func (c *call) setBodyReadDeadline(until time.Time) {
+	c.bodyRead.mu.Lock()
+	defer c.bodyRead.mu.Unlock()
+	c.bodyRead.active = !until.IsZero()
 	_ = http.NewResponseController(c.w).SetReadDeadline(until) // an error means that the caller is gone
 }
 
 // endReading ends the reading of the body, if it is being read. At any other time it would look
 // as if the caller had left.
-func (c *call) endReading() {
-	c.reading.mu.Lock()
-	defer c.reading.mu.Unlock()
-	if c.reading.on {
-		_ = http.NewResponseController(c.w).SetReadDeadline(past) // an error means that the caller is gone
+func (c *call) abortBodyRead() {
+	c.bodyRead.mu.Lock()
+	defer c.bodyRead.mu.Unlock()
+	if c.bodyRead.active {
+		_ = http.NewResponseController(c.w).SetReadDeadline(aLongTimeAgo) // an error means that the caller is gone
 	}
 }
 
 // calls are the requests under way that have a deadline. The zero value is ready.
-type calls struct {
-	mu sync.Mutex
-	of map[*call]context.CancelFunc
+type callSet struct {
+	mu      sync.Mutex
+	cancels map[*call]context.CancelFunc
 }
 
-func (s *calls) add(c *call, cancel context.CancelFunc) {
+func (s *callSet) add(c *call, cancel context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.of == nil {
-		s.of = make(map[*call]context.CancelFunc)
+	if s.cancels == nil {
+		s.cancels = make(map[*call]context.CancelFunc)
 	}
-	s.of[c] = cancel
+	s.cancels[c] = cancel
 }
 
-func (s *calls) remove(c *call) {
+func (s *callSet) remove(c *call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.of, c)
+	delete(s.cancels, c)
 }
 
 // past is a deadline that ends all waiting.
-var past = time.Unix(1, 0)
+var aLongTimeAgo = time.Unix(1, 0)
 
 // EndLapsed ends the requests whose deadline passed while the machine was suspended: nothing
 // else would, for as long as that took. Answers that are there by now have been read.
-func (p *Proxy) EndLapsed() (ended int) {
+func (p *Proxy) CancelExpired() (ended int) {
 	p.calls.mu.Lock()
 	defer p.calls.mu.Unlock()
-	for c, cancel := range p.calls.of {
-		if c.left() > 0 {
+	for c, cancel := range p.calls.cancels {
+		if c.timeLeft() > 0 {
 			continue
 		}
 		cancel()
-		c.endReading()
+		c.abortBodyRead()
 		ended++
 	}
 	return ended
--- a/process/proxy/limit_test.go
+++ b/process/proxy/limit_test.go
@@ -20,7 +20,7 @@
 )
 
 // limited lets the proxy of a fixture keep rate limits, as the only instance.
-func (f *fixture) limited() *ratelimit.Limiter {
+func (f *fixture) enableRateLimits() *ratelimit.Limiter {
 	l := &ratelimit.Limiter{
 		Now: f.proxy.Now, Instances: func() int { return 1 }, Send: func(string, []byte) {},
 		Owner: func(string, uint64) ratelimit.Owner { return ratelimit.Owner{Name: "self"} },
@@ -32,9 +32,9 @@
 // TestLimitedServiceRefusesAtOnceAndSpreadsCallers guards against requests that wait for a service
 // all of whose servers are limited, and against callers that are all told to come back at one
 // moment.
-func TestLimitedServiceRefusesAtOnceAndSpreadsCallers(t *testing.T) {
+func TestRateLimitedServiceRefusesImmediatelyWithSpreadRetryAfter(t *testing.T) {
 	f := newFixture(t, 2)
-	f.limited()
+	f.enableRateLimits()
 	for _, s := range f.backends {
 		s.SetLimit(2)
 	}
@@ -72,9 +72,9 @@
 
 // TestFurtherAttemptsKeepTheLimit guards against further attempts, which go where the first one did
 // not, that are sent without a permit.
-func TestFurtherAttemptsKeepTheLimit(t *testing.T) {
+func TestRetriesKeepRateLimit(t *testing.T) {
 	f := newFixture(t, 2)
-	f.limited()
+	f.enableRateLimits()
 	healthy, limited := f.backends[0], f.backends[1]
 	limited.SetLimit(1)
 	for i := 0; len(limited.Notices()) == 0; i++ {
@@ -97,40 +97,40 @@
 
 // TestRequestChosenBeforeTheLimitWasNamedNeedsAPermit guards against requests that wait for a
 // connection while their server names a limit.
-func TestRequestChosenBeforeTheLimitWasNamedNeedsAPermit(t *testing.T) {
+func TestRateLimitNamedAfterPickNeedsPermit(t *testing.T) {
 	f := newFixture(t, 1)
-	limiter := f.limited()
+	limiter := f.enableRateLimits()
 	pick, _ := f.table.Pick(&balance.Query{Route: f.table.Routing().Route("a.example", "/reads/1"), Left: time.Second})
 	assert.Assert(t, pick != nil)
-	trial := &trial{p: f.proxy, c: &call{}}
-	assert.Assert(t, trial.permitted(t.Context(), pick) && trial.withinLimit(pick))
+	trial := &transaction{p: f.proxy, c: &call{}}
+	assert.Assert(t, trial.acquirePermit(t.Context(), pick) && trial.permitValid(pick))
 	limiter.Answered(pick.Limitable(), 0.001, f.proxy.Now())
-	assert.Assert(t, !trial.withinLimit(pick))
+	assert.Assert(t, !trial.permitValid(pick))
 }
 
 // TestLimitsOfOtherServersAndBadOnesChangeNothing guards against a limit that is not the chosen
 // server's word, or none that can be read.
-func TestLimitsOfOtherServersAndBadOnesChangeNothing(t *testing.T) {
+func TestMisdirectedAndInvalidRateLimitsAreIgnored(t *testing.T) {
 	f := newFixture(t, 1)
-	limiter := f.limited()
+	limiter := f.enableRateLimits()
 	f.backends[0].SetLimit(3)
 	f.backends[0].Next(server.Moved)
 	f.send("moved", "/reads/1", "")
 	assert.Equal(t, limiter.Known(), 0)
 
 	f = newFixture(t, 1)
-	limiter = f.limited()
+	limiter = f.enableRateLimits()
 	f.backends[0].SetLimit(3)
 	f.backends[0].Next(server.Shed)
 	f.send("refused", "/reads/1", "")
 	assert.Equal(t, limiter.Known(), 1, "a refusal is its server's word")
 
 	f = newFixture(t, 1)
-	limiter = f.limited()
+	limiter = f.enableRateLimits()
 	var log syncBuffer
 	f.proxy.Log = logging.New(&log)
 	f.backends[0].SetLimit(1e300)
-	f.own(f.send("bad", "/reads/1", ""), "bad")
+	f.assertServed(f.send("bad", "/reads/1", ""), "bad")
 	assert.Equal(t, limiter.Known(), 0)
 	assert.Equal(t, len(log.lines("rate-limit-skipped")), 1)
 	var metrics strings.Builder
@@ -139,9 +139,9 @@
 }
 
 // TestManyRequestsAtOnceKeepTheLimit guards against requests that are decided on at the same moment.
-func TestManyRequestsAtOnceKeepTheLimit(t *testing.T) {
+func TestConcurrentRequestsKeepRateLimit(t *testing.T) {
 	f := newFixture(t, 2)
-	f.limited()
+	f.enableRateLimits()
 	limited := f.backends[1]
 	limited.SetLimit(4)
 	for i := 0; len(limited.Notices()) == 0; i++ {
--- a/process/proxy/load_test.go
+++ b/process/proxy/load_test.go
@@ -13,13 +13,13 @@
 
 // TestLoadReportsAreCheckedAlone checks that an answer is passed on whatever its load report
 // says, and that only a report that can't be read is counted and logged.
-func TestLoadReportsAreCheckedAlone(t *testing.T) {
+func TestInvalidLoadReportDoesNotAffectResponse(t *testing.T) {
 	for pace, bad := range map[string]int{"": 0, "250": 0, "fast": 1} {
 		f := newFixture(t, 1)
 		var log syncBuffer
 		f.proxy.Log = logging.New(&log)
 		f.backends[0].Pace = pace
-		f.own(f.send("served", "/reads/1", ""), "served")
+		f.assertServed(f.send("served", "/reads/1", ""), "served")
 		assert.Equal(t, len(log.lines("load-report-skipped")), bad, "pace %q", pace)
 		var metrics strings.Builder
 		assert.NilError(t, f.proxy.Metrics.Write(&metrics))
--- a/process/proxy/notice_test.go
+++ b/process/proxy/notice_test.go
@@ -16,7 +16,7 @@
 
 // TestNoticesStandInTheLog checks that the lines of answers tell what their servers asked
 // for, which no other line of the process can tell afterwards, and that they are counted.
-func TestNoticesStandInTheLog(t *testing.T) {
+func TestNoticesAreLoggedAndCounted(t *testing.T) {
 	f := newFixture(t, 1)
 	var log syncBuffer
 	f.proxy.Log = logging.New(&log)
@@ -30,7 +30,7 @@
 	var other syncBuffer
 	f.proxy.Log = logging.New(&other)
 	f.backends[0].Leave()
-	f.own(f.send("served", "/reads/1", ""), "served")
+	f.assertServed(f.send("served", "/reads/1", ""), "served")
 	answered := other.lines("answered")
 	assert.Equal(t, len(answered), 1)
 	assert.Assert(t, strings.Contains(answered[0], " leaving=true "), answered[0])
@@ -41,7 +41,7 @@
 
 // TestEndsOfRequestsThatMetNoticesAreCounted checks that it can be told what it costs callers that
 // backend servers leave or turn away.
-func TestEndsOfRequestsThatMetNoticesAreCounted(t *testing.T) {
+func TestOutcomesOfNoticedRequestsAreCounted(t *testing.T) {
 	f := newFixture(t, 2)
 	for _, s := range f.backends {
 		s.TurnAway(time.Minute, time.Minute)
@@ -49,7 +49,7 @@
 	assert.Equal(t, f.send("refused", "/reads/1", "").status, http.StatusServiceUnavailable)
 	g := newFixture(t, 1)
 	g.backends[0].Leave()
-	g.own(g.send("served", "/reads/1", ""), "served")
+	g.assertServed(g.send("served", "/reads/1", ""), "served")
 	var refused, served strings.Builder
 	assert.NilError(t, f.proxy.Metrics.Write(&refused))
 	assert.NilError(t, g.proxy.Metrics.Write(&served))
@@ -59,7 +59,7 @@
 
 // TestNoticeOfAnotherServerIsNotTheChosenOnes checks that what a server says of itself that
 // has taken over the address of the chosen one is left out.
-func TestNoticeOfAnotherServerIsNotTheChosenOnes(t *testing.T) {
+func TestMisdirectedNoticeIsIgnored(t *testing.T) {
 	f := newFixture(t, 1)
 	f.backends[0].Leave()
 	f.backends[0].Next(server.Moved)
--- a/process/proxy/proxy_test.go
+++ b/process/proxy/proxy_test.go
@@ -52,7 +52,7 @@
 	}
 	f.proxy = &Proxy{
 		Names: request.OwnNames, Table: f.table, Metrics: metric.NewSet(), Log: zerolog.Nop(), Now: now,
-		Retries: &retry.Window{Span: 10 * time.Second, Ratio: 0.2, Fixed: 20, Instances: one},
+		RetryBudget: &retry.Window{Span: 10 * time.Second, Ratio: 0.2, Fixed: 20, Instances: one},
 	}
 	f.put(version.Resource{Key: version.Key{Kind: version.KindRegion, Name: "north"}, Region: &version.Region{}})
 	f.put(version.Resource{Key: version.Key{Kind: version.KindHall, Name: "n1"}, Hall: &version.Hall{Region: "north"}})
@@ -93,9 +93,9 @@
 
 // firstFails sets the fault of the backend server that is asked first, which has run
 // one request then.
-func (f *fixture) firstFails(fault server.Fault) {
+func (f *fixture) failFirstBackend(fault server.Fault) {
 	f.t.Helper()
-	f.own(f.send("first", "/reads/1", ""), "first")
+	f.assertServed(f.send("first", "/reads/1", ""), "first")
 	for _, s := range f.backends {
 		if len(s.Runs()) == 1 {
 			s.Next(fault)
@@ -104,7 +104,7 @@
 }
 
 // allShed makes all backend servers refuse.
-func (f *fixture) allShed() {
+func (f *fixture) shedAll() {
 	for _, s := range f.backends {
 		s.Next(server.Shed, server.Shed, server.Shed)
 	}
@@ -150,7 +150,7 @@
 	return reply{status: res.StatusCode, header: res.Header, body: string(b), err: err, took: time.Since(begun)}
 }
 
-func (f *fixture) own(r reply, id string) {
+func (f *fixture) assertServed(r reply, id string) {
 	f.t.Helper()
 	assert.NilError(f.t, r.err)
 	assert.Equal(f.t, r.status, http.StatusOK)
@@ -158,9 +158,9 @@
 	assert.Equal(f.t, r.header.Get(request.OwnNames.Seal), "seal-"+id)
 }
 
-func TestRequestArrivesUnaltered(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	f := newFixture(t, 1)
-	f.own(f.send("x1", "/bids/a%2Fb/%7Ec?q=1&r=%20", "two lots"), "x1")
+	f.assertServed(f.send("x1", "/bids/a%2Fb/%7Ec?q=1&r=%20", "two lots"), "x1")
 	runs := f.runs()
 	assert.Equal(t, len(runs), 1)
 	assert.Equal(t, runs[0].Path, "/bids/a%2Fb/%7Ec?q=1&r=%20")
@@ -173,7 +173,7 @@
 
 // TestFaultsOfBackends checks, for each way in which a backend server misbehaves,
 // what the client gets and how often the request ran.
-func TestFaultsOfBackends(t *testing.T) {
+func TestBackendFaults(t *testing.T) {
 	for _, x := range []struct {
 		name        string
 		fault       server.Fault
@@ -194,23 +194,23 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			f := newFixture(t, 2)
-			f.firstFails(x.fault)
+			f.failFirstBackend(x.fault)
 			read := f.send("r1", "/reads/1", "")
-			f.expect(read, x.reads, "r1")
+			f.assertResult(read, x.reads, "r1")
 			f = newFixture(t, 2)
-			f.firstFails(x.fault)
+			f.failFirstBackend(x.fault)
 			bid := f.send("b1", "/bids/1", "an offer")
-			f.expect(bid, x.bids, "b1")
+			f.assertResult(bid, x.bids, "b1")
 			assert.Equal(t, len(f.runs()), 1+x.bidRuns)
-			f.own(f.send("b2", "/bids/1", "next"), "b2")
+			f.assertServed(f.send("b2", "/bids/1", "next"), "b2")
 		})
 	}
 }
 
-func (f *fixture) expect(r reply, status int, id string) {
+func (f *fixture) assertResult(r reply, status int, id string) {
 	f.t.Helper()
 	if status == http.StatusOK {
-		f.own(r, id)
+		f.assertServed(r, id)
 		return
 	}
 	assert.NilError(f.t, r.err)
@@ -222,9 +222,9 @@
 
 // TestRefusalIsAtOnceAndSaysWhenToComeBack checks that a request for which
 // there is no backend server is not held.
-func TestRefusalIsAtOnceAndSaysWhenToComeBack(t *testing.T) {
+func TestRefusalIsImmediateWithRetryAfter(t *testing.T) {
 	f := newFixture(t, 2)
-	f.allShed()
+	f.shedAll()
 	r := f.send("b1", "/bids/1", "an offer")
 	assert.Equal(t, r.status, http.StatusServiceUnavailable)
 	assert.Equal(t, r.header.Get(request.HeaderRan), string(request.RanNo))
@@ -235,7 +235,7 @@
 	assert.Equal(t, len(f.runs()), 0)
 }
 
-func TestDeadBackendIsLeftForAnother(t *testing.T) {
+func TestDownBackendIsReplacedByAnother(t *testing.T) {
 	f := newFixture(t, 2)
 	for i := range 20 {
 		if i == 5 {
@@ -243,17 +243,17 @@
 		}
 		id := fmt.Sprintf("x%d", i)
 		r := f.send(id, fmt.Sprintf("/reads/%d", i), "")
-		f.own(r, id)
+		f.assertServed(r, id)
 	}
 }
 
 // TestNothingIsTriedOnWhenThereIsNoOther checks that a request whose only
 // backend could not be reached, or refused it, gets its final answer at once
 // and takes one retry at most.
-func TestNothingIsTriedOnWhenThereIsNoOther(t *testing.T) {
+func TestSingleBackendFailureIsFinalImmediately(t *testing.T) {
 	for name, spoil := range map[string]func(f *fixture){
 		"dead":    func(f *fixture) { f.backends[0].Close() },
-		"refuses": func(f *fixture) { f.allShed() },
+		"refuses": func(f *fixture) { f.shedAll() },
 	} {
 		f := newFixture(t, 1)
 		spoil(f)
@@ -276,7 +276,7 @@
 	assert.Equal(t, rec.Code, http.StatusServiceUnavailable, "404 only with a configuration")
 }
 
-func TestTimeoutOfTheRouteIsKept(t *testing.T) {
+func TestRouteTimeout(t *testing.T) {
 	f := newFixture(t, 1)
 	f.backends[0].Work = 3 * time.Second
 	r := f.send("x", "/bids/1", "b")
@@ -285,7 +285,7 @@
 }
 
 // leave sends a request that its caller gives up after a time, before its answer.
-func (f *fixture) leave(id string, after time.Duration) {
+func (f *fixture) sendAndAbandon(id string, after time.Duration) {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), after)
 	defer cancel()
@@ -299,10 +299,10 @@
 
 // TestClientThatLeavesEndsItsRequest checks that a backend server sees within half a
 // second that the client left.
-func TestClientThatLeavesEndsItsRequest(t *testing.T) {
+func TestCallerDisconnectCancelsRequest(t *testing.T) {
 	f := newFixture(t, 1)
 	f.backends[0].Work = 500 * time.Millisecond
-	f.leave("x", 100*time.Millisecond)
+	f.sendAndAbandon("x", 100*time.Millisecond)
 	for range 40 {
 		if f.backends[0].Left() == 1 {
 			return
@@ -312,11 +312,11 @@
 	t.Fatal("the backend server still works")
 }
 
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	f := newFixture(t, 1)
 	for i := range 10 {
 		id := fmt.Sprintf("x%d", i)
-		f.own(f.send(id, "/bids/1", "offer"), id)
+		f.assertServed(f.send(id, "/bids/1", "offer"), id)
 	}
 	assert.Assert(t, f.backends[0].Connections() <= 2, "%d", f.backends[0].Connections())
 }
@@ -324,7 +324,7 @@
 func TestLimitsAndLargeBodies(t *testing.T) {
 	f := newFixture(t, 1)
 	large := strings.Repeat("v", 2<<20)
-	f.own(f.send("big", "/bids/1", large), "big")
+	f.assertServed(f.send("big", "/bids/1", large), "big")
 	assert.Equal(t, f.runs()[0].Body, large)
 	assert.Equal(t, f.send("more", "/bids/1", strings.Repeat("v", 3<<20+1)).status, http.StatusRequestEntityTooLarge)
 	req, err := http.NewRequest(http.MethodGet, f.front.URL+"/reads/1", nil)
@@ -337,9 +337,9 @@
 	assert.Equal(t, res.StatusCode, http.StatusRequestHeaderFieldsTooLarge)
 }
 
-func TestLeavingProxyAnswersAndCloses(t *testing.T) {
+func TestDisabledKeepAlivesCloseConnections(t *testing.T) {
 	f := newFixture(t, 1)
-	f.proxy.Leave()
+	f.proxy.DisableKeepAlives()
 	c, err := net.Dial("tcp", f.front.Listener.Addr().String())
 	assert.NilError(t, err)
 	defer c.Close()
@@ -352,7 +352,7 @@
 
 // TestHalfSentRequestsRunNothing sends bodies that end early, in both framings,
 // and a smuggled length.
-func TestHalfSentRequestsRunNothing(t *testing.T) {
+func TestTruncatedRequestsRunNothing(t *testing.T) {
 	f := newFixture(t, 1)
 	for _, text := range []string{
 		"POST /bids/1 HTTP/1.1\r\nHost: a.example\r\nContent-Length: 50\r\n\r\nhalf",
--- a/process/proxy/rollout_failure_test.go
+++ b/process/proxy/rollout_failure_test.go
@@ -20,10 +20,10 @@
 
 // TestFailureOfTheTargetIsTriedAtTheVersionInForce checks that a caller whose request may
 // be repeated does not see a failure of the target.
-func TestFailureOfTheTargetIsTriedAtTheVersionInForce(t *testing.T) {
-	x := newRolling(t)
+func TestTargetServerErrorIsRetriedOnVersionInForce(t *testing.T) {
+	x := newRolloutFixture(t)
 	x.new.Next(server.Broken)
-	x.own(x.send("r", "/reads/1", ""), "r")
+	x.assertServed(x.send("r", "/reads/1", ""), "r")
 	assert.Equal(t, len(x.new.Runs()), 1)
 	assert.Equal(t, len(x.old.Runs()), 1)
 	all := x.attempts(t)
@@ -37,8 +37,8 @@
 
 // TestFailureOfTheTargetIsPassedOnIfNotRepeatable checks that what must not run twice
 // does not.
-func TestFailureOfTheTargetIsPassedOnIfNotRepeatable(t *testing.T) {
-	x := newRolling(t)
+func TestTargetServerErrorIsDeliveredIfNotRepeatable(t *testing.T) {
+	x := newRolloutFixture(t)
 	x.new.Next(server.Broken)
 	r := x.send("b", "/bids/1", "an offer")
 	assert.Equal(t, r.status, http.StatusInternalServerError)
@@ -49,9 +49,9 @@
 
 // TestFailureOfTheVersionInForceIsPassedOn checks that only a target's failures are tried
 // elsewhere.
-func TestFailureOfTheVersionInForceIsPassedOn(t *testing.T) {
-	x := newRolling(t)
-	x.target = false
+func TestVersionInForceServerErrorIsDelivered(t *testing.T) {
+	x := newRolloutFixture(t)
+	x.routesToTarget = false
 	x.old.Next(server.Broken)
 	assert.Equal(t, x.send("r", "/reads/1", "").status, http.StatusInternalServerError)
 	assert.Equal(t, len(x.runs()), 1)
@@ -59,18 +59,18 @@
 
 // TestFailureOfTheTargetStandsIfNothingElseIsHad checks each way in which the version in
 // force gives no answer.
-func TestFailureOfTheTargetStandsIfNothingElseIsHad(t *testing.T) {
-	for name, spoil := range map[string]func(x *rolling){
-		"lost":    func(x *rolling) { x.old.Next(server.Lost) },
-		"refused": func(x *rolling) { x.old.Next(server.Shed) },
-		"silent":  func(x *rolling) { x.old.Next(server.Silent) },
-		"absent":  func(x *rolling) { x.admit("v9", "v2") },
-		"one attempt": func(x *rolling) {
+func TestTargetServerErrorIsDeliveredIfRetryFails(t *testing.T) {
+	for name, spoil := range map[string]func(x *rolloutFixture){
+		"lost":    func(x *rolloutFixture) { x.old.Next(server.Lost) },
+		"refused": func(x *rolloutFixture) { x.old.Next(server.Shed) },
+		"silent":  func(x *rolloutFixture) { x.old.Next(server.Silent) },
+		"absent":  func(x *rolloutFixture) { x.setVersions("v9", "v2") },
+		"one attempt": func(x *rolloutFixture) {
 			x.config.Resources[version.Key{Kind: version.KindRoute, Name: "reads"}].Route.Attempts = 1
 			x.install()
 		},
 	} {
-		x := newRolling(t)
+		x := newRolloutFixture(t)
 		spoil(x)
 		x.new.Next(server.Broken)
 		r := x.send("r", "/reads/1", "")
@@ -85,7 +85,7 @@
 
 // TestBothVersionsFail checks that the failure of the version in force is the answer.
 func TestBothVersionsFail(t *testing.T) {
-	x := newRolling(t)
+	x := newRolloutFixture(t)
 	x.new.Next(server.Broken)
 	x.old.Next(server.Broken)
 	r := x.send("r", "/reads/1", "")
@@ -96,11 +96,11 @@
 
 // TestLateAnswersOfTheTargetAreDelivered checks an answer after the objective, and a
 // failure that stands when the time is over.
-func TestLateAnswersOfTheTargetAreDelivered(t *testing.T) {
-	x := newRolling(t)
+func TestLateTargetResponsesAreDelivered(t *testing.T) {
+	x := newRolloutFixture(t)
 	x.new.Work = 500 * time.Millisecond // of 600; the objective is 300
-	x.own(x.send("r", "/reads/1", ""), "r")
-	x = newRolling(t)
+	x.assertServed(x.send("r", "/reads/1", ""), "r")
+	x = newRolloutFixture(t)
 	x.new.Work = 450 * time.Millisecond
 	x.old.Work = 500 * time.Millisecond
 	x.new.Next(server.Broken)
@@ -112,10 +112,10 @@
 
 // TestRetriesForTheTargetStayWithinTheBudget checks that a target that always fails costs
 // no more retries than all faults together may, and that each caller has an answer.
-func TestRetriesForTheTargetStayWithinTheBudget(t *testing.T) {
+func TestTargetRetriesStayWithinBudget(t *testing.T) {
 	const requests, ratio = 60, 0.2
-	x := newRolling(t)
-	x.proxy.Retries.Ratio, x.proxy.Retries.Fixed = ratio, 0
+	x := newRolloutFixture(t)
+	x.proxy.RetryBudget.Ratio, x.proxy.RetryBudget.Fixed = ratio, 0
 	faults := make([]server.Fault, requests)
 	for i := range faults {
 		faults[i] = server.Broken
@@ -138,12 +138,12 @@
 
 // TestLargeAnswerCountsUntilItIsPassedOn checks that roll-outs are told when its beginning
 // is there, and that it is in flight at its version until the caller has it.
-func TestLargeAnswerCountsUntilItIsPassedOn(t *testing.T) {
+func TestStreamedResponseIsInFlightUntilDelivered(t *testing.T) {
 	const size = 3 << 20
 	rest := make(chan struct{})
 	sendRest := sync.OnceFunc(func() { close(rest) })
-	x := newRolling(t)
-	x.target = false
+	x := newRolloutFixture(t)
+	x.routesToTarget = false
 	old := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(request.OwnNames.ID, r.Header.Get(request.OwnNames.ID))
 		w.Header().Set("Content-Length", fmt.Sprint(size))
@@ -161,7 +161,7 @@
 	go func() { got <- x.send("r", "/reads/1", "") }()
 	for begun := time.Now(); ; time.Sleep(time.Millisecond) {
 		x.mu.Lock()
-		told := len(x.all) == 1 && len(x.all[0].outcomes) == 1
+		told := len(x.recorded) == 1 && len(x.recorded[0].outcomes) == 1
 		x.mu.Unlock()
 		if told {
 			break
@@ -169,13 +169,13 @@
 		assert.Assert(t, time.Since(begun) < 500*time.Millisecond)
 	}
 	assert.Equal(t, x.table.InFlight("s"), 1)
-	x.admit("v2", "")
+	x.setVersions("v2", "")
 	assert.Equal(t, x.table.InFlight("s"), 1, "also when its version has left")
 	sendRest()
 	r := <-got
 	assert.NilError(t, r.err)
 	assert.Equal(t, len(r.body), size)
-	x.idle()
+	x.awaitIdle()
 	assert.Equal(t, x.table.InFlight("s"), 0)
 	assert.Assert(t, !x.outcome().Failed)
 }
--- a/process/proxy/rollout_fixture_test.go
+++ b/process/proxy/rollout_fixture_test.go
@@ -20,16 +20,16 @@
 // recorder stands in for roll-outs: it sends requests to the target as it is told, and
 // keeps what it hears.
 type recorder struct {
-	target bool   // first attempts go to the target
-	brings string // the version that the roll-out brings
-	closed bool   // nothing may go to the version before: further attempts go there, too
+	routesToTarget bool   // first attempts go to the target
+	targetVersion  string // the version that the roll-out brings
+	previousClosed bool   // nothing may go to the version before: further attempts go there, too
 
-	mu  sync.Mutex
-	all []*recorded
+	mu       sync.Mutex
+	recorded []*recordedAttempt
 }
 
 // recorded is one attempt.
-type recorded struct {
+type recordedAttempt struct {
 	*recorder
 	service, route string
 	first, hasHome bool
@@ -38,44 +38,44 @@
 	outcomes       []rollout.Outcome
 }
 
-func (r *recorder) begin(service, route string, first bool, home func() (uint64, bool)) rolled {
+func (r *recorder) begin(service, route string, first bool, home func() (uint64, bool)) rolloutAttempt {
 	_, hasHome := home()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a := &recorded{recorder: r, service: service, route: route, first: first, hasHome: hasHome, toTarget: r.target && (first || r.closed)}
-	r.all = append(r.all, a)
+	a := &recordedAttempt{recorder: r, service: service, route: route, first: first, hasHome: hasHome, toTarget: r.routesToTarget && (first || r.previousClosed)}
+	r.recorded = append(r.recorded, a)
 	return a
 }
 
-func (a *recorded) Target() string {
+func (a *recordedAttempt) Target() string {
 	if a.toTarget {
-		return a.brings
+		return a.targetVersion
 	}
 	return ""
 }
 
-func (a *recorded) Decline(over bool) bool {
+func (a *recordedAttempt) Decline(over bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.declined++
-	return over || !a.closed
+	return over || !a.previousClosed
 }
 
-func (a *recorded) Done(o rollout.Outcome) {
+func (a *recordedAttempt) Done(o rollout.Outcome) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.outcomes = append(a.outcomes, o)
 }
 
 // attempts returns the attempts, each of which must have ended once.
-func (r *recorder) attempts(t testing.TB) []recorded {
+func (r *recorder) attempts(t testing.TB) []recordedAttempt {
 	t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []recorded
-	for _, a := range r.all {
+	var out []recordedAttempt
+	for _, a := range r.recorded {
 		assert.Equal(t, len(a.outcomes), 1, "%+v", a)
-		out = append(out, recorded{
+		out = append(out, recordedAttempt{
 			service: a.service, route: a.route, first: a.first, hasHome: a.hasHome, toTarget: a.toTarget,
 			declined: a.declined, outcomes: slices.Clone(a.outcomes),
 		})
@@ -85,7 +85,7 @@
 
 // rolling is a proxy before one backend server of the version in force and one of a
 // target that gets all first attempts.
-type rolling struct {
+type rolloutFixture struct {
 	*fixture
 	*recorder
 	old, new *server.Server
@@ -117,26 +117,26 @@
 	return out
 }
 
-func newRolling(t *testing.T) *rolling {
+func newRolloutFixture(t *testing.T) *rolloutFixture {
 	t.Helper()
 	f := newFixture(t, 2)
-	x := &rolling{fixture: f, recorder: &recorder{target: true}, old: f.backends[0], new: f.backends[1], log: &syncBuffer{}}
-	f.proxy.begin = x.begin
+	x := &rolloutFixture{fixture: f, recorder: &recorder{routesToTarget: true}, old: f.backends[0], new: f.backends[1], log: &syncBuffer{}}
+	f.proxy.beginRollout = x.begin
 	f.proxy.Log = logging.New(x.log)
 	x.software("u0", "v1")
 	x.software("u1", "v2")
-	x.admit("v1", "v2")
+	x.setVersions("v1", "v2")
 	return x
 }
 
-func (x *rolling) software(name, v string) {
+func (x *rolloutFixture) software(name, v string) {
 	x.config.Resources[version.Key{Kind: version.KindBackend, Name: name}].Backend.Software = v
 }
 
-func (x *rolling) admit(inForce, target string) {
+func (x *rolloutFixture) setVersions(inForce, target string) {
 	x.config.Software = map[string]version.Software{"s": {InForce: inForce, Target: target}}
 	if target != "" {
-		x.brings = target // else the roll-outs have not been told yet
+		x.targetVersion = target // else the roll-outs have not been told yet
 	}
 	x.install()
 }
@@ -149,10 +149,10 @@
 	return text.String()
 }
 
-func (f *fixture) retries() bool { return strings.Contains(f.metrics(), "retries_total") }
+func (f *fixture) hasRetries() bool { return strings.Contains(f.metrics(), "retries_total") }
 
 // outcome returns the outcome of the only attempt there was.
-func (x *rolling) outcome() rollout.Outcome {
+func (x *rolloutFixture) outcome() rollout.Outcome {
 	x.t.Helper()
 	all := x.attempts(x.t)
 	assert.Equal(x.t, len(all), 1)
--- a/process/proxy/rollout_test.go
+++ b/process/proxy/rollout_test.go
@@ -23,10 +23,10 @@
 )
 
 // TestFirstAttemptGoesToTheTarget checks one, and what roll-outs are told of it.
-func TestFirstAttemptGoesToTheTarget(t *testing.T) {
-	x := newRolling(t)
+func TestFirstAttemptUsesTarget(t *testing.T) {
+	x := newRolloutFixture(t)
 	x.new.First = 30 * time.Millisecond
-	x.own(x.send("r", "/reads/1", ""), "r")
+	x.assertServed(x.send("r", "/reads/1", ""), "r")
 	assert.Equal(t, len(x.new.Runs()), 1)
 	assert.Equal(t, len(x.old.Runs()), 0)
 	all := x.attempts(t)
@@ -36,23 +36,23 @@
 	o := x.outcome()
 	assert.Assert(t, !o.Failed && !o.Inconclusive && o.Unseen && !o.Cold)
 	assert.Assert(t, o.Took >= x.new.First && o.Took < 300*time.Millisecond, "%s", o.Took)
-	x.own(x.send("again", "/reads/1", ""), "again")
+	x.assertServed(x.send("again", "/reads/1", ""), "again")
 	assert.Assert(t, !x.attempts(t)[1].outcomes[0].Unseen)
 }
 
 // TestColdIsTold checks that an answer of a cold backend server is marked.
-func TestColdIsTold(t *testing.T) {
-	x := newRolling(t)
+func TestColdBackendIsMarkedInOutcome(t *testing.T) {
+	x := newRolloutFixture(t)
 	x.config.Resources[version.Key{Kind: version.KindBackend, Name: "u1"}].Backend.Cold = version.Duration(time.Minute)
 	x.install()
-	x.own(x.send("r", "/reads/1", ""), "r")
+	x.assertServed(x.send("r", "/reads/1", ""), "r")
 	assert.Assert(t, x.outcome().Cold)
 }
 
 // TestRequestWithoutObjectMayGoToAnyOfTheTarget sends one that names no object: a service
 // whose requests concern none has roll-outs, too.
-func TestRequestWithoutObjectMayGoToAnyOfTheTarget(t *testing.T) {
-	x := newRolling(t)
+func TestRequestWithoutObjectMayUseTarget(t *testing.T) {
+	x := newRolloutFixture(t)
 	rec := httptest.NewRecorder()
 	r := httptest.NewRequest(http.MethodGet, "/reads/1", nil)
 	r.Host = "a.example"
@@ -64,28 +64,28 @@
 
 // TestTargetThatCannotTakeItIsDeclined checks that a request for which the target has no
 // place goes to the version in force in the same attempt, whatever may be repeated.
-func TestTargetThatCannotTakeItIsDeclined(t *testing.T) {
-	for name, spoil := range map[string]func(x *rolling){
-		"absent": func(x *rolling) { x.admit("v1", "v9") },
-		"leaving": func(x *rolling) {
+func TestUnavailableTargetFallsBackToVersionInForce(t *testing.T) {
+	for name, spoil := range map[string]func(x *rolloutFixture){
+		"absent": func(x *rolloutFixture) { x.setVersions("v1", "v9") },
+		"leaving": func(x *rolloutFixture) {
 			x.config.Resources[version.Key{Kind: version.KindBackend, Name: "u1"}].Backend.Leaving = true
 			x.install()
 		},
-		"drained": func(x *rolling) {
+		"drained": func(x *rolloutFixture) {
 			x.put(version.Resource{Key: version.Key{Kind: version.KindDrain, Name: "d"}, Drain: &version.Drain{Backend: "u1"}})
 			x.install()
 		},
-		"ended": func(x *rolling) { x.admit("v1", "") },
+		"ended": func(x *rolloutFixture) { x.setVersions("v1", "") },
 	} {
-		x := newRolling(t)
+		x := newRolloutFixture(t)
 		spoil(x)
-		x.own(x.send("b", "/bids/1", "an offer"), "b")
+		x.assertServed(x.send("b", "/bids/1", "an offer"), "b")
 		all := x.attempts(t)
 		assert.Equal(t, len(all), 1, name)
 		assert.Equal(t, all[0].declined, 1, name)
 		assert.Assert(t, !all[0].outcomes[0].Failed && !all[0].outcomes[0].Inconclusive, name)
 		assert.Equal(t, len(x.old.Runs()), 1, name)
-		assert.Assert(t, !x.retries(), name)
+		assert.Assert(t, !x.hasRetries(), name)
 		lines := x.log.lines("answered")
 		assert.Equal(t, len(lines), 1)
 		for _, field := range []string{"attempts=1", "declined=true", "target=false", "software=v1"} {
@@ -96,16 +96,16 @@
 
 // TestNothingGoesToAVersionThatIsClosed checks that once an instance has said that it
 // sends nothing to the version before, a request that the target can't take is refused.
-func TestNothingGoesToAVersionThatIsClosed(t *testing.T) {
-	x := newRolling(t)
-	x.closed = true
-	x.admit("v1", "v9")
+func TestClosedVersionGetsNoRequests(t *testing.T) {
+	x := newRolloutFixture(t)
+	x.previousClosed = true
+	x.setVersions("v1", "v9")
 	r := x.send("b", "/bids/1", "an offer")
 	assert.Equal(t, r.status, http.StatusServiceUnavailable)
 	assert.Equal(t, r.header.Get(request.HeaderRan), string(request.RanNo))
 	assert.Equal(t, x.outcome(), rollout.Outcome{Inconclusive: true})
-	x = newRolling(t)
-	x.closed = true
+	x = newRolloutFixture(t)
+	x.previousClosed = true
 	x.new.Next(server.Broken)
 	assert.Equal(t, x.send("r", "/reads/1", "").status, http.StatusInternalServerError)
 	assert.Equal(t, len(x.old.Runs()), 0)
@@ -119,12 +119,12 @@
 // the old roll-out, which may go nowhere else. What proved it are the refusals' times:
 // after the table was installed and before the record was noted, both at the instance
 // that wrote it. The same gap refuses requests as a roll-out is reverted.
-func TestEndOfARolloutRefusesNobody(t *testing.T) {
+func TestEndOfRolloutRefusesNoRequests(t *testing.T) {
 	for name, inForce := range map[string]string{"completed": "v2", "reverted": "v1"} {
-		x := newRolling(t)
-		x.closed = true // the roll-outs have not been told yet
-		x.admit(inForce, "")
-		x.own(x.send("b", "/bids/1", "an offer"), "b")
+		x := newRolloutFixture(t)
+		x.previousClosed = true // the roll-outs have not been told yet
+		x.setVersions(inForce, "")
+		x.assertServed(x.send("b", "/bids/1", "an offer"), "b")
 		lines := x.log.lines("answered")
 		assert.Equal(t, len(lines), 1, name)
 		assert.Assert(t, strings.Contains(lines[0], "software="+inForce), "%s: %s", name, lines[0])
@@ -132,9 +132,9 @@
 }
 
 // TestNoPlaceAtEitherVersionIsUnsent checks a request that nobody can take.
-func TestNoPlaceAtEitherVersionIsUnsent(t *testing.T) {
-	x := newRolling(t)
-	x.admit("v8", "v9")
+func TestNoCapacityAtEitherVersionIsInconclusive(t *testing.T) {
+	x := newRolloutFixture(t)
+	x.setVersions("v8", "v9")
 	assert.Equal(t, x.send("r", "/reads/1", "").status, http.StatusServiceUnavailable)
 	assert.Equal(t, x.outcome(), rollout.Outcome{Inconclusive: true})
 }
@@ -159,7 +159,7 @@
 		{"misdirected", server.Moved, true, false, 200, 2},
 		{"refused", server.Shed, false, true, 200, 2},
 	} {
-		x := newRolling(t)
+		x := newRolloutFixture(t)
 		x.new.Next(c.fault)
 		r := x.send("b", "/bids/1", "an offer")
 		assert.Equal(t, r.status, c.status, c.name)
@@ -176,7 +176,7 @@
 }
 
 // answering starts a backend server that answers each request with a text.
-func answering(t *testing.T, text func(id string) string) string {
+func startScriptedBackend(t *testing.T, text func(id string) string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -202,18 +202,18 @@
 }
 
 // at puts the target's backend server at another address.
-func (x *rolling) at(address string) {
+func (x *rolloutFixture) moveTarget(address string) {
 	x.backend("u1", address)
 	x.software("u1", "v2")
 	x.install()
 }
 
 // TestForeignAnswerIsAFailure checks a target that answers other requests than were sent.
-func TestForeignAnswerIsAFailure(t *testing.T) {
-	x := newRolling(t)
-	x.at(answering(t, func(string) string {
+func TestMismatchedResponsesAreFailure(t *testing.T) {
+	x := newRolloutFixture(t)
+	x.moveTarget(startScriptedBackend(t, func(string) string {
 		one := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: other\r\nContent-Length: 0\r\n\r\n", request.OwnNames.ID)
-		return strings.Repeat(one, maxForeign+1)
+		return strings.Repeat(one, maxMismatchedResponses+1)
 	}))
 	assert.Equal(t, x.send("b", "/bids/1", "an offer").status, http.StatusBadGateway)
 	assert.Assert(t, x.outcome().Failed)
@@ -221,13 +221,13 @@
 
 // TestUnreachableTargetIsUnsent checks that nothing is held against a target to which
 // no connection can be opened, and that the request is served.
-func TestUnreachableTargetIsUnsent(t *testing.T) {
-	x := newRolling(t)
+func TestUnreachableTargetIsInconclusive(t *testing.T) {
+	x := newRolloutFixture(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	assert.NilError(t, l.Close())
-	x.at(l.Addr().String())
-	x.own(x.send("b", "/bids/1", "an offer"), "b")
+	x.moveTarget(l.Addr().String())
+	x.assertServed(x.send("b", "/bids/1", "an offer"), "b")
 	all := x.attempts(t)
 	assert.Equal(t, len(all), 2)
 	assert.Equal(t, all[0].outcomes[0], rollout.Outcome{Inconclusive: true})
@@ -236,16 +236,16 @@
 
 // TestCallerThatLeavesTellsNothingOfTheTarget checks one that leaves while the target
 // works.
-func TestCallerThatLeavesTellsNothingOfTheTarget(t *testing.T) {
-	x := newRolling(t)
+func TestCallerDisconnectIsInconclusive(t *testing.T) {
+	x := newRolloutFixture(t)
 	x.new.Work = 400 * time.Millisecond
-	x.leave("r", 50*time.Millisecond)
-	x.idle()
+	x.sendAndAbandon("r", 50*time.Millisecond)
+	x.awaitIdle()
 	assert.Equal(t, x.outcome(), rollout.Outcome{Inconclusive: true})
 }
 
 // sendWithin sends a read with a deadline of the caller's own.
-func (x *rolling) sendWithin(id string, left time.Duration) int {
+func (x *rolloutFixture) sendWithDeadline(id string, left time.Duration) int {
 	x.t.Helper()
 	req, err := http.NewRequest(http.MethodGet, x.front.URL+"/reads/1", nil)
 	assert.NilError(x.t, err)
@@ -261,32 +261,32 @@
 
 // TestDeadlineOfTheCallerTellsNothingIfItIsShort checks a deadline of the caller's below
 // and one above what answers usually take, at a target that is silent.
-func TestDeadlineOfTheCallerTellsNothingIfItIsShort(t *testing.T) {
-	x := newRolling(t)
+func TestShortCallerDeadlineIsInconclusive(t *testing.T) {
+	x := newRolloutFixture(t)
 	x.new.Next(server.Silent, server.Silent)
 	x.new.Work = 0
-	assert.Equal(t, x.sendWithin("short", 100*time.Millisecond), http.StatusGatewayTimeout)
+	assert.Equal(t, x.sendWithDeadline("short", 100*time.Millisecond), http.StatusGatewayTimeout)
 	assert.Assert(t, x.outcome().Inconclusive, "the first work is taken to need more")
-	x = newRolling(t)
+	x = newRolloutFixture(t)
 	for i := range 30 { // so that the usual work is known, and the object seen
 		id := fmt.Sprint("w", i)
-		x.own(x.send(id, "/reads/1", ""), id)
+		x.assertServed(x.send(id, "/reads/1", ""), id)
 	}
 	x.new.Next(server.Silent)
-	assert.Equal(t, x.sendWithin("long", 300*time.Millisecond), http.StatusGatewayTimeout)
+	assert.Equal(t, x.sendWithDeadline("long", 300*time.Millisecond), http.StatusGatewayTimeout)
 	all := x.attempts(t)
 	assert.Equal(t, len(all), 31)
 	assert.Assert(t, all[30].outcomes[0].Failed)
 }
 
 // TestVersionIsLoggedAndMeasured checks the fields of the lines and the metrics.
-func TestVersionIsLoggedAndMeasured(t *testing.T) {
-	x := newRolling(t)
-	x.own(x.send("r1", "/reads/1", ""), "r1")
+func TestVersionIsLoggedAndCounted(t *testing.T) {
+	x := newRolloutFixture(t)
+	x.assertServed(x.send("r1", "/reads/1", ""), "r1")
 	x.new.Next(server.Lost)
-	x.own(x.send("r2", "/reads/1", ""), "r2")
+	x.assertServed(x.send("r2", "/reads/1", ""), "r2")
 	x.new.Next(server.Shed)
-	x.own(x.send("r3", "/reads/1", ""), "r3")
+	x.assertServed(x.send("r3", "/reads/1", ""), "r3")
 	for event, fields := range map[string][]string{
 		"answered":        {"software=v2", "target=true", "declined=false"},
 		"answer-lost":     {"software=v2", "target=true"},
@@ -312,10 +312,10 @@
 
 // TestRolloutsDecideOnRequests lets the roll-outs of an instance that is alone decide, on
 // a clock that the requests move, and checks that the target gets some, within its share.
-func TestRolloutsDecideOnRequests(t *testing.T) {
+func TestRolloutShareBoundsTargetRequests(t *testing.T) {
 	const requests, share, slack = 300, 0.2, 10
-	x := newRolling(t)
-	x.proxy.begin = nil
+	x := newRolloutFixture(t)
+	x.proxy.beginRollout = nil
 	now := time.Hour
 	x.proxy.Rollouts = &rollout.Rollouts{
 		Now: func() time.Duration { return now }, Bounds: rollout.Bounds{Share: share, Slack: slack, StopWithin: 2 * time.Second},
@@ -334,7 +334,7 @@
 		now += 20 * time.Millisecond
 		x.proxy.Rollouts.Tick()
 		id := fmt.Sprint("r", i)
-		x.own(x.send(id, "/bids/1", "an offer"), id)
+		x.assertServed(x.send(id, "/bids/1", "an offer"), id)
 	}
 	at := len(x.new.Runs())
 	assert.Assert(t, at > 0 && float64(at) <= share*requests+slack, "%d of %d", at, requests)
@@ -349,13 +349,13 @@
 	f.proxy.Rollouts = &rollout.Rollouts{}
 	routing := f.table.Routing()
 	c := &call{route: routing.Route("a.example", "/reads/1"), service: "s"}
-	t := &trial{p: f.proxy, c: c, query: balance.Query{Route: c.route, Object: 7}}
+	t := &transaction{p: f.proxy, c: c, query: balance.Query{Route: c.route, Object: 7}}
 	pick := &balance.Pick{Software: "v1"}
 	b.ReportAllocs()
 	for b.Loop() {
-		t.begun = false
-		t.begin()
-		t.query.Target = t.rolled.Target()
-		t.over(pick, rollout.Outcome{Took: time.Millisecond})
+		t.attempted = false
+		t.beginAttempt()
+		t.query.Target = t.rolloutAttempt.Target()
+		t.reportOutcome(pick, rollout.Outcome{Took: time.Millisecond})
 	}
 }
--- a/process/proxy/suspend_test.go
+++ b/process/proxy/suspend_test.go
@@ -22,7 +22,7 @@
 // its caller had given up. Proof: here the clock that goes on jumps, and the other does not.
 
 // suspendable lets the clock that goes on while the machine is suspended jump.
-func (f *fixture) suspendable() (suspend func(time.Duration)) {
+func (f *fixture) simulateSuspension() (suspend func(time.Duration)) {
 	var jumped atomic.Int64
 	now := f.proxy.Now
 	f.proxy.Now = func() time.Duration { return now() + time.Duration(jumped.Load()) }
@@ -33,20 +33,20 @@
 // TestRequestThatAgedInASuspensionEnds checks that a request whose time passed while the
 // machine was suspended gets its final answer as soon as that is known, and one that has time
 // left does not.
-func TestRequestThatAgedInASuspensionEnds(t *testing.T) {
+func TestRequestExpiredDuringSuspensionIsCancelled(t *testing.T) {
 	f := newFixture(t, 1)
-	suspend := f.suspendable()
+	suspend := f.simulateSuspension()
 	f.backends[0].Work = 250 * time.Millisecond
 	go func() {
 		time.Sleep(50 * time.Millisecond)
 		suspend(200 * time.Millisecond)
-		f.proxy.EndLapsed()
+		f.proxy.CancelExpired()
 	}()
-	f.own(f.send("younger", "/reads/1", ""), "younger")
+	f.assertServed(f.send("younger", "/reads/1", ""), "younger")
 	go func() {
 		time.Sleep(50 * time.Millisecond)
 		suspend(5 * time.Second)
-		f.proxy.EndLapsed()
+		f.proxy.CancelExpired()
 	}()
 	r := f.send("lapsed", "/bids/1", "body")
 	assert.Equal(t, r.status, http.StatusGatewayTimeout)
@@ -55,9 +55,9 @@
 
 // TestNothingIsSentOnForARequestThatAged checks that a request that was refused while the
 // machine was suspended is sent to no further backend server, and says that it has not run.
-func TestNothingIsSentOnForARequestThatAged(t *testing.T) {
+func TestRequestExpiredDuringSuspensionIsNotRetried(t *testing.T) {
 	f := newFixture(t, 2)
-	suspend := f.suspendable()
+	suspend := f.simulateSuspension()
 	for _, s := range f.backends {
 		s.Next(server.ShedLate)
 	}
@@ -70,9 +70,9 @@
 
 // TestBackendIsToldTheTimeThatIsLeft checks that a suspension comes off the time that a
 // backend server is told.
-func TestBackendIsToldTheTimeThatIsLeft(t *testing.T) {
+func TestForwardedDeadlineExcludesSuspension(t *testing.T) {
 	f := newFixture(t, 2)
-	suspend := f.suspendable()
+	suspend := f.simulateSuspension()
 	for _, s := range f.backends {
 		s.Next(server.ShedLate)
 	}
@@ -82,7 +82,7 @@
 			s.Next()
 		}
 	})
-	f.own(f.send("told", "/reads/1", ""), "told")
+	f.assertServed(f.send("told", "/reads/1", ""), "told")
 	runs := f.runs()
 	assert.Equal(t, len(runs), 1)
 	left, err := strconv.Atoi(runs[0].Header.Get(request.OwnNames.Deadline))
--- a/request/fingerprint_test.go
+++ b/request/fingerprint_test.go
@@ -12,7 +12,7 @@
 
 // TestFingerprintsTellRequestsApart checks that each part counts, and that none runs into
 // the next.
-func TestFingerprintsTellRequestsApart(t *testing.T) {
+func TestFingerprintsDifferPerRequest(t *testing.T) {
 	of := func(workspace, host, method, target, body string) Fingerprint {
 		return FingerprintOf(workspace, host, method, target, []byte(body), int64(len(body)))
 	}
@@ -33,7 +33,7 @@
 }
 
 // TestFingerprintsAreReadBack checks that what operators write names the same request.
-func TestFingerprintsAreReadBack(t *testing.T) {
+func TestFingerprintRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := Fingerprint(rapid.Uint64().Draw(t, "fingerprint"))
 		got, err := ParseFingerprint(f.String())
--- a/request/notice_test.go
+++ b/request/notice_test.go
@@ -36,8 +36,8 @@
 		"a date":                       {503, head("Retry-After", "Fri, 31 Dec 2027 23:59:59 GMT"), Notice{}},
 		"below zero":                   {503, head("Retry-After", "-4"), Notice{}},
 		"no number":                    {503, head("Retry-After", "NaN"), Notice{}},
-		"without end":                  {503, head("Retry-After", "+Inf"), Notice{RetryAfter: mostRetryAfter}},
-		"too large for a time":         {503, head("Retry-After", "1e300"), Notice{RetryAfter: mostRetryAfter}},
+		"without end":                  {503, head("Retry-After", "+Inf"), Notice{RetryAfter: maxRetryAfter}},
+		"too large for a time":         {503, head("Retry-After", "1e300"), Notice{RetryAfter: maxRetryAfter}},
 	} {
 		assert.Equal(t, OwnNames.Notice(x.status, x.head), x.want, name)
 	}
@@ -52,6 +52,6 @@
 		h.Set("Retry-After", after)
 		h.Set(OwnNames.Leaving, leaving)
 		n := OwnNames.Notice(status, h)
-		assert.Assert(t, n.RetryAfter >= 0 && n.RetryAfter <= mostRetryAfter)
+		assert.Assert(t, n.RetryAfter >= 0 && n.RetryAfter <= maxRetryAfter)
 	})
 }
--- a/request/ratelimit_test.go
+++ b/request/ratelimit_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestRateLimitIsRead(t *testing.T) {
+func TestRateLimit(t *testing.T) {
 	names := Names{Limit: "Limit"}
 	for _, c := range []struct {
 		values []string
--- a/request/result.go
+++ b/request/result.go
@@ -134,7 +134,7 @@
 
 // NoPlace reports whether the code says that there was no room for a request,
 // so that it was not sent at all.
-func (c Code) NoPlace() bool {
+func (c Code) NoCapacity() bool {
 	return c == QueueFull || c == DeadlineNear || c == NoBackend
 }
 
--- a/request/result_test.go
+++ b/request/result_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestResultSurvivesTheWire(t *testing.T) {
+func TestResultHeaderRoundTrip(t *testing.T) {
 	for _, r := range []Result{NotRun(QueueFull, 1500*time.Millisecond), Unknown(AnswerLost)} {
 		w := httptest.NewRecorder()
 		r.Write(w)
