--- a/process/proxy/account_test.go
+++ b/process/proxy/account_test.go
@@ -21,13 +21,13 @@
 	"shalewick/standin/server"
 )
 
-// What follows holds what callers are told against what backend servers did.
+// The tests in this file compare what callers receive with what backend servers did.
 
-// TestLateAnswerIsPassedOn checks that an answer that comes after the objective,
-// with little of the route's time left, is the caller's.
+// TestLateResponseIsDelivered checks that a response after the objective, with little of the
+// route's timeout left, still reaches the caller.
 func TestLateResponseIsDelivered(t *testing.T) {
 	f := newFixture(t, 1)
-	f.backends[0].Work = 520 * time.Millisecond // of 600; the objective is 300
+	f.backends[0].Work = 520 * time.Millisecond // the route's timeout is 600 ms, its objective 300 ms
 	for i, path := range []string{"/reads/1", "/bids/1"} {
 		id := fmt.Sprint("x", i)
 		f.assertServed(f.send(id, path, "body"), id)
@@ -35,8 +35,8 @@
 	assert.Equal(t, len(f.runs()), 2)
 }
 
-// TestOwnFailureOfABackendIsPassedOn checks that a backend server's failure reaches
-// the caller as it is, and is neither replaced nor tried elsewhere.
+// TestBackendServerErrorIsDeliveredUnchanged checks that a backend server's own 500 reaches the
+// caller unchanged, and is neither replaced nor retried.
 func TestBackendServerErrorIsDeliveredUnchanged(t *testing.T) {
 	for _, path := range []string{"/reads/1", "/bids/1"} {
 		f := newFixture(t, 2)
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestRefusalThatComesLateIsTrue checks that a request that backend servers refuse only
-// after a while is tried elsewhere, or refused as one that has not run.
+// TestLateRefusalIsRetriedOrReportedNotRun checks that a request that a backend server refuses only
+// after a while is retried on another one, or refused as not run.
 func TestLateRefusalIsRetriedOrReportedNotRun(t *testing.T) {
 	f := newFixture(t, 2)
 	f.failFirstBackend(server.ShedLate)
@@ -69,12 +69,12 @@
 	}
 }
 
-// TestNothingIsSentWithoutTimeToBeServed checks that a request with less time than
-// backend servers need is refused at once, and has not run.
+// TestTooShortDeadlineIsRefusedImmediately checks that a request whose remaining time is less than
+// backend servers need is refused immediately, without having run.
 func TestTooShortDeadlineIsRefusedImmediately(t *testing.T) {
 	f := newFixture(t, 1)
 	f.backends[0].Work = 100 * time.Millisecond
-	for i := range 25 { // so that the usual work is known
+	for i := range 25 { // warm up the estimate of the usual processing time
 		id := fmt.Sprint("w", i)
 		f.assertServed(f.send(id, "/reads/1", ""), id)
 	}
@@ -85,23 +85,23 @@
 	req.Header.Set(request.OwnNames.ID, "x")
 	req.Header.Set(request.OwnNames.Affinity, "7")
 	req.Header.Set(request.OwnNames.Deadline, "60")
-	begun := time.Now()
+	start := time.Now()
 	res, err := http.DefaultClient.Do(req)
 	assert.NilError(t, err)
 	res.Body.Close()
 	assert.Equal(t, res.StatusCode, http.StatusServiceUnavailable)
 	assert.Equal(t, res.Header.Get(request.HeaderResult), request.DeadlineNear.String())
 	assert.Equal(t, res.Header.Get(request.HeaderRan), string(request.RanNo))
-	assert.Assert(t, time.Since(begun) < 50*time.Millisecond)
+	assert.Assert(t, time.Since(start) < 50*time.Millisecond)
 	assert.Equal(t, len(f.runs()), ran)
 }
 
-// TestDeadConnectionIsNoLostAnswer checks that a connection whose peer
-// acknowledges nothing any more counts as a backend server that can't be reached.
+// TestUserTimeoutCountsAsUnreachable checks that a connection whose peer no longer acknowledges
+// anything counts as an unreachable backend server, not as a lost response.
 func TestUserTimeoutCountsAsUnreachable(t *testing.T) {
 	timedOut := &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", syscall.ETIMEDOUT)}
-	dead := &conn.DispatchError{Sent: true, Err: errors.Annotate(timedOut, "read answer")}
-	assert.Equal(t, outcomeOf(dead), balance.Unreachable)
+	unacknowledged := &conn.DispatchError{Sent: true, Err: errors.Annotate(timedOut, "read answer")}
+	assert.Equal(t, outcomeOf(unacknowledged), balance.Unreachable)
 	late := &conn.DispatchError{Sent: true, Err: errors.Annotate(os.ErrDeadlineExceeded, "read answer")}
 	assert.Equal(t, outcomeOf(late), balance.Lost)
 	assert.Equal(t, outcomeOf(io.ErrUnexpectedEOF), balance.Lost)
--- a/process/proxy/answer.go
+++ b/process/proxy/answer.go
@@ -15,30 +15,30 @@
 	"shalewick/request"
 )
 
-// relay passes an answer on. One that is cut short breaks the caller's
-// connection off, so that it never looks whole.
-func (p *Proxy) relay(c *call, a *response) {
+// relay sends a response to the caller. If the response is cut short, relay aborts the caller's
+// connection, so that the caller does not take it for complete.
+func (p *Proxy) relay(c *call, resp *response) {
 	h := c.w.Header()
-	for k, vs := range request.Forwardable(a.res.Header) {
+	for k, vs := range request.Forwardable(resp.res.Header) {
 		h[k] = vs
 	}
-	if a.ex == nil && request.BodyAllowed(c.r.Method, a.res.StatusCode) {
-		h.Set("Content-Length", strconv.Itoa(len(a.buffered)))
+	if resp.ex == nil && request.BodyAllowed(c.r.Method, resp.res.StatusCode) {
+		h.Set("Content-Length", strconv.Itoa(len(resp.buffered)))
 	}
 	if p.keepAlivesDisabled.Load() {
 		h.Set("Connection", "close")
 	}
-	c.w.WriteHeader(a.res.StatusCode)
-	p.bytesCarried.Add(max(int64(len(a.buffered)), a.res.ContentLength))
-	err := c.writeBuffered(a.buffered)
-	held.ReleaseBuffer(a.buffered)
-	a.buffered = nil
-	if a.ex != nil {
+	c.w.WriteHeader(resp.res.StatusCode)
+	p.bytesCarried.Add(max(int64(len(resp.buffered)), resp.res.ContentLength))
+	err := c.writeBuffered(resp.buffered)
+	held.ReleaseBuffer(resp.buffered)
+	resp.buffered = nil
+	if resp.ex != nil {
 		if err == nil {
 			c.lease.Free(held.Responses)
-			err = c.streamRest(a.ex)
+			err = c.streamRest(resp.ex)
 		}
-		a.close()
+		resp.close()
 	}
 	code := request.OK
 	if err != nil {
@@ -49,17 +49,17 @@
 	}
 	took := time.Since(c.startedAt)
 	p.recordMetrics(c, c.route.Class, code, took)
-	end := metric.EndInTime
+	outcome := metric.EndInTime
 	if took > time.Duration(c.route.Objective) {
-		end = metric.EndLate
+		outcome = metric.EndLate
 	}
-	p.Metrics.Noticed(c.service, c.notices, end)
-	if err != nil && a.ex != nil {
+	p.Metrics.Noticed(c.service, c.notices, outcome)
+	if err != nil && resp.ex != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// measure counts the end of a request.
+// recordMetrics records the end of a request in the metrics.
 func (p *Proxy) recordMetrics(c *call, class request.Class, code request.Code, took time.Duration) {
 	p.Metrics.Request(c.service, class, code, took)
 	if c.workspace != nil {
@@ -67,8 +67,8 @@
 	}
 }
 
-// finish answers with a result. What may have run never gets a status that
-// promises that it has not.
+// writeResult ends the request with a result. A request that may have run never gets status 503,
+// which guarantees that it has not.
 func (p *Proxy) writeResult(c *call, res *request.Result) {
 	class := request.ClassInvalid
 	if c.route != nil {
@@ -84,23 +84,23 @@
 	if res.Ran == request.RanNo && status >= http.StatusInternalServerError {
 		status = http.StatusServiceUnavailable
 	}
-	end := metric.EndFailed
+	outcome := metric.EndFailed
 	if res.Ran == request.RanNo {
-		end = metric.EndRefused
+		outcome = metric.EndRefused
 	}
-	p.Metrics.Noticed(c.service, c.notices, end)
+	p.Metrics.Noticed(c.service, c.notices, outcome)
 	h := c.w.Header()
 	h.Set(request.HeaderResult, res.Code.String())
 	h.Set(request.HeaderRan, string(res.Ran))
-	comeBack := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
-	if res.Retry > 0 && comeBack {
+	retryable := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
+	if res.Retry > 0 && retryable {
 		h.Set("Retry-After", fmt.Sprintf("%.3f", res.Retry.Seconds()))
 	}
 	h.Set("Content-Length", "0")
 	c.w.WriteHeader(status)
 }
 
-// logRefusal writes the line of a request that ends with an answer of our own.
+// logRefusal logs a request that is answered by the proxy itself.
 func (p *Proxy) logRefusal(c *call, res *request.Result, class request.Class, took time.Duration) {
 	e := p.Log.Info().Str("id", c.id).Str("service", c.service).Str("class", class.String()).Str("workspace", c.workspaceName()).Int("code", int(res.Code)).
 		Str("result", res.Code.Info().Name).Str("ran", string(res.Ran)).Int("attempts", c.attempts).
--- a/process/proxy/attempt.go
+++ b/process/proxy/attempt.go
@@ -18,84 +18,84 @@
 	"shalewick/request"
 )
 
-// answer is a backend server's answer. Either whole has all of the body, or its beginning,
-// and the rest is still to be read from the exchange.
+// response is a backend server's response. It is either fully buffered, or its beginning is
+// buffered and the rest is still to be read from the exchange.
 type response struct {
 	pick       *balance.Pick
-	fromTarget bool // it was chosen among a roll-out's target
+	fromTarget bool // the backend server runs the target version of a roll-out
 	notice     request.Notice
-	rateLimit  float64 // the rate limit that it names, in requests a second; zero: none
+	rateLimit  float64 // the rate limit that the backend server reports, in requests a second; zero if it reports none
 	res        *http.Response
 	buffered   []byte
-	ex         *conn.Exchange // nil when whole has all
+	ex         *conn.Exchange // nil if the whole response is buffered
 }
 
-// close ends the exchange of an answer whose rest was still to be read.
-func (a *response) close() {
-	a.ex.Close()
-	a.pick.Release()
+// close ends the exchange of a response that was not fully buffered.
+func (r *response) close() {
+	r.ex.Close()
+	r.pick.Release()
 }
 
-// trial is the course of the attempts at one request.
+// transaction runs the attempts of one request.
 type transaction struct {
 	p     *Proxy
 	c     *call
 	query balance.Query
-	// mayHaveRun is set once a byte has left for a backend server that has not said
-	// that it did not run the request.
+	// mayHaveRun is set once a byte was sent to a backend server that did not reply that it has not
+	// run the request.
 	mayHaveRun bool
-	// rolled is the present attempt as roll-outs see it.
+	// rolloutAttempt represents the current attempt to the roll-outs.
 	rolloutAttempt rolloutAttempt
-	attempted      bool // an attempt has begun
-	// permit is as of when a permit for the present attempt holds; zero: it has none. SentAt is
-	// when the attempt was sent at the earliest, by the proxy's clock.
+	attempted      bool // at least one attempt has begun
+	// permitFrom is the time from which the permit of the current attempt is valid; zero if it has
+	// none. SentAt is the earliest time at which the attempt was sent. Both are readings of the
+	// proxy's clock.
 	permitFrom, sentAt time.Duration
-	// declined is set if a roll-out's target could not take the request.
+	// targetDeclined is set if the target of a roll-out could not take the request.
 	targetDeclined bool
 }
 
-// run makes attempts until one has an answer or no further one is safe.
+// run makes attempts until one gets a response or no further one is safe.
 func (p *Proxy) run(ctx context.Context, c *call) (*response, *request.Result) {
 	part := p.Table.Split(c.route)
 	c.service = c.route.Split[part].Service
 	t := &transaction{p: p, c: c, query: balance.Query{Route: c.route, Part: part, Priority: c.priority(), Object: p.objectHash(c)}}
 	p.RetryBudget.Request(c.service, p.Now())
-	a, res := t.runAttempts(ctx)
-	if a != nil {
-		t.logResponse(a)
+	resp, res := t.runAttempts(ctx)
+	if resp != nil {
+		t.logResponse(resp)
 	}
-	return a, res
+	return resp, res
 }
 
-// untilAnswered makes the attempts.
+// runAttempts makes the attempts.
 func (t *transaction) runAttempts(ctx context.Context) (*response, *request.Result) {
-	a, res := t.attempt(ctx)
-	if a != nil {
-		return t.retryTargetFailure(ctx, a), nil
+	resp, res := t.attempt(ctx)
+	if resp != nil {
+		return t.retryTargetFailure(ctx, resp), nil
 	}
 	for t.shouldRetry(ctx, res) {
 		t.logRetry(func(e *zerolog.Event) { e.Int("code", int(res.Code)).Str("result", res.Code.Info().Name) })
-		a, ended := t.attempt(ctx)
-		if a != nil {
-			return a, nil
+		resp, next := t.attempt(ctx)
+		if resp != nil {
+			return resp, nil
 		}
-		if ended.Code.NoCapacity() {
-			return nil, res // the end of the attempt before tells more
+		if next.Code.NoCapacity() {
+			return nil, res // the result of the previous attempt is more specific
 		}
-		res = ended
+		res = next
 	}
 	return nil, res
 }
 
-// triedAgain counts a further attempt and writes its line, with what ended the one
-// before.
-func (t *transaction) logRetry(ended func(*zerolog.Event)) {
+// logRetry counts and logs a retry. The cause adds fields on what ended the previous attempt.
+func (t *transaction) logRetry(cause func(*zerolog.Event)) {
 	t.p.Metrics.Retry(t.c.service)
-	t.p.Log.Info().Str("id", t.c.id).Str("service", t.c.service).Str("request", t.c.fingerprint.String()).Strs("tried", t.query.Tried).Func(ended).
+	t.p.Log.Info().Str("id", t.c.id).Str("service", t.c.service).Str("request", t.c.fingerprint.String()).Strs("tried", t.query.Tried).Func(cause).
 		Dur("took", time.Since(t.c.startedAt)).Msg("tried-again")
 }
 
-// another reports whether a further attempt is safe, allowed and of use.
+// shouldRetry reports whether a further attempt is safe, permitted, and may succeed.
 func (t *transaction) shouldRetry(ctx context.Context, res *request.Result) bool {
 	if res.Code.NoCapacity() || res.Code == request.TooLarge || res.Code == request.CallerGone {
 		return false
@@ -103,8 +103,8 @@
 	return t.retryAllowed(ctx)
 }
 
-// allowed reports whether a further attempt is safe, within what the route allows, and
-// within the budget of retries, from which it is taken.
+// retryAllowed reports whether a further attempt is safe and within the limits of the route. It
+// takes the attempt from the retry budget.
 func (t *transaction) retryAllowed(ctx context.Context) bool {
 	if ctx.Err() != nil || t.c.timeLeft() < minAttemptTime {
 		return false
@@ -113,7 +113,7 @@
 		return false
 	}
 	if t.p.isQuarantined(t.c) {
-		return false // it went into quarantine meanwhile
+		return false // the request was quarantined in the meantime
 	}
 	if len(t.query.Tried) >= maxBackendsTried || t.c.attempts >= t.c.route.Attempts {
 		return false
@@ -122,10 +122,10 @@
 }
 
 const (
-	// leastAttempt is the time below which no further attempt is made.
+	// minAttemptTime is the least remaining time for which another attempt is made.
 	minAttemptTime = 30 * time.Millisecond
-	// maxTries bounds the backend servers that are tried, connections that could not
-	// be opened included.
+	// maxBackendsTried bounds the backend servers that are tried for one request, including those
+	// to which no connection could be opened.
 	maxBackendsTried = 4
 	minRetryAfter    = 150 * time.Millisecond
 )
@@ -155,7 +155,7 @@
 	return t.readResponse(ctx, ex, pick, sent)
 }
 
-// read takes in the answer to an attempt that was sent at a time.
+// readResponse reads the response to an attempt that was sent at the given time.
 func (t *transaction) readResponse(ctx context.Context, ex *conn.Exchange, pick *balance.Pick, sent time.Time) (*response, *request.Result) {
 	names := &t.p.Names
 	for range maxMismatchedResponses {
@@ -167,57 +167,57 @@
 			return nil, t.exchangeLost(ctx, pick, err, sent)
 		}
 	}
-	h := ex.Response.Header
-	if h.Get(names.ID) != t.c.id && ex.Response.StatusCode != http.StatusMisdirectedRequest {
+	header := ex.Response.Header
+	if header.Get(names.ID) != t.c.id && ex.Response.StatusCode != http.StatusMisdirectedRequest {
 		ex.Response.Close = true
 		ex.Close()
-		return nil, t.exchangeLost(ctx, pick, errors.New("answers to other requests"), sent)
+		return nil, t.exchangeLost(ctx, pick, errors.New("responses to other requests"), sent)
 	}
 	notice := t.applyNotice(ex.Response, pick)
 	limit := t.applyRateLimit(ex.Response, pick)
-	if h.Get(names.NotRun) != "" || ex.Response.StatusCode == http.StatusMisdirectedRequest {
+	if header.Get(names.NotRun) != "" || ex.Response.StatusCode == http.StatusMisdirectedRequest {
 		return nil, t.backendRefused(ex, pick, notice, limit)
 	}
-	headTook := time.Since(sent)
-	a, err := bufferResponse(ex, t.c.lease)
+	headerTime := time.Since(sent)
+	resp, err := bufferResponse(ex, t.c.lease)
 	if err != nil {
 		return nil, t.exchangeLost(ctx, pick, err, sent)
 	}
-	a.pick, a.fromTarget, a.notice, a.rateLimit = pick, t.query.Target != "", notice, limit
+	resp.pick, resp.fromTarget, resp.notice, resp.rateLimit = pick, t.query.Target != "", notice, limit
 	t.c.possibleRuns++
 	took := time.Since(sent)
-	if a.ex != nil {
+	if resp.ex != nil {
 		pick.Hold()
-		took = headTook
+		took = headerTime
 	}
-	pick.Done(balance.Answered, t.loadReport(h, pick))
-	t.reportResponse(a, took)
+	pick.Done(balance.Answered, t.loadReport(header, pick))
+	t.reportResponse(resp, took)
 	if t.p.Quarantine != nil {
 		t.p.Quarantine.Answered(t.c.fingerprint)
 	}
 	if t.p.OnResponse != nil {
-		t.p.OnResponse(pick.Name, h, time.Since(sent))
+		t.p.OnResponse(pick.Name, header, time.Since(sent))
 	}
-	return a, nil
+	return resp, nil
 }
 
-// logAnswer writes the line of an answer that is passed on.
-func (t *transaction) logResponse(a *response) {
-	names, pick := &t.p.Names, a.pick
+// logResponse logs a response that is relayed to the caller.
+func (t *transaction) logResponse(resp *response) {
+	names, pick := &t.p.Names, resp.pick
 	took := time.Since(t.c.startedAt)
 	t.p.Log.Info().Str("id", t.c.id).Str("object", t.c.r.Header.Get(names.Affinity)).Str("service", t.c.service).
 		Str("class", t.c.route.Class.String()).Str("workspace", t.c.workspaceName()).Bool("late", took > time.Duration(t.c.route.Objective)).
-		Str("backend", pick.Name).Str("software", pick.Software).Bool("target", a.fromTarget).Bool("declined", t.targetDeclined).Int("rank", pick.Rank).Bool("lastResort", pick.LastResort).Bool("unseen", pick.Unseen).Dur("wait", pick.Wait).Str("load", a.res.Header.Get(names.Load)).
-		Bool("leaving", a.notice.Leaving).Dur("retryAfter", a.notice.RetryAfter).Float64("limit", a.rateLimit).Int("status", a.res.StatusCode).Int64("version", t.c.version).Int("attempts", t.c.attempts).
+		Str("backend", pick.Name).Str("software", pick.Software).Bool("target", resp.fromTarget).Bool("declined", t.targetDeclined).Int("rank", pick.Rank).Bool("lastResort", pick.LastResort).Bool("unseen", pick.Unseen).Dur("wait", pick.Wait).Str("load", resp.res.Header.Get(names.Load)).
+		Bool("leaving", resp.notice.Leaving).Dur("retryAfter", resp.notice.RetryAfter).Float64("limit", resp.rateLimit).Int("status", resp.res.StatusCode).Int64("version", t.c.version).Int("attempts", t.c.attempts).
 		Dur("took", took).Msg("answered")
 }
 
-// maxForeign bounds the answers to other requests that are skipped.
+// maxMismatchedResponses bounds how many responses that carry another request's id are skipped.
 const maxMismatchedResponses = 2
 
-// notice takes up what an answer says of what its server wants from now on, before the answer
-// is passed on. A misdirected request was answered by another server than the one that was
-// chosen: that one's notices say nothing of the chosen one.
+// applyNotice applies what a response says about its backend server, before the response is
+// relayed. A misdirected request (421) was answered by a different server than the one that was
+// picked, so its notice is ignored.
 func (t *transaction) applyNotice(res *http.Response, pick *balance.Pick) request.Notice {
 	if res.StatusCode == http.StatusMisdirectedRequest {
 		return request.Notice{}
@@ -230,10 +230,10 @@
 	return n
 }
 
-// refused notes that the backend server did not run the request.
+// backendRefused handles a response that says that the backend server did not run the request.
 func (t *transaction) backendRefused(ex *conn.Exchange, pick *balance.Pick, notice request.Notice, limit float64) *request.Result {
 	misdirected := ex.Response.StatusCode == http.StatusMisdirectedRequest
-	_, _ = io.CopyN(io.Discard, ex.Response.Body, maxBufferedResponse) // so that the connection can be kept
+	_, _ = io.CopyN(io.Discard, ex.Response.Body, maxBufferedResponse) // lets the connection be reused
 	report := t.loadReport(ex.Response.Header, pick)
 	ex.Close()
 	pick.Done(balance.Refused, report)
@@ -247,24 +247,24 @@
 	return t.result(request.BackendRefused, minRetryAfter)
 }
 
-// readAnswer takes in an answer, whole unless it is large or there is no room to hold it.
+// bufferResponse buffers a response, in full unless it is large or memory is short.
 func bufferResponse(ex *conn.Exchange, lease *held.Lease) (*response, error) {
-	a := &response{res: ex.Response, ex: ex}
+	resp := &response{res: ex.Response, ex: ex}
 	var err error
 	whole := false
-	a.buffered, whole, err = held.Read(lease, held.Responses, ex.Response.Body, ex.Response.ContentLength, maxBufferedResponse)
+	resp.buffered, whole, err = held.Read(lease, held.Responses, ex.Response.Body, ex.Response.ContentLength, maxBufferedResponse)
 	if err != nil {
 		ex.Close()
 		return nil, err
 	}
 	if whole {
-		a.ex = nil
+		resp.ex = nil
 		ex.Close()
 	}
-	return a, nil
+	return resp, nil
 }
 
-// report reads a backend server's word on its load.
+// loadReport parses the load report in a response's headers.
 func (t *transaction) loadReport(h http.Header, pick *balance.Pick) *balance.Report {
 	r, err := balance.ParseReport(h.Get(t.p.Names.Load))
 	if err != nil {
--- a/process/proxy/caller.go
+++ b/process/proxy/caller.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// staleKeys is the age of the configuration from which a key that is not known
-	// may be one that the instance has not heard of yet. Origin: followers that
-	// others tell nothing ask the store after 2.7 s.
+	// staleKeyAge is the age of the configuration from which an unknown key may belong to a
+	// workspace that the instance has not received yet. Followers that receive no gossip query the
+	// store after 2.7 s.
 	staleKeyAge = 2700 * time.Millisecond
-	// staleKeyRetry is when a caller with such a key should come back: by then
-	// another source was asked.
+	// staleKeyRetryAfter is the Retry-After time for callers with such a key. By then another
+	// source has been queried.
 	staleKeyRetryAfter = 300 * time.Millisecond
 )
 
-// identify finds the workspace of the caller by the key that the request carries.
-// Where there are no workspaces nobody needs a key.
+// authenticate finds the caller's workspace by the key that the request carries. If no workspaces
+// are configured, no key is needed.
 func (p *Proxy) authenticate(c *call, routing *version.Routing) *request.Result {
 	if routing.Workspaces.None() {
 		return nil
@@ -46,8 +46,8 @@
 	return notRun(request.KeyUnknown, 0)
 }
 
-// bearer returns the key of a header's values. One that can't be read is a key that
-// nobody has, not a missing one.
+// bearer returns the key in the values of the key header. A malformed header counts as an unknown
+// key, not as a missing one.
 func bearer(values []string) (key string, given bool) {
 	if len(values) == 0 {
 		return "", false
@@ -59,8 +59,8 @@
 	return strings.TrimSpace(key), true
 }
 
-// introduce replaces the caller's key by the name of its workspace, in the headers
-// that a backend server gets. What the caller says of its workspace goes, too.
+// setWorkspaceHeaders replaces the caller's key with the name of its workspace in the headers that
+// a backend server receives. A workspace header set by the caller is removed.
 func (p *Proxy) setWorkspaceHeaders(c *call, h http.Header) {
 	if !c.keysInUse {
 		return
@@ -72,22 +72,22 @@
 	}
 }
 
-// takeQuota lets a request of a workspace in that is within its rate.
+// takeQuota takes a token from the rate of the caller's workspace, or refuses the request.
 func (p *Proxy) takeQuota(ctx context.Context, c *call) *request.Result {
 	if p.Quota == nil {
 		return nil
 	}
-	in, why := p.Quota.Take(ctx, c.workspace)
-	if !in {
-		c.quotaRefusal = &why
-		return notRun(request.OverQuota, why.Retry)
+	ok, refusal := p.Quota.Take(ctx, c.workspace)
+	if !ok {
+		c.quotaRefusal = &refusal
+		return notRun(request.OverQuota, refusal.Retry)
 	}
 	c.quotaTaken = true
 	return nil
 }
 
-// settleQuota gives back what was taken for a request that has not run, and counts
-// each time that it may have run beyond the first.
+// settleQuota returns the token of a request that has not run, and charges another token for each
+// time beyond the first that the request may have run.
 func (p *Proxy) settleQuota(c *call) {
 	if !c.quotaTaken {
 		return
@@ -100,7 +100,8 @@
 	}
 }
 
-// priority returns the rank of a request: that of its workspace, else of its route.
+// priority returns the request's priority: that of its workspace if it has one, otherwise that of
+// its route.
 func (c *call) priority() int {
 	if c.workspace != nil {
 		return c.workspace.Priority
@@ -108,7 +109,7 @@
 	return c.route.Priority
 }
 
-// workspaceName returns the name of the caller's workspace; "" if it has none.
+// workspaceName returns the name of the caller's workspace, or "" if it has none.
 func (c *call) workspaceName() string {
 	if c.workspace == nil {
 		return ""
--- a/process/proxy/caller_test.go
+++ b/process/proxy/caller_test.go
@@ -19,7 +19,7 @@
 	"shalewick/version"
 )
 
-// workspace adds a workspace with one key.
+// workspace adds a workspace with one key to the configuration.
 func (f *fixture) workspace(name, key string, change func(*version.Workspace)) {
 	w := &version.Workspace{Keys: []version.KeyHash{version.HashKey(key)}}
 	if change != nil {
@@ -29,7 +29,7 @@
 	f.install()
 }
 
-// sendAs sends a request with headers beside those of any request.
+// sendAs sends a GET request with additional headers.
 func (f *fixture) sendAs(id, path string, headers http.Header) reply {
 	f.t.Helper()
 	req, err := http.NewRequest(http.MethodGet, f.front.URL+path, nil)
@@ -47,8 +47,8 @@
 
 func key(k string) http.Header { return http.Header{"Authorization": {"Bearer " + k}} }
 
-// TestCallerNeedsAKeyOfAWorkspace checks who is served, and with which result the
-// others are refused.
+// TestCallerAuthentication checks which callers are served, and with which result the others are
+// refused.
 func TestCallerAuthentication(t *testing.T) {
 	f := newFixture(t, 1)
 	f.route("open", "/open/", request.ClassRead, true)
@@ -58,7 +58,7 @@
 	for i, x := range []struct {
 		path    string
 		headers http.Header
-		result  string // "" is served
+		result  string // "" if the request is served
 	}{
 		{"/reads/1", key("good"), ""},
 		{"/reads/1", http.Header{"Authorization": {"bearer good"}}, ""},
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestBackendIsToldTheWorkspaceAndNotTheKey checks the headers of what runs.
+// TestBackendReceivesWorkspaceNotKey checks the headers that backend servers receive.
 func TestBackendReceivesWorkspaceNotKey(t *testing.T) {
 	f := newFixture(t, 1)
 	f.route("open", "/open/", request.ClassRead, true)
@@ -102,9 +102,9 @@
 	}
 }
 
-// TestUnknownKeyIsNotRejectedForGoodByAStaleInstance checks that an instance whose
-// configuration nobody has confirmed lately says when to come back, since the key
-// may be one that it has not heard of yet, and that keys it knows are served.
+// TestStaleInstanceRefusesUnknownKeyTemporarily checks that an instance whose configuration has not
+// been confirmed recently answers an unknown key with Retry-After, since the key may belong to a
+// workspace that it has not received yet, and that it serves keys that it knows.
 func TestStaleInstanceRefusesUnknownKeyTemporarily(t *testing.T) {
 	f := newFixture(t, 1)
 	f.workspace("farm", "good", nil)
@@ -118,25 +118,24 @@
 	assert.Equal(t, f.sendAs("c", "/reads/1", key("good")).status, http.StatusOK)
 }
 
-// TestKeysStandInNoLogLine sends keys in all ways and looks for them in what was
-// logged and measured.
+// TestKeysAreNotLogged sends keys in all forms and checks that logs and metrics do not contain
+// them.
 func TestKeysAreNotLogged(t *testing.T) {
 	f := newFixture(t, 1)
 	f.workspace("farm", "secret-good", nil)
-	var log, measured bytes.Buffer
+	var log, metrics bytes.Buffer
 	f.proxy.Log = zerolog.New(&log)
 	for _, headers := range []http.Header{key("secret-good"), key("secret-bad"), {"Authorization": {"secret-bare"}}} {
 		f.sendAs("a", "/reads/1", headers)
 	}
 	f.backends[0].Close()
 	f.sendAs("b", "/reads/2", key("secret-good"))
-	assert.NilError(t, f.proxy.Metrics.Write(&measured))
+	assert.NilError(t, f.proxy.Metrics.Write(&metrics))
 	assert.Assert(t, strings.Contains(log.String(), "KEY_UNKNOWN"))
-	assert.Assert(t, !strings.Contains(log.String()+measured.String(), "secret"))
+	assert.Assert(t, !strings.Contains(log.String()+metrics.String(), "secret"))
 }
 
-// FuzzBearer checks that no header of a caller is read as a key that it does not
-// carry.
+// FuzzBearer checks that bearer returns no key that the header does not contain.
 func FuzzBearer(f *testing.F) {
 	for _, seed := range []string{"", "Bearer k", "bearer  k ", "Bearer", "Basic k", "Bearer a b"} {
 		f.Add(seed)
@@ -151,8 +150,8 @@
 	})
 }
 
-// TestOverQuotaIsRefusedAtOnce checks the answer, and that requests that do not run
-// use nothing up.
+// TestOverQuotaIsRefusedImmediately checks the response to a request over quota, and that requests
+// that do not run use up no quota.
 func TestOverQuotaIsRefusedImmediately(t *testing.T) {
 	f := newFixture(t, 1)
 	f.workspace("farm", "good", func(w *version.Workspace) { w.Rate, w.Burst = 1, 3 })
--- a/process/proxy/doc.go
+++ b/process/proxy/doc.go
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package proxy serves the requests that route resources direct.
+Package proxy forwards HTTP requests of direct routes to backend servers.
 
-One request's way, in this order:
+A request passes through these stages, in this order:
 
-	front      read and bound the request, find its route      (proxy.go)
-	choice     a service by the split, a backend server by balance   (attempt.go)
-	exchange   one send on one connection, counted by conn      (attempt.go)
-	answer     the backend server's whole answer, or a Result          (answer.go)
+	admission  find the route, check limits, read the body          (proxy.go)
+	selection  pick a service by the split, then a backend server   (attempt.go)
+	exchange   send once on one connection of package conn          (attempt.go)
+	response   relay the backend server's response, or a Result     (answer.go)
 
-A request is sent again only if it has not run, or may run twice; within the
-attempts of its route, its time, and the retry budget that all instances share.
-A Result with status 503 promises that the request has not run and never will.
+A request is retried only if it has not run or if its route is repeatable, and only
+within the route's attempts, its deadline, and the retry budget that all instances share.
+A Result with status 503 guarantees that the request has not run and never will.
 */
 package proxy
--- a/process/proxy/failure.go
+++ b/process/proxy/failure.go
@@ -16,10 +16,10 @@
 	"shalewick/request"
 )
 
-// failed classifies a dispatch that got no answer.
+// dispatchFailed handles a dispatch that got no response, and returns the result of the attempt.
 func (t *transaction) dispatchFailed(ctx context.Context, pick *balance.Pick, err error, sent time.Time) *request.Result {
-	var d *conn.DispatchError
-	if !errors.As(err, &d) || d.Sent {
+	var dispatchErr *conn.DispatchError
+	if !errors.As(err, &dispatchErr) || dispatchErr.Sent {
 		t.c.attempts++
 		return t.exchangeLost(ctx, pick, err, sent)
 	}
@@ -39,7 +39,7 @@
 	return t.result(request.ConnectFailed, minRetryAfter)
 }
 
-// lost classifies an exchange that was sent at a time and got no whole answer.
+// exchangeLost handles an exchange that was sent at the given time and got no complete response.
 func (t *transaction) exchangeLost(ctx context.Context, pick *balance.Pick, err error, sent time.Time) *request.Result {
 	t.mayHaveRun = true
 	t.c.possibleRuns++
@@ -49,25 +49,25 @@
 		return t.result(request.CallerGone, 0)
 	}
 	pick.Done(outcomeOf(err), nil)
-	var n net.Error
+	var netErr net.Error
 	code := request.AnswerLost
-	if ctx.Err() != nil || errors.As(err, &n) && n.Timeout() {
+	if ctx.Err() != nil || errors.As(err, &netErr) && netErr.Timeout() {
 		code = request.DeadlinePassed
-		// Its connection may be silent for good, and then those that were opened
-		// with it: each would cost a request its whole time.
+		// The peer may be unresponsive for good, and then so are the idle connections to it, each
+		// of which would cost another request its full timeout.
 		pick.Pool.CloseIdle()
 	}
-	unsent := code == request.DeadlinePassed && t.c.deadlineTooShort(pick, sent)
-	t.reportOutcome(pick, rollout.Outcome{Failed: !unsent, Inconclusive: unsent, Took: time.Since(sent)})
+	inconclusive := code == request.DeadlinePassed && t.c.deadlineTooShort(pick, sent)
+	t.reportOutcome(pick, rollout.Outcome{Failed: !inconclusive, Inconclusive: inconclusive, Took: time.Since(sent)})
 	t.logLine(pick).Str("request", t.c.fingerprint.String()).Str("path", t.c.path()).Err(err).Msg("answer-lost")
-	if code != request.DeadlinePassed { // the end of its process ends the connection
+	if code != request.DeadlinePassed { // a crash of the backend server's process would have closed the connection
 		t.reportLoss(pick)
 	}
 	return t.result(code, 0)
 }
 
-// outcomeOf tells from the error of an exchange that was sent whether the backend server
-// can't be reached: nothing of what it was sent was acknowledged for long.
+// outcomeOf returns the outcome of an exchange that was sent and failed with err. ETIMEDOUT means
+// that the peer acknowledged nothing for TCP_USER_TIMEOUT, so it counts as unreachable.
 func outcomeOf(err error) balance.Outcome {
 	if errors.Is(err, syscall.ETIMEDOUT) {
 		return balance.Unreachable
@@ -75,7 +75,7 @@
 	return balance.Lost
 }
 
-// result is a result with what is known of whether the request ran.
+// result returns a result that says whether the request may have run.
 func (t *transaction) result(code request.Code, retry time.Duration) *request.Result {
 	if t.mayHaveRun {
 		r := request.Unknown(code)
--- a/process/proxy/fingerprint.go
+++ b/process/proxy/fingerprint.go
@@ -11,22 +11,22 @@
 	"shalewick/request"
 )
 
-// maxPath bounds the host and path that log lines and other instances are told, in bytes.
+// maxPath limits the host and path that are logged and sent to other instances, in bytes.
 const maxPath = 80
 
-// fingerprint returns what all attempts at the caller's request have in common. Host is
-// that of the route, which is the same however the caller spells it.
+// computeFingerprint returns the fingerprint that all attempts of the caller's request share. It
+// uses the host of the route, which does not depend on how the caller spells the host.
 func (c *call) computeFingerprint() request.Fingerprint {
 	return request.FingerprintOf(c.workspaceName(), c.route.Host, c.r.Method, c.r.RequestURI, c.body.buffered, c.body.length)
 }
 
-// path returns host and path of the request for operators, cut short.
+// path returns the host and path of the request for operators, truncated to maxPath.
 func (c *call) path() string {
 	p := c.r.Host + c.r.URL.EscapedPath()
 	return p[:min(len(p), maxPath)]
 }
 
-// quarantined refuses a request that crashes the backend servers that run it.
+// checkQuarantine refuses a request that crashes the backend servers that run it.
 func (p *Proxy) checkQuarantine(c *call) *request.Result {
 	if !p.isQuarantined(c) {
 		return nil
@@ -39,7 +39,7 @@
 	return p.Quarantine != nil && p.Quarantine.Refuses(c.fingerprint)
 }
 
-// suspect tells of a request that was lost at a backend server, which may have ended.
+// reportLoss reports a request that was lost at a backend server, which may have crashed.
 func (t *transaction) reportLoss(pick *balance.Pick) {
 	if t.p.Crashes == nil {
 		return
@@ -47,7 +47,7 @@
 	t.p.Crashes.Lost(crash.Loss{
 		Backend: pick.Name, Incarnation: pick.Incarnation, Service: t.c.service,
 		Suspect: crash.Suspect{Request: t.c.fingerprint, Path: t.c.path()},
-		// The connection is kept for a request to come, so it is not opened in vain.
+		// The connection is kept for a later request, so the effort is not wasted.
 		Open: func() error { return pick.Pool.Open(context.Background()) },
 	})
 }
--- a/process/proxy/forward.go
+++ b/process/proxy/forward.go
@@ -14,7 +14,7 @@
 	"shalewick/request"
 )
 
-// request builds the request for one attempt.
+// newRequest builds the request for one attempt.
 func (t *transaction) newRequest(ctx context.Context, pick *balance.Pick) *http.Request {
 	in := t.c.r
 	out := &http.Request{
@@ -23,7 +23,7 @@
 	}
 	h := out.Header
 	if _, ok := h["User-Agent"]; !ok {
-		h["User-Agent"] = nil // else one is added
+		h["User-Agent"] = nil // net/http would add a default one
 	}
 	if in.Header.Get(t.p.Names.ID) == "" && t.c.id != "" {
 		h.Set(t.p.Names.ID, t.c.id)
@@ -34,7 +34,7 @@
 	return out.WithContext(ctx)
 }
 
-// target returns a URL that is written exactly as the caller sent it.
+// target returns a URL that is encoded exactly as the caller sent it.
 func target(in *http.Request) *url.URL {
 	if strings.HasPrefix(in.RequestURI, "/") && !strings.HasPrefix(in.RequestURI, "//") {
 		return &url.URL{Scheme: "http", Host: in.Host, Opaque: in.RequestURI}
--- a/process/proxy/gone_test.go
+++ b/process/proxy/gone_test.go
@@ -20,10 +20,10 @@
 	"shalewick/version"
 )
 
-// goneWithin is the time within which the work for a caller that left has to end.
+// maxCancelDelay is the time within which work for a disconnected caller must end.
 const maxCancelDelay = 500 * time.Millisecond
 
-// raw opens a connection to the proxy and writes to it.
+// sendRaw opens a connection to the proxy and writes text to it.
 func (f *fixture) sendRaw(text string) net.Conn {
 	f.t.Helper()
 	c, err := net.Dial("tcp", f.front.Listener.Addr().String())
@@ -34,20 +34,20 @@
 	return c
 }
 
-func rawRequestHead(method, path, id, more string) string {
-	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: a.example\r\n%s: %s\r\n%s\r\n", method, path, request.OwnNames.ID, id, more)
+func rawRequestHead(method, path, id, extraHeaders string) string {
+	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: a.example\r\n%s: %s\r\n%s\r\n", method, path, request.OwnNames.ID, id, extraHeaders)
 }
 
-// idle waits until no request is under way.
+// awaitIdle waits until no request is in flight.
 func (f *fixture) awaitIdle() {
 	f.t.Helper()
-	for begun := time.Now(); f.proxy.InFlight() > 0; time.Sleep(5 * time.Millisecond) {
-		assert.Assert(f.t, time.Since(begun) < maxCancelDelay, "a request goes on")
+	for start := time.Now(); f.proxy.InFlight() > 0; time.Sleep(5 * time.Millisecond) {
+		assert.Assert(f.t, time.Since(start) < maxCancelDelay, "a request is still in flight")
 	}
 }
 
-// TestCallerThatLeavesBeforeItsBodyIsReadRunsNothing checks a caller that stops in
-// the middle of a body that is held whole.
+// TestDisconnectDuringBufferedBodyRunsNothing covers a caller that disconnects in the middle of a
+// body that is buffered whole.
 func TestDisconnectDuringBufferedBodyRunsNothing(t *testing.T) {
 	f := newFixture(t, 1)
 	c := f.sendRaw(rawRequestHead("POST", "/reads/1", "x", "Content-Length: 100\r\n") + "half")
@@ -57,8 +57,8 @@
 	assert.Equal(t, len(f.runs()), 0)
 }
 
-// TestCallerThatLeavesAmidALargeBodyEndsIt checks one whose body goes on to the
-// backend server while it comes.
+// TestDisconnectDuringStreamedBodyCancelsRequest covers a caller that disconnects while its body is
+// being streamed to the backend server.
 func TestDisconnectDuringStreamedBodyCancelsRequest(t *testing.T) {
 	f := newFixture(t, 1)
 	c := f.sendRaw(rawRequestHead("POST", "/bids/1", "x", fmt.Sprintf("Content-Length: %d\r\n", maxBufferedBody+1000)) + strings.Repeat("v", maxBufferedBody+10))
@@ -69,8 +69,8 @@
 	assert.Equal(t, len(f.runs()), 0)
 }
 
-// TestCallerThatLeavesBetweenAttemptsCausesNoFurther checks one that leaves while the
-// first backend server takes long to refuse.
+// TestDisconnectBetweenAttemptsStopsRetries covers a caller that disconnects while the first
+// backend server delays its refusal.
 func TestDisconnectBetweenAttemptsStopsRetries(t *testing.T) {
 	f := newFixture(t, 2)
 	for _, s := range f.backends {
@@ -85,8 +85,8 @@
 	assert.Equal(t, f.backends[0].Connections()+f.backends[1].Connections(), 1)
 }
 
-// TestCallerThatLeavesWhileItWaitsForATokenRunsNothing checks one that the owner of
-// its workspace's limit has not answered yet.
+// TestDisconnectDuringQuotaRequestRunsNothing covers a caller that disconnects before the owner of
+// its workspace's limit has replied.
 func TestDisconnectDuringQuotaRequestRunsNothing(t *testing.T) {
 	f := newFixture(t, 1)
 	f.workspace("farm", "good", func(w *version.Workspace) { w.Rate, w.Burst = 1, 1 })
@@ -107,9 +107,9 @@
 	assert.Equal(t, len(f.runs()), 0)
 }
 
-// TestConnectionsThatFallSilentAreLeft checks that when all open connections to the
-// backend servers fall silent for good, without a reset, no more than one request
-// for each waits in vain, and the next ones are served on new connections.
+// TestUnresponsiveConnectionsAreReplaced checks that when all open connections to a backend server
+// become unresponsive without a reset, no more than one request times out, and the next ones are
+// served on new connections.
 func TestUnresponsiveConnectionsAreReplaced(t *testing.T) {
 	f := newFixture(t, 0)
 	s := &server.Server{Name: "u", Names: request.OwnNames, Slots: 8, Work: 20 * time.Millisecond}
@@ -123,7 +123,7 @@
 	}})
 	f.install()
 	done := make(chan reply, 4)
-	for i := range 4 { // so that four connections are kept
+	for i := range 4 { // opens up to four connections, which are kept
 		go func() { done <- f.send(fmt.Sprint("first", i), "/reads/1", "") }()
 	}
 	for range 4 {
--- a/process/proxy/held.go
+++ b/process/proxy/held.go
@@ -19,13 +19,13 @@
 	"shalewick/request"
 )
 
-// memoryRetry is when a caller should come back for whose request there was no memory, at least;
-// it is twice that at most. Stalled readers are cut off within it.
+// memoryRetryAfter is the least Retry-After time of a request that was refused for lack of memory;
+// the most is twice that. Stalled readers are cut off within it.
 const memoryRetryAfter = 500 * time.Millisecond
 
-// admit takes the memory that the request needs at least.
+// admit reserves the minimum memory that a request needs.
 func (p *Proxy) admit(c *call, cancel context.CancelFunc) *request.Result {
-	lease, ok := p.Memory.Admit(c.memoryOwner(), func(k held.Kind) { p.cutOff(c, k, cancel) })
+	lease, ok := p.Memory.Admit(c.memoryOwner(), func(kind held.Kind) { p.cutOff(c, kind, cancel) })
 	if !ok {
 		return notRun(request.MemoryFull, memoryRetryAfter+rand.N(memoryRetryAfter))
 	}
@@ -33,41 +33,41 @@
 	return nil
 }
 
-// owner returns whose memory the request takes: that of its workspace, else of its caller's
-// address.
+// memoryOwner returns the owner that the request's memory is charged to: its workspace, or else its
+// caller's address.
 func (c *call) memoryOwner() string {
 	if c.workspace != nil {
 		return "workspace " + c.workspace.Name
 	}
 	host, _, err := net.SplitHostPort(c.r.RemoteAddr)
 	if err != nil {
-		return c.r.RemoteAddr // of another form, as in tests
+		return c.r.RemoteAddr // has no port, as in tests
 	}
 	return host
 }
 
-// cutOff ends a request that waits too long for the side that a kind names.
-func (p *Proxy) cutOff(c *call, k held.Kind, cancel context.CancelFunc) {
-	p.recordCutOff(c, k)
-	switch k {
+// cutOff ends a request that has waited too long for the peer that the kind denotes.
+func (p *Proxy) cutOff(c *call, kind held.Kind, cancel context.CancelFunc) {
+	p.recordCutOff(c, kind)
+	switch kind {
 	case held.Requests:
 		c.abortBodyRead()
 	case held.Bodies:
 		cancel()
 	case held.Responses:
 		c.isCutOff.Store(true)
-		_ = http.NewResponseController(c.w).SetWriteDeadline(aLongTimeAgo) // an error means that the caller is gone
+		_ = http.NewResponseController(c.w).SetWriteDeadline(aLongTimeAgo) // an error means that the caller has disconnected
 	}
 }
 
-// noteCutOff counts and logs that a request was cut off.
-func (p *Proxy) recordCutOff(c *call, k held.Kind) {
-	p.Metrics.CutOff(k.String())
-	p.Log.Info().Str("id", c.id).Str("service", c.service).Str("workspace", c.workspaceName()).Str("waitedFor", k.String()).
+// recordCutOff counts and logs that a request was cut off.
+func (p *Proxy) recordCutOff(c *call, kind held.Kind) {
+	p.Metrics.CutOff(kind.String())
+	p.Log.Info().Str("id", c.id).Str("service", c.service).Str("workspace", c.workspaceName()).Str("waitedFor", kind.String()).
 		Dur("took", time.Since(c.startedAt)).Msg("cut-off")
 }
 
-// waitedFor reads from a caller that is waited for.
+// callerBody reads a request body and tells the lease when the caller is being waited for.
 type callerBody struct {
 	io.Reader
 	lease *held.Lease
@@ -80,17 +80,17 @@
 	return n, err
 }
 
-// errCutOff is the error of an answer whose caller was cut off.
+// errCutOff is returned for a response whose caller was cut off.
 const errCutOff = errors.ConstError("the caller does not read")
 
-// write passes a part of an answer on. A caller that takes no chunk within held.StalledMost is
-// cut off, so that its connection holds up neither memory nor a planned stop. The request's
-// deadline does not count here: late answers are delivered.
-func (c *call) writeBuffered(text []byte) error {
+// writeBuffered writes buffered data to the caller. A caller that accepts no chunk within
+// held.MaxStall is cut off, so that its connection blocks neither memory nor a planned stop. The
+// request's deadline does not apply here: late responses are delivered.
+func (c *call) writeBuffered(data []byte) error {
 	for {
-		chunk := text[:min(len(text), held.ChunkSize)]
-		text = text[len(chunk):]
-		if err := c.writeChunk(chunk); err != nil || len(text) == 0 {
+		chunk := data[:min(len(data), held.ChunkSize)]
+		data = data[len(chunk):]
+		if err := c.writeChunk(chunk); err != nil || len(data) == 0 {
 			return err
 		}
 	}
@@ -99,9 +99,9 @@
 func (c *call) writeChunk(chunk []byte) error {
 	c.lease.Wait(held.Responses)
 	defer c.lease.StopWaiting()
-	// An error means that the caller is gone, which the write tells as well.
+	// An error means that the caller has disconnected, which Write reports as well.
 	_ = http.NewResponseController(c.w).SetWriteDeadline(time.Now().Add(held.MaxStall))
-	if c.isCutOff.Load() { // possibly before the deadline was set
+	if c.isCutOff.Load() { // the deadline just set may have replaced that of the cut-off
 		return errCutOff
 	}
 	_, err := c.w.Write(chunk)
@@ -111,10 +111,10 @@
 	return err
 }
 
-// chunks are buffers of answers that are passed on as they come.
+// chunkPool holds the buffers of responses that are streamed.
 var chunkPool = sync.Pool{New: func() any { return new([held.ChunkSize]byte) }}
 
-// passOn passes the rest of an answer on as it comes.
+// streamRest copies the rest of a response to the caller as it is received.
 func (c *call) streamRest(ex *conn.Exchange) error {
 	chunk := chunkPool.Get().(*[held.ChunkSize]byte)
 	defer chunkPool.Put(chunk)
--- a/process/proxy/lapse.go
+++ b/process/proxy/lapse.go
@@ -9,45 +9,46 @@
 	"time"
 )
 
-// leastSuspended is what the two clocks of a request may differ by without a suspension of the
-// machine: they are read one after the other, and a thread may be held up in between.
+// minSuspension is the smallest difference between the two clocks of a request that counts as a
+// suspension of the machine. The clocks are read one after the other, and the thread may be
+// descheduled in between.
 const minSuspension = 100 * time.Millisecond
 
-// left returns the time until the request's deadline. Contexts, timers and sockets wait by a
-// clock that stands still while the machine is suspended; the caller's time goes on.
+// timeLeft returns the time until the request's deadline. Contexts, timers and sockets use a clock
+// that stops while the machine is suspended, but the caller's time goes on.
 func (c *call) timeLeft() time.Duration {
-	left := time.Until(c.deadline)
-	if lost := (c.bootClock() - c.startedOnBootClock) - time.Since(c.startedAt); lost >= minSuspension {
-		left -= lost
+	remaining := time.Until(c.deadline)
+	if suspended := (c.bootClock() - c.startedOnBootClock) - time.Since(c.startedAt); suspended >= minSuspension {
+		remaining -= suspended
 	}
-	return left
+	return remaining
 }
 
-// reading tells whether a request's body is being read. The zero value is ready.
+// bodyReadState records whether a request's body is being read. The zero value is ready to use.
 type bodyReadState struct {
 	mu     sync.Mutex
 	active bool
 }
 
-// reads lets the reading of the body end at a time; zero: it is over.
+// setBodyReadDeadline starts the reading of the body with a deadline. A zero time ends it.
 func (c *call) setBodyReadDeadline(until time.Time) {
 	c.bodyRead.mu.Lock()
 	defer c.bodyRead.mu.Unlock()
 	c.bodyRead.active = !until.IsZero()
-	_ = http.NewResponseController(c.w).SetReadDeadline(until) // an error means that the caller is gone
+	_ = http.NewResponseController(c.w).SetReadDeadline(until) // an error means that the caller has disconnected
 }
 
-// endReading ends the reading of the body, if it is being read. At any other time it would look
-// as if the caller had left.
+// abortBodyRead aborts the reading of the body if it is in progress. At any other time, a read
+// deadline would be taken for a disconnect of the caller.
 func (c *call) abortBodyRead() {
 	c.bodyRead.mu.Lock()
 	defer c.bodyRead.mu.Unlock()
 	if c.bodyRead.active {
-		_ = http.NewResponseController(c.w).SetReadDeadline(aLongTimeAgo) // an error means that the caller is gone
+		_ = http.NewResponseController(c.w).SetReadDeadline(aLongTimeAgo) // an error means that the caller has disconnected
 	}
 }
 
-// calls are the requests under way that have a deadline. The zero value is ready.
+// callSet is the set of requests in flight that have a deadline. The zero value is ready to use.
 type callSet struct {
 	mu      sync.Mutex
 	cancels map[*call]context.CancelFunc
@@ -68,11 +69,12 @@
 	delete(s.cancels, c)
 }
 
-// past is a deadline that ends all waiting.
+// aLongTimeAgo is a deadline that interrupts pending I/O immediately.
 var aLongTimeAgo = time.Unix(1, 0)
 
-// EndLapsed ends the requests whose deadline passed while the machine was suspended: nothing
-// else would, for as long as that took. Answers that are there by now have been read.
+// CancelExpired cancels the requests whose deadline passed while the machine was suspended. Their
+// timers stood still, so they would otherwise go on for as long as the suspension lasted. Responses
+// that have arrived by now have already been read.
 func (p *Proxy) CancelExpired() (ended int) {
 	p.calls.mu.Lock()
 	defer p.calls.mu.Unlock()
--- a/process/proxy/limit.go
+++ b/process/proxy/limit.go
@@ -10,13 +10,12 @@
 	"shalewick/process/balance"
 )
 
-// permitTries is the number of backend servers that name a rate limit for which an attempt asks for
-// a permit; each may cost it the way to another region and back. After them it goes to one that
-// names none.
+// maxPermitTries is the number of rate-limited backend servers for which an attempt requests a
+// permit. Each request may take a round trip to another region. After that, the attempt uses a
+// backend server that has no limit.
 const maxPermitTries = 2
 
-// pickPermitted chooses a backend server as pick does. For one that names a rate limit it gets a
-// permit.
+// pickWithPermit picks a backend server as pick does, and acquires a permit if it is rate-limited.
 func (t *transaction) pickWithPermit(ctx context.Context) (*balance.Pick, balance.Refusal) {
 	defer func() { t.query.Unlimited = false }()
 	for tries := 0; ; tries++ {
@@ -30,35 +29,36 @@
 	}
 }
 
-// permitted reports whether the request may go to a backend server, which may name a rate limit.
+// acquirePermit reports whether the request may be sent to the backend server, and acquires a
+// permit if that is rate-limited.
 func (t *transaction) acquirePermit(ctx context.Context, pick *balance.Pick) bool {
 	t.permitFrom = 0
 	if t.p.Limits == nil || !t.p.Limits.Limited(pick.Limitable().Start) {
 		return true
 	}
 	if t.query.Unlimited {
-		return false // its limit began after the pick
+		return false // the limit was reported after the pick
 	}
 	at, ok := t.p.Limits.Acquire(ctx, pick.Limitable(), t.query.Priority)
 	t.permitFrom = at
 	return ok
 }
 
-// withinLimit reports whether the request may leave now for a backend server, whose rate limit may
-// have begun after the pick.
+// permitValid reports whether the request may be sent to the backend server now. Its rate limit may
+// have been reported after the pick.
 func (t *transaction) permitValid(pick *balance.Pick) bool {
 	return t.p.Limits == nil || t.p.Limits.Valid(pick.Limitable().Start, t.permitFrom)
 }
 
-// returnPermit gives back a permit with which nothing was sent.
+// returnPermit returns the permit of an attempt that sent nothing.
 func (t *transaction) returnPermit(pick *balance.Pick) {
 	if t.p.Limits != nil {
 		t.p.Limits.Return(pick.Limitable().Start, t.permitFrom)
 	}
 }
 
-// rateLimit takes up the rate limit that an answer names, and returns it; zero: none. A misdirected
-// request was answered by another server than the chosen one.
+// applyRateLimit applies the rate limit that a response reports, and returns it; zero means none. A
+// misdirected request (421) was answered by a different server than the one that was picked.
 func (t *transaction) applyRateLimit(res *http.Response, pick *balance.Pick) float64 {
 	if res.StatusCode == http.StatusMisdirectedRequest {
 		return 0
--- a/process/proxy/limit_test.go
+++ b/process/proxy/limit_test.go
@@ -19,7 +19,7 @@
 	"shalewick/standin/server"
 )
 
-// limited lets the proxy of a fixture keep rate limits, as the only instance.
+// enableRateLimits gives the proxy a rate limiter that owns all limits, as on the only instance.
 func (f *fixture) enableRateLimits() *ratelimit.Limiter {
 	l := &ratelimit.Limiter{
 		Now: f.proxy.Now, Instances: func() int { return 1 }, Send: func(string, []byte) {},
@@ -29,9 +29,9 @@
 	return l
 }
 
-// TestLimitedServiceRefusesAtOnceAndSpreadsCallers guards against requests that wait for a service
-// all of whose servers are limited, and against callers that are all told to come back at one
-// moment.
+// TestRateLimitedServiceRefusesImmediatelyWithSpreadRetryAfter guards against requests that queue
+// for a service whose backend servers are all rate-limited, and against callers that are all told
+// to retry at the same moment.
 func TestRateLimitedServiceRefusesImmediatelyWithSpreadRetryAfter(t *testing.T) {
 	f := newFixture(t, 2)
 	f.enableRateLimits()
@@ -39,14 +39,14 @@
 		s.SetLimit(2)
 	}
 	for i := range 4 {
-		f.sendFor(strconv.Itoa(i), fmt.Sprint("learn", i), "/reads/1", "") // each server is met
+		f.sendFor(strconv.Itoa(i), fmt.Sprint("learn", i), "/reads/1", "") // each backend server is used
 	}
 	from := time.Now()
 	refused, waits := 0, map[string]bool{}
 	for i := range 200 {
-		begun := time.Now()
+		start := time.Now()
 		got := f.sendFor(strconv.Itoa(i), fmt.Sprint("r", i), "/reads/1", "")
-		assert.Assert(t, time.Since(begun) < 100*time.Millisecond)
+		assert.Assert(t, time.Since(start) < 100*time.Millisecond)
 		if got.status == http.StatusServiceUnavailable {
 			refused++
 			wait, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
@@ -65,13 +65,13 @@
 		}
 	}
 	took := time.Since(from).Seconds()
-	assert.Equal(t, ran, 200-refused, "a refusal means that it has not run")
+	assert.Equal(t, ran, 200-refused, "refused requests must not have run")
 	assert.Assert(t, float64(ran) <= 2*2*took+2*3, "%d in %.1f s", ran, took)
 	assert.Assert(t, len(waits) > refused/4, "%d waits for %d refusals", len(waits), refused)
 }
 
-// TestFurtherAttemptsKeepTheLimit guards against further attempts, which go where the first one did
-// not, that are sent without a permit.
+// TestRetriesKeepRateLimit guards against retries that are sent to a rate-limited backend server
+// without a permit.
 func TestRetriesKeepRateLimit(t *testing.T) {
 	f := newFixture(t, 2)
 	f.enableRateLimits()
@@ -95,21 +95,21 @@
 	assert.Assert(t, float64(n) <= time.Since(from).Seconds()+3, "%d requests", n)
 }
 
-// TestRequestChosenBeforeTheLimitWasNamedNeedsAPermit guards against requests that wait for a
-// connection while their server names a limit.
+// TestRateLimitNamedAfterPickNeedsPermit guards against requests that wait for a connection while
+// their backend server reports a rate limit for the first time.
 func TestRateLimitNamedAfterPickNeedsPermit(t *testing.T) {
 	f := newFixture(t, 1)
 	limiter := f.enableRateLimits()
 	pick, _ := f.table.Pick(&balance.Query{Route: f.table.Routing().Route("a.example", "/reads/1"), Left: time.Second})
 	assert.Assert(t, pick != nil)
-	trial := &transaction{p: f.proxy, c: &call{}}
-	assert.Assert(t, trial.acquirePermit(t.Context(), pick) && trial.permitValid(pick))
+	tx := &transaction{p: f.proxy, c: &call{}}
+	assert.Assert(t, tx.acquirePermit(t.Context(), pick) && tx.permitValid(pick))
 	limiter.Answered(pick.Limitable(), 0.001, f.proxy.Now())
-	assert.Assert(t, !trial.permitValid(pick))
+	assert.Assert(t, !tx.permitValid(pick))
 }
 
-// TestLimitsOfOtherServersAndBadOnesChangeNothing guards against a limit that is not the chosen
-// server's word, or none that can be read.
+// TestMisdirectedAndInvalidRateLimitsAreIgnored guards against using a rate limit that another
+// server than the picked one reported, or that is invalid.
 func TestMisdirectedAndInvalidRateLimitsAreIgnored(t *testing.T) {
 	f := newFixture(t, 1)
 	limiter := f.enableRateLimits()
@@ -123,7 +123,7 @@
 	f.backends[0].SetLimit(3)
 	f.backends[0].Next(server.Shed)
 	f.send("refused", "/reads/1", "")
-	assert.Equal(t, limiter.Known(), 1, "a refusal is its server's word")
+	assert.Equal(t, limiter.Known(), 1, "the limit in a refusal counts")
 
 	f = newFixture(t, 1)
 	limiter = f.enableRateLimits()
@@ -138,7 +138,8 @@
 	assert.Assert(t, strings.Contains(metrics.String(), `rate_limits_bad_total{service="s"} 1`), metrics.String())
 }
 
-// TestManyRequestsAtOnceKeepTheLimit guards against requests that are decided on at the same moment.
+// TestConcurrentRequestsKeepRateLimit guards against concurrent requests that together exceed the
+// rate limit.
 func TestConcurrentRequestsKeepRateLimit(t *testing.T) {
 	f := newFixture(t, 2)
 	f.enableRateLimits()
--- a/process/proxy/load_test.go
+++ b/process/proxy/load_test.go
@@ -11,8 +11,8 @@
 	"shalewick/process/logging"
 )
 
-// TestLoadReportsAreCheckedAlone checks that an answer is passed on whatever its load report
-// says, and that only a report that can't be read is counted and logged.
+// TestInvalidLoadReportDoesNotAffectResponse checks that a response is relayed whatever its load
+// report contains, and that only an invalid report is counted and logged.
 func TestInvalidLoadReportDoesNotAffectResponse(t *testing.T) {
 	for pace, bad := range map[string]int{"": 0, "250": 0, "fast": 1} {
 		f := newFixture(t, 1)
--- a/process/proxy/notice_test.go
+++ b/process/proxy/notice_test.go
@@ -14,14 +14,14 @@
 	"shalewick/standin/server"
 )
 
-// TestNoticesStandInTheLog checks that the lines of answers tell what their servers asked
-// for, which no other line of the process can tell afterwards, and that they are counted.
+// TestNoticesAreLoggedAndCounted checks that the notices of backend servers appear in the log lines
+// of their responses, the only place where they can be found afterwards, and that they are counted.
 func TestNoticesAreLoggedAndCounted(t *testing.T) {
 	f := newFixture(t, 1)
 	var log syncBuffer
 	f.proxy.Log = logging.New(&log)
 	f.backends[0].TurnAway(time.Minute, 1500*time.Millisecond)
-	assert.Equal(t, f.send("turned-away", "/reads/1", "").status, http.StatusServiceUnavailable)
+	assert.Equal(t, f.send("rejected", "/reads/1", "").status, http.StatusServiceUnavailable)
 	refused := log.lines("backend-refused")
 	assert.Equal(t, len(refused), 1)
 	assert.Assert(t, strings.Contains(refused[0], " retryAfter=1500 "), refused[0])
@@ -39,8 +39,8 @@
 	assert.Assert(t, strings.Contains(metrics.String(), `answers_leaving_total{service="s"} 1`), metrics.String())
 }
 
-// TestEndsOfRequestsThatMetNoticesAreCounted checks that it can be told what it costs callers that
-// backend servers leave or turn away.
+// TestOutcomesOfNoticedRequestsAreCounted checks the metric that shows how requests end whose
+// backend servers are leaving or reject requests.
 func TestOutcomesOfNoticedRequestsAreCounted(t *testing.T) {
 	f := newFixture(t, 2)
 	for _, s := range f.backends {
@@ -57,8 +57,8 @@
 	assert.Assert(t, strings.Contains(served.String(), `requests_noticed_total{service="s",notice="leaving",end="in-time"} 1`), served.String())
 }
 
-// TestNoticeOfAnotherServerIsNotTheChosenOnes checks that what a server says of itself that
-// has taken over the address of the chosen one is left out.
+// TestMisdirectedNoticeIsIgnored checks that a notice is ignored if it comes from a server that has
+// taken over the address of the picked one.
 func TestMisdirectedNoticeIsIgnored(t *testing.T) {
 	f := newFixture(t, 1)
 	f.backends[0].Leave()
--- a/process/proxy/proxy.go
+++ b/process/proxy/proxy.go
@@ -29,97 +29,101 @@
 	"shalewick/version"
 )
 
-// Proxy is the http.Handler of callers. The fields are set before use.
+// Proxy is the http.Handler that serves callers. The exported fields must be set before use.
 type Proxy struct {
 	Names       request.Names
 	Table       *balance.Table
 	RetryBudget *retry.Window
-	// Quota, if set, keeps workspaces within their rates.
+	// Quota, if set, enforces the rates of workspaces.
 	Quota *quota.Quota
-	// Limits, if set, are the rate limits that backend servers name; those of the table.
+	// Limits, if set, enforces the rate limits that backend servers report. Table uses the same
+	// limiter.
 	Limits *ratelimit.Limiter
-	// Rollouts, if set, says which requests go to the target of a roll-out.
+	// Rollouts, if set, decides which requests go to the target of a roll-out.
 	Rollouts *rollout.Rollouts
-	// Crashes, if set, is told of requests that were lost at backend servers.
+	// Crashes, if set, receives reports of requests that were lost at backend servers.
 	Crashes *crash.Watch
-	// Quarantine, if set, says which requests crash what runs them.
+	// Quarantine, if set, identifies requests that crash the backend servers that run them.
 	Quarantine *quarantine.Quarantine
-	// Held, if set, bounds what is held of requests and answers.
+	// Memory, if set, bounds the memory that buffered requests and responses take.
 	Memory  *held.Budget
 	Metrics *metric.Set
 	Log     zerolog.Logger
 	Now     func() time.Duration
-	// Fresh, if set, reports whether the configuration in force may be acted
-	// on; otherwise requests are refused.
+	// ConfigFresh, if set, reports whether the configuration in force is recent enough to be used.
+	// If it is not, requests are refused.
 	ConfigFresh func() bool
-	// NewID, if set, gives an id to requests that carry none.
+	// NewID, if set, generates an id for requests that carry none.
 	NewID func() string
-	// OnAnswer, if set, is told of each answer of a backend server.
+	// OnResponse, if set, is called for each response of a backend server.
 	OnResponse func(backend string, h http.Header, took time.Duration)
-	// Age returns how long ago the configuration in force was last confirmed.
+	// ConfigAge returns how long ago the configuration in force was last confirmed.
 	ConfigAge func() time.Duration
 
-	beginRollout       beginRolloutFunc // in place of Rollouts, for tests
+	beginRollout       beginRolloutFunc // replaces Rollouts in tests
 	keepAlivesDisabled atomic.Bool
 	calls              callSet
 	inFlight           atomic.Int64
 	bytesCarried       atomic.Int64
 }
 
-// Leave makes each further answer the last one on its connection.
+// DisableKeepAlives closes each caller's connection after its next response.
 func (p *Proxy) DisableKeepAlives() { p.keepAlivesDisabled.Store(true) }
 
-// Running returns the number of requests in flight.
+// InFlight returns the number of requests in flight.
 func (p *Proxy) InFlight() int64 { return p.inFlight.Load() }
 
-// headBytes is the usual size of the heads of a request and its answer.
+// typicalHeaderBytes is the typical size of the headers of a request and its response together.
 const typicalHeaderBytes = 700
 
-// Carried returns the bytes that went through the instance's link, about: the larger of
-// what came in and what went out, which are nearly the same since all is passed on.
+// BytesCarried returns the approximate number of bytes transferred over the instance's network
+// link: the larger of what was received and what was sent. The two are nearly equal, since
+// everything that is received is forwarded.
 func (p *Proxy) BytesCarried() int64 { return p.bytesCarried.Load() }
 
-// Bounds of what is held in memory, in bytes.
+// Size limits of what is buffered in memory, in bytes.
 const (
-	// maxHeldBody is the size up to which a request's body is held whole if there is room, so
-	// that it can be sent again.
+	// maxBufferedBody is the largest request body that is buffered whole, which makes the request
+	// retryable. Less is buffered when memory is short.
 	maxBufferedBody = 1 << 20
-	// maxHeldAnswer is the size up to which an answer is held whole if there is room.
+	// maxBufferedResponse is the largest response that is buffered whole. Less is buffered when
+	// memory is short.
 	maxBufferedResponse = 1 << 20
 )
 
-// answerMargin is how long before its deadline a request is answered, so that
-// the answer arrives in time.
+// responseMargin is how long before its deadline a request gets its final response, so that the
+// response arrives in time.
 const responseMargin = 5 * time.Millisecond
 
-// call is one request on its way.
+// call is the state of one request.
 type call struct {
 	w     http.ResponseWriter
 	r     *http.Request
 	id    string
 	route *version.RouteView
-	// workspace is that of the caller's key; nil: none.
+	// workspace is the workspace of the caller's key, or nil.
 	workspace      *version.WorkspaceView
-	quotaTaken     bool           // a token of its rate was taken
-	quotaRefusal   *quota.Refusal // why no token was had; nil: one was
-	keysInUse      bool           // there are workspaces, so that callers show keys
+	quotaTaken     bool           // a token was taken from the workspace's rate
+	quotaRefusal   *quota.Refusal // why the quota refused the request; nil if it did not
+	keysInUse      bool           // workspaces are configured, so callers authenticate with keys
 	service        string
-	version        int64 // of the configuration that decided; zero: none
+	version        int64 // sequence number of the configuration in use; zero if there is none
 	deadline       time.Time
-	callerDeadline bool // the deadline is the caller's, below the route's timeout
+	callerDeadline bool // the deadline was set by the caller and is earlier than the route's timeout
 	startedAt      time.Time
-	// now is a clock that goes on while the machine is suspended, and begun is began by it.
+	// bootClock keeps running while the machine is suspended; startedOnBootClock is startedAt by
+	// that clock.
 	bootClock          func() time.Duration
 	startedOnBootClock time.Duration
 	bodyRead           bodyReadState
-	lease              *held.Lease // of what is held of it
-	isCutOff           atomic.Bool // its caller was cut off
+	lease              *held.Lease // accounts for the memory of the request and its response
+	isCutOff           atomic.Bool // the caller was cut off because it did not read
 	body               *body
-	fingerprint        request.Fingerprint // zero: the body was not read
-	noBackendReason    *balance.Why        // what the last choice saw, if it found no backend server
-	attempts           int                 // of which a byte may have left
-	possibleRuns       int                 // of them, those that may have run
-	notices            request.Notice      // what answers to its attempts asked for
+	fingerprint        request.Fingerprint // zero until the body has been read
+	noBackendReason    *balance.Why        // the diagnosis of the last pick, if it found no backend server
+	attempts           int                 // attempts of which at least one byte may have been sent
+	possibleRuns       int                 // attempts that the backend server may have run
+	notices            request.Notice      // the combined notices of the responses to its attempts
 }
 
 // ServeHTTP serves one request.
@@ -165,18 +169,18 @@
 		p.writeResult(c, res)
 		return
 	}
-	a, res := p.run(ctx, c)
+	resp, res := p.run(ctx, c)
 	p.settleQuota(c)
-	c.body = nil // no further attempt needs it
+	c.body = nil // no further attempt will be made
 	c.lease.Free(held.Bodies)
 	if res != nil {
 		p.writeResult(c, res)
 		return
 	}
-	p.relay(c, a)
+	p.relay(c, resp)
 }
 
-// classify finds route and deadline, or a refusal.
+// classify determines the route and the deadline, or refuses the request.
 func (p *Proxy) classify(c *call) *request.Result {
 	routing := p.Table.Routing()
 	if routing == nil {
@@ -194,25 +198,25 @@
 		return res
 	}
 	c.route = routing.Within(c.route, c.workspace)
-	l := routing.Limits
-	if l.MaxHeader > 0 && headerSize(c.r) > l.MaxHeader {
+	limits := routing.Limits
+	if limits.MaxHeader > 0 && headerSize(c.r) > limits.MaxHeader {
 		return notRun(request.HeaderTooLarge, 0)
 	}
-	if l.MaxBody > 0 && c.r.ContentLength > l.MaxBody {
+	if limits.MaxBody > 0 && c.r.ContentLength > limits.MaxBody {
 		return notRun(request.TooLarge, 0)
 	}
-	if l.MaxBody > 0 {
-		c.r.Body = http.MaxBytesReader(c.w, c.r.Body, l.MaxBody)
+	if limits.MaxBody > 0 {
+		c.r.Body = http.MaxBytesReader(c.w, c.r.Body, limits.MaxBody)
 	}
 	if c.r.Header.Get("Upgrade") != "" || c.r.Method == http.MethodConnect {
 		return notRun(request.BadRequest, 0)
 	}
 	c.bootClock, c.startedOnBootClock = p.Now, p.Now()-time.Since(c.startedAt)
 	c.deadline = c.startedAt.Add(time.Duration(c.route.Timeout))
-	if ms, err := strconv.ParseInt(c.r.Header.Get(p.Names.Deadline), 10, 64); err == nil && ms >= 0 {
-		left := time.Duration(ms) * time.Millisecond
-		if d := c.startedAt.Add(left); d.Before(c.deadline) {
-			c.deadline, c.callerDeadline = d, true
+	if timeout, err := strconv.ParseInt(c.r.Header.Get(p.Names.Deadline), 10, 64); err == nil && timeout >= 0 {
+		remaining := time.Duration(timeout) * time.Millisecond
+		if deadline := c.startedAt.Add(remaining); deadline.Before(c.deadline) {
+			c.deadline, c.callerDeadline = deadline, true
 		}
 	}
 	c.deadline = c.deadline.Add(-responseMargin)
@@ -234,15 +238,15 @@
 	return &r
 }
 
-// body is a request's body: whole, or a beginning and a rest.
+// body is a request body: buffered whole, or a buffered beginning and an unread rest.
 type body struct {
 	buffered []byte
-	rest     io.Reader // nil when whole is all of it
-	length   int64     // -1 when not known
-	restUsed bool      // rest was given to an attempt
+	rest     io.Reader // nil if all of the body is buffered
+	length   int64     // -1 if unknown
+	restUsed bool      // an attempt has started to read rest
 }
 
-// again reports whether the body can be sent once more.
+// replayable reports whether the body can be sent once more.
 func (b *body) replayable() bool { return b.rest == nil || !b.restUsed }
 
 // reader returns the body for one attempt.
@@ -250,27 +254,27 @@
 	if b.rest == nil && len(b.buffered) == 0 {
 		return http.NoBody
 	}
-	whole := bytes.NewReader(b.buffered)
+	beginning := bytes.NewReader(b.buffered)
 	if b.rest == nil {
-		return io.NopCloser(whole)
+		return io.NopCloser(beginning)
 	}
 	b.restUsed = true
-	return io.NopCloser(io.MultiReader(whole, b.rest))
+	return io.NopCloser(io.MultiReader(beginning, b.rest))
 }
 
-// readBody reads the body up to maxHeldBody, or as far as there is room.
+// readBody buffers up to maxBufferedBody bytes of the body, or fewer if memory is short.
 func (p *Proxy) readBody(c *call) *request.Result {
 	c.body = &body{}
 	if c.r.ContentLength == 0 {
 		return nil
 	}
 	c.setBodyReadDeadline(time.Now().Add(c.timeLeft()))
-	text, whole, err := held.Read(c.lease, held.Bodies, callerBody{c.r.Body, c.lease}, c.r.ContentLength, maxBufferedBody)
-	c.body.buffered = text
+	data, whole, err := held.Read(c.lease, held.Bodies, callerBody{c.r.Body, c.lease}, c.r.ContentLength, maxBufferedBody)
+	c.body.buffered = data
 	if err != nil {
 		return bodyErrorResult(err)
 	}
-	c.body.length = int64(len(text))
+	c.body.length = int64(len(data))
 	p.bytesCarried.Add(max(c.body.length, c.r.ContentLength))
 	if !whole {
 		c.body.rest = c.r.Body
@@ -280,10 +284,10 @@
 	return nil
 }
 
-// bodyResult is the end of a request whose body could not be read.
+// bodyErrorResult returns the result for a request whose body could not be read.
 func bodyErrorResult(err error) *request.Result {
-	var large *http.MaxBytesError
-	if errors.As(err, &large) {
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
 		return notRun(request.TooLarge, 0)
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -292,8 +296,8 @@
 	return notRun(request.CallerGone, 0)
 }
 
-// object returns the hash of the object that a request concerns, or zero. It
-// is of the service too, since objects of two services are not the same.
+// objectHash returns the hash of the object that a request concerns, or zero if it names none. The
+// hash includes the service, since equal object names of two services are different objects.
 func (p *Proxy) objectHash(c *call) uint64 {
 	key := c.r.Header.Get(p.Names.Affinity)
 	if key == "" {
--- a/process/proxy/proxy_test.go
+++ b/process/proxy/proxy_test.go
@@ -28,7 +28,7 @@
 	"shalewick/version"
 )
 
-// fixture is a proxy before some backend servers, in one process.
+// fixture is a proxy with some backend servers, in one process.
 type fixture struct {
 	t        testing.TB
 	proxy    *Proxy
@@ -41,9 +41,9 @@
 func newFixture(t testing.TB, backends int) *fixture {
 	t.Helper()
 	f := &fixture{t: t, config: &version.Config{Seq: 1, Resources: map[version.Key]version.Resource{}}}
-	begun := time.Now()
-	now := func() time.Duration { return time.Since(begun) + time.Hour }
-	one := func() int { return 1 }
+	start := time.Now()
+	now := func() time.Duration { return time.Since(start) + time.Hour }
+	oneInstance := func() int { return 1 }
 	f.table = &balance.Table{
 		Now: now, Place: func() (int, int) { return 0, 1 }, Region: "north",
 		NewPool: func(a string) *conn.Pool {
@@ -52,7 +52,7 @@
 	}
 	f.proxy = &Proxy{
 		Names: request.OwnNames, Table: f.table, Metrics: metric.NewSet(), Log: zerolog.Nop(), Now: now,
-		RetryBudget: &retry.Window{Span: 10 * time.Second, Ratio: 0.2, Fixed: 20, Instances: one},
+		RetryBudget: &retry.Window{Span: 10 * time.Second, Ratio: 0.2, Fixed: 20, Instances: oneInstance},
 	}
 	f.put(version.Resource{Key: version.Key{Kind: version.KindRegion, Name: "north"}, Region: &version.Region{}})
 	f.put(version.Resource{Key: version.Key{Kind: version.KindHall, Name: "n1"}, Hall: &version.Hall{Region: "north"}})
@@ -91,8 +91,8 @@
 	}})
 }
 
-// firstFails sets the fault of the backend server that is asked first, which has run
-// one request then.
+// failFirstBackend sets the fault of the backend server that is used first. It has run one request
+// by then.
 func (f *fixture) failFirstBackend(fault server.Fault) {
 	f.t.Helper()
 	f.assertServed(f.send("first", "/reads/1", ""), "first")
@@ -103,7 +103,7 @@
 	}
 }
 
-// allShed makes all backend servers refuse.
+// shedAll makes all backend servers refuse requests.
 func (f *fixture) shedAll() {
 	for _, s := range f.backends {
 		s.Next(server.Shed, server.Shed, server.Shed)
@@ -140,14 +140,14 @@
 	req.Host = "a.example"
 	req.Header.Set(request.OwnNames.ID, id)
 	req.Header.Set(request.OwnNames.Affinity, object)
-	begun := time.Now()
+	start := time.Now()
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return reply{err: err, took: time.Since(begun)}
+		return reply{err: err, took: time.Since(start)}
 	}
 	defer res.Body.Close()
 	b, err := io.ReadAll(res.Body)
-	return reply{status: res.StatusCode, header: res.Header, body: string(b), err: err, took: time.Since(begun)}
+	return reply{status: res.StatusCode, header: res.Header, body: string(b), err: err, took: time.Since(start)}
 }
 
 func (f *fixture) assertServed(r reply, id string) {
@@ -171,19 +171,19 @@
 	assert.Assert(t, left > 0 && left <= 600, "%d", left)
 }
 
-// TestFaultsOfBackends checks, for each way in which a backend server misbehaves,
-// what the client gets and how often the request ran.
+// TestBackendFaults checks, for each kind of backend fault, what the caller receives and how often
+// the request ran.
 func TestBackendFaults(t *testing.T) {
 	for _, x := range []struct {
 		name        string
 		fault       server.Fault
-		reads, bids int // status; 200 is the client's own whole answer
+		reads, bids int // expected status; 200 stands for the complete response to this request
 		bidRuns     int
 	}{
 		{"cut", server.Cut, 200, 502, 1},
 		{"lost", server.Lost, 200, 502, 1},
-		{"silent", server.Silent, 504, 504, 1},
-		{"no answer", server.NotAnswer, 200, 502, 1},
+		{"unresponsive", server.Silent, 504, 504, 1},
+		{"no response", server.NotAnswer, 200, 502, 1},
 		{"unframed", server.Unframed, 200, 200, 1},
 		{"unframed and reset", server.UnframedCut, 200, 502, 1},
 		{"surplus before", server.Surplus, 200, 200, 1},
@@ -215,13 +215,13 @@
 	}
 	assert.NilError(f.t, r.err)
 	assert.Equal(f.t, r.status, status)
-	assert.Equal(f.t, r.header.Get(request.OwnNames.Seal), "", "no seal on an answer of our own")
+	assert.Equal(f.t, r.header.Get(request.OwnNames.Seal), "", "responses of the proxy carry no seal")
 	assert.Equal(f.t, r.header.Get(request.HeaderRan), string(request.RanUnknown))
 	assert.Equal(f.t, r.header.Get("Retry-After"), "")
 }
 
-// TestRefusalIsAtOnceAndSaysWhenToComeBack checks that a request for which
-// there is no backend server is not held.
+// TestRefusalIsImmediateWithRetryAfter checks that a request for which no backend server is
+// available is not queued.
 func TestRefusalIsImmediateWithRetryAfter(t *testing.T) {
 	f := newFixture(t, 2)
 	f.shedAll()
@@ -247,16 +247,15 @@
 	}
 }
 
-// TestNothingIsTriedOnWhenThereIsNoOther checks that a request whose only
-// backend could not be reached, or refused it, gets its final answer at once
-// and takes one retry at most.
+// TestSingleBackendFailureIsFinalImmediately checks that a request whose only backend server could
+// not be reached, or refused it, is answered immediately and takes at most one retry.
 func TestSingleBackendFailureIsFinalImmediately(t *testing.T) {
-	for name, spoil := range map[string]func(f *fixture){
+	for name, fail := range map[string]func(f *fixture){
 		"dead":    func(f *fixture) { f.backends[0].Close() },
 		"refuses": func(f *fixture) { f.shedAll() },
 	} {
 		f := newFixture(t, 1)
-		spoil(f)
+		fail(f)
 		r := f.send("x", "/reads/1", "")
 		assert.Equal(t, r.status, http.StatusServiceUnavailable, name)
 		assert.Assert(t, r.took < 250*time.Millisecond, "%s: after %s", name, r.took)
@@ -273,7 +272,7 @@
 	empty := &Proxy{Names: request.OwnNames, Table: &balance.Table{}, Metrics: metric.NewSet(), Log: zerolog.Nop()}
 	rec := httptest.NewRecorder()
 	empty.ServeHTTP(rec, httptest.NewRequest(http.MethodGet, "/reads/1", nil))
-	assert.Equal(t, rec.Code, http.StatusServiceUnavailable, "404 only with a configuration")
+	assert.Equal(t, rec.Code, http.StatusServiceUnavailable, "404 is allowed only with a configuration")
 }
 
 func TestRouteTimeout(t *testing.T) {
@@ -284,7 +283,8 @@
 	assert.Assert(t, r.took > 500*time.Millisecond && r.took < 800*time.Millisecond, "%s", r.took)
 }
 
-// leave sends a request that its caller gives up after a time, before its answer.
+// sendAndAbandon sends a request that its caller abandons after the given time, before the
+// response.
 func (f *fixture) sendAndAbandon(id string, after time.Duration) {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), after)
@@ -297,8 +297,8 @@
 	assert.Assert(f.t, err != nil)
 }
 
-// TestClientThatLeavesEndsItsRequest checks that a backend server sees within half a
-// second that the client left.
+// TestCallerDisconnectCancelsRequest checks that a backend server notices within half a second that
+// the caller has disconnected.
 func TestCallerDisconnectCancelsRequest(t *testing.T) {
 	f := newFixture(t, 1)
 	f.backends[0].Work = 500 * time.Millisecond
@@ -309,7 +309,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the backend server still works")
+	t.Fatal("the backend server is still working")
 }
 
 func TestConnectionsAreReused(t *testing.T) {
@@ -350,8 +350,8 @@
 	assert.Assert(t, res.Close)
 }
 
-// TestHalfSentRequestsRunNothing sends bodies that end early, in both framings,
-// and a smuggled length.
+// TestTruncatedRequestsRunNothing sends bodies that end early, in both framings, conflicting
+// lengths and malformed headers.
 func TestTruncatedRequestsRunNothing(t *testing.T) {
 	f := newFixture(t, 1)
 	for _, text := range []string{
--- a/process/proxy/rollout.go
+++ b/process/proxy/rollout.go
@@ -13,26 +13,25 @@
 	"shalewick/process/rollout"
 )
 
-// rolled is one attempt at a request as roll-outs see it: a *rollout.Attempt, or
-// noRollout.
+// rolloutAttempt represents an attempt to the roll-outs. It is a *rollout.Attempt or noRollout.
 type rolloutAttempt interface {
 	Target() string
 	Decline(over bool) bool
 	Done(o rollout.Outcome)
 }
 
-// beginner begins an attempt as rollout.Rollouts.Begin does.
+// beginRolloutFunc begins an attempt as rollout.Rollouts.Begin does.
 type beginRolloutFunc func(service, route string, first bool, home func() (hash uint64, ok bool)) rolloutAttempt
 
-// noRollout is an attempt at a request of a service whose version does not change.
+// noRollout is an attempt at a service that has no roll-out.
 type noRollout struct{}
 
 func (noRollout) Target() string       { return "" }
 func (noRollout) Decline(bool) bool    { return true }
 func (noRollout) Done(rollout.Outcome) {}
 
-// begin begins an attempt. One that is not the first at a request goes to a target only
-// while nothing may go to the version before any more.
+// beginAttempt begins an attempt. Only the first attempt of a request goes to the target, unless
+// the previous version is closed to requests.
 func (t *transaction) beginAttempt() {
 	first := !t.attempted
 	t.attempted = true
@@ -46,7 +45,8 @@
 	if t.p.Rollouts == nil {
 		return noRollout{}
 	}
-	// The literal is not kept by Begin, so it takes no memory; a method value would.
+	// Begin does not retain the function literal, so it does not escape to the heap. A method value
+	// would.
 	a := t.p.Rollouts.Begin(service, route, first, func() (uint64, bool) { return t.targetHome() })
 	if a == nil {
 		return noRollout{}
@@ -54,11 +54,11 @@
 	return a
 }
 
-// home returns the home of the request's object at the target.
+// targetHome returns the home of the request's object among the target's backend servers.
 func (t *transaction) targetHome() (hash uint64, ok bool) { return t.p.Table.TargetHome(&t.query) }
 
-// pick chooses a backend server: of the target if the attempt goes there and one takes
-// it, else of the version in force, unless nothing may go there any more.
+// pick picks a backend server of the target if the attempt goes there and one can take it.
+// Otherwise it picks one of the version in force, unless that is closed to requests.
 func (t *transaction) pick() (*balance.Pick, balance.Refusal) {
 	t.query.Target = t.rolloutAttempt.Target()
 	pick, refusal := t.p.Table.Pick(&t.query)
@@ -73,31 +73,32 @@
 	return t.p.Table.Pick(&t.query)
 }
 
-// instead makes one more attempt at a request that a target answered with a failure of
-// its own, since a version that is tried must not cost callers their answers: at the
-// version in force, as long as that may be used. If nothing else is had, the failure is
-// the answer. One that is too large to be held is passed on as it is.
-func (t *transaction) retryTargetFailure(ctx context.Context, a *response) *response {
-	if !a.fromTarget || !a.isServerError() || a.ex != nil || !t.c.route.Repeatable || !t.retryAllowed(ctx) {
-		return a
+// retryTargetFailure retries a request that the target answered with a server error, since a trial
+// of a new version must not cost callers their responses. The retry goes to the version in force as
+// long as that accepts requests. If it gets no response, the target's error is returned. A response
+// that is too large to buffer is not retried.
+func (t *transaction) retryTargetFailure(ctx context.Context, resp *response) *response {
+	if !resp.fromTarget || !resp.isServerError() || resp.ex != nil || !t.c.route.Repeatable || !t.retryAllowed(ctx) {
+		return resp
 	}
-	t.logRetry(func(e *zerolog.Event) { e.Int("status", a.res.StatusCode) })
-	other, _ := t.attempt(ctx) // its end was logged
-	if other == nil {
-		return a
+	t.logRetry(func(e *zerolog.Event) { e.Int("status", resp.res.StatusCode) })
+	retried, _ := t.attempt(ctx) // attempt logs how it ended
+	if retried == nil {
+		return resp
 	}
-	return other
+	return retried
 }
 
-// failed reports whether the answer is a failure of the backend server's own.
-func (a *response) isServerError() bool { return a.res.StatusCode >= http.StatusInternalServerError }
+// isServerError reports whether the response is a server error (5xx).
+func (r *response) isServerError() bool { return r.res.StatusCode >= http.StatusInternalServerError }
 
-// answered tells roll-outs of an answer.
-func (t *transaction) reportResponse(a *response, took time.Duration) {
-	t.reportOutcome(a.pick, rollout.Outcome{Failed: a.isServerError(), Took: took, Unseen: a.pick.Unseen, Cold: a.pick.Cold})
+// reportResponse reports a response to the roll-outs.
+func (t *transaction) reportResponse(resp *response, took time.Duration) {
+	t.reportOutcome(resp.pick, rollout.Outcome{Failed: resp.isServerError(), Took: took, Unseen: resp.pick.Unseen, Cold: resp.pick.Cold})
 }
 
-// over tells roll-outs what came of an attempt, and counts it for the version that had it.
+// reportOutcome reports the outcome of an attempt to the roll-outs, and counts it for the software
+// version of the backend server.
 func (t *transaction) reportOutcome(pick *balance.Pick, o rollout.Outcome) {
 	t.rolloutAttempt.Done(o)
 	if !o.Inconclusive {
@@ -105,13 +106,14 @@
 	}
 }
 
-// tooShort reports whether a caller's own deadline left an attempt that was sent at a
-// time less than usual answers there take, so that it tells nothing of the backend server.
+// deadlineTooShort reports whether the caller's own deadline left the attempt, sent at the given
+// time, less time than the backend server usually needs. Its failure then says nothing about the
+// backend server.
 func (c *call) deadlineTooShort(pick *balance.Pick, sent time.Time) bool {
 	return c.callerDeadline && c.deadline.Sub(sent) < pick.Needs
 }
 
-// line begins a log line on an attempt at a backend server.
+// logLine begins a log line about an attempt at a backend server.
 func (t *transaction) logLine(pick *balance.Pick) *zerolog.Event {
 	return t.p.Log.Info().Str("id", t.c.id).Str("backend", pick.Name).Str("software", pick.Software).Bool("target", t.query.Target != "")
 }
--- a/process/proxy/rollout_failure_test.go
+++ b/process/proxy/rollout_failure_test.go
@@ -18,8 +18,8 @@
 	"shalewick/version"
 )
 
-// TestFailureOfTheTargetIsTriedAtTheVersionInForce checks that a caller whose request may
-// be repeated does not see a failure of the target.
+// TestTargetServerErrorIsRetriedOnVersionInForce checks that a caller whose request is repeatable
+// does not see a server error of the target.
 func TestTargetServerErrorIsRetriedOnVersionInForce(t *testing.T) {
 	x := newRolloutFixture(t)
 	x.new.Next(server.Broken)
@@ -31,12 +31,12 @@
 	assert.Assert(t, all[0].toTarget && all[0].outcomes[0].Failed)
 	assert.Assert(t, !all[1].first && !all[1].outcomes[0].Failed)
 	assert.Assert(t, strings.Contains(x.metrics(), `retries_total{service="s"} 1`))
-	assert.Equal(t, len(x.log.lines("answered")), 1, "one answer was passed on")
+	assert.Equal(t, len(x.log.lines("answered")), 1, "one response was relayed")
 	assert.Assert(t, strings.Contains(x.log.lines("tried-again")[0], "status=500"))
 }
 
-// TestFailureOfTheTargetIsPassedOnIfNotRepeatable checks that what must not run twice
-// does not.
+// TestTargetServerErrorIsDeliveredIfNotRepeatable checks that a request that must not run twice is
+// not retried.
 func TestTargetServerErrorIsDeliveredIfNotRepeatable(t *testing.T) {
 	x := newRolloutFixture(t)
 	x.new.Next(server.Broken)
@@ -47,8 +47,7 @@
 	assert.Assert(t, x.outcome().Failed)
 }
 
-// TestFailureOfTheVersionInForceIsPassedOn checks that only a target's failures are tried
-// elsewhere.
+// TestVersionInForceServerErrorIsDelivered checks that only server errors of a target are retried.
 func TestVersionInForceServerErrorIsDelivered(t *testing.T) {
 	x := newRolloutFixture(t)
 	x.routesToTarget = false
@@ -57,21 +56,21 @@
 	assert.Equal(t, len(x.runs()), 1)
 }
 
-// TestFailureOfTheTargetStandsIfNothingElseIsHad checks each way in which the version in
-// force gives no answer.
+// TestTargetServerErrorIsDeliveredIfRetryFails covers each way in which the version in force fails
+// to provide a response.
 func TestTargetServerErrorIsDeliveredIfRetryFails(t *testing.T) {
-	for name, spoil := range map[string]func(x *rolloutFixture){
-		"lost":    func(x *rolloutFixture) { x.old.Next(server.Lost) },
-		"refused": func(x *rolloutFixture) { x.old.Next(server.Shed) },
-		"silent":  func(x *rolloutFixture) { x.old.Next(server.Silent) },
-		"absent":  func(x *rolloutFixture) { x.setVersions("v9", "v2") },
+	for name, fail := range map[string]func(x *rolloutFixture){
+		"lost":         func(x *rolloutFixture) { x.old.Next(server.Lost) },
+		"refused":      func(x *rolloutFixture) { x.old.Next(server.Shed) },
+		"unresponsive": func(x *rolloutFixture) { x.old.Next(server.Silent) },
+		"absent":       func(x *rolloutFixture) { x.setVersions("v9", "v2") },
 		"one attempt": func(x *rolloutFixture) {
 			x.config.Resources[version.Key{Kind: version.KindRoute, Name: "reads"}].Route.Attempts = 1
 			x.install()
 		},
 	} {
 		x := newRolloutFixture(t)
-		spoil(x)
+		fail(x)
 		x.new.Next(server.Broken)
 		r := x.send("r", "/reads/1", "")
 		assert.NilError(t, r.err)
@@ -83,7 +82,7 @@
 	}
 }
 
-// TestBothVersionsFail checks that the failure of the version in force is the answer.
+// TestBothVersionsFail checks that the server error of the version in force is delivered.
 func TestBothVersionsFail(t *testing.T) {
 	x := newRolloutFixture(t)
 	x.new.Next(server.Broken)
@@ -94,11 +93,11 @@
 	assert.Assert(t, strings.Contains(x.log.lines("answered")[0], "software=v1"))
 }
 
-// TestLateAnswersOfTheTargetAreDelivered checks an answer after the objective, and a
-// failure that stands when the time is over.
+// TestLateTargetResponsesAreDelivered covers a response after the objective, and a server error of
+// the target whose retry runs out of time.
 func TestLateTargetResponsesAreDelivered(t *testing.T) {
 	x := newRolloutFixture(t)
-	x.new.Work = 500 * time.Millisecond // of 600; the objective is 300
+	x.new.Work = 500 * time.Millisecond // the route's timeout is 600 ms, its objective 300 ms
 	x.assertServed(x.send("r", "/reads/1", ""), "r")
 	x = newRolloutFixture(t)
 	x.new.Work = 450 * time.Millisecond
@@ -110,8 +109,8 @@
 	assert.Equal(t, r.body, server.Body("r"))
 }
 
-// TestRetriesForTheTargetStayWithinTheBudget checks that a target that always fails costs
-// no more retries than all faults together may, and that each caller has an answer.
+// TestTargetRetriesStayWithinBudget checks that a target that always fails causes no more retries
+// than the retry budget allows, and that each caller gets a response.
 func TestTargetRetriesStayWithinBudget(t *testing.T) {
 	const requests, ratio = 60, 0.2
 	x := newRolloutFixture(t)
@@ -131,13 +130,14 @@
 			failed++
 		}
 	}
-	again := len(x.old.Runs())
-	assert.Equal(t, again, requests-failed)
-	assert.Assert(t, again > 0 && again <= ratio*requests, "%d of %d", again, requests)
+	retries := len(x.old.Runs())
+	assert.Equal(t, retries, requests-failed)
+	assert.Assert(t, retries > 0 && retries <= ratio*requests, "%d of %d", retries, requests)
 }
 
-// TestLargeAnswerCountsUntilItIsPassedOn checks that roll-outs are told when its beginning
-// is there, and that it is in flight at its version until the caller has it.
+// TestStreamedResponseIsInFlightUntilDelivered checks that the outcome is reported once the
+// beginning of a large response has arrived, and that the request counts as in flight until the
+// caller has received all of it.
 func TestStreamedResponseIsInFlightUntilDelivered(t *testing.T) {
 	const size = 3 << 20
 	rest := make(chan struct{})
@@ -153,24 +153,24 @@
 		_, _ = w.Write(make([]byte, size/2))
 	}))
 	defer old.Close()
-	defer sendRest() // which the backend server waits for
+	defer sendRest() // unblocks the backend server's handler before Close waits for it
 	x.backend("u0", old.Listener.Addr().String())
 	x.software("u0", "v1")
 	x.install()
 	got := make(chan reply, 1)
 	go func() { got <- x.send("r", "/reads/1", "") }()
-	for begun := time.Now(); ; time.Sleep(time.Millisecond) {
+	for start := time.Now(); ; time.Sleep(time.Millisecond) {
 		x.mu.Lock()
-		told := len(x.recorded) == 1 && len(x.recorded[0].outcomes) == 1
+		reported := len(x.recorded) == 1 && len(x.recorded[0].outcomes) == 1
 		x.mu.Unlock()
-		if told {
+		if reported {
 			break
 		}
-		assert.Assert(t, time.Since(begun) < 500*time.Millisecond)
+		assert.Assert(t, time.Since(start) < 500*time.Millisecond)
 	}
 	assert.Equal(t, x.table.InFlight("s"), 1)
 	x.setVersions("v2", "")
-	assert.Equal(t, x.table.InFlight("s"), 1, "also when its version has left")
+	assert.Equal(t, x.table.InFlight("s"), 1, "still in flight after its version was replaced")
 	sendRest()
 	r := <-got
 	assert.NilError(t, r.err)
--- a/process/proxy/rollout_fixture_test.go
+++ b/process/proxy/rollout_fixture_test.go
@@ -17,18 +17,18 @@
 	"shalewick/version"
 )
 
-// recorder stands in for roll-outs: it sends requests to the target as it is told, and
-// keeps what it hears.
+// recorder replaces the roll-outs: it routes attempts to the target as configured, and records
+// their outcomes.
 type recorder struct {
 	routesToTarget bool   // first attempts go to the target
-	targetVersion  string // the version that the roll-out brings
-	previousClosed bool   // nothing may go to the version before: further attempts go there, too
+	targetVersion  string // the version that is rolled out
+	previousClosed bool   // the previous version is closed to requests, so further attempts go to the target, too
 
 	mu       sync.Mutex
 	recorded []*recordedAttempt
 }
 
-// recorded is one attempt.
+// recordedAttempt is one attempt and its outcomes.
 type recordedAttempt struct {
 	*recorder
 	service, route string
@@ -67,7 +67,7 @@
 	a.outcomes = append(a.outcomes, o)
 }
 
-// attempts returns the attempts, each of which must have ended once.
+// attempts returns all attempts, and checks that each has exactly one outcome.
 func (r *recorder) attempts(t testing.TB) []recordedAttempt {
 	t.Helper()
 	r.mu.Lock()
@@ -83,8 +83,8 @@
 	return out
 }
 
-// rolling is a proxy before one backend server of the version in force and one of a
-// target that gets all first attempts.
+// rolloutFixture is a proxy with one backend server of the version in force and one of a target
+// that receives all first attempts.
 type rolloutFixture struct {
 	*fixture
 	*recorder
@@ -92,7 +92,7 @@
 	log      *syncBuffer
 }
 
-// syncBuffer is a buffer that several may write to.
+// syncBuffer is a buffer that is safe for concurrent use.
 type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -104,7 +104,7 @@
 	return b.b.Write(p)
 }
 
-// lines returns the lines of an event.
+// lines returns the log lines of an event.
 func (b *syncBuffer) lines(event string) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -136,12 +136,12 @@
 func (x *rolloutFixture) setVersions(inForce, target string) {
 	x.config.Software = map[string]version.Software{"s": {InForce: inForce, Target: target}}
 	if target != "" {
-		x.targetVersion = target // else the roll-outs have not been told yet
+		x.targetVersion = target // otherwise the recorder still has the previous target
 	}
 	x.install()
 }
 
-// metrics returns the text of all metrics.
+// metrics returns all metrics in text form.
 func (f *fixture) metrics() string {
 	f.t.Helper()
 	var text strings.Builder
@@ -151,7 +151,7 @@
 
 func (f *fixture) hasRetries() bool { return strings.Contains(f.metrics(), "retries_total") }
 
-// outcome returns the outcome of the only attempt there was.
+// outcome returns the outcome of the only attempt.
 func (x *rolloutFixture) outcome() rollout.Outcome {
 	x.t.Helper()
 	all := x.attempts(x.t)
--- a/process/proxy/rollout_test.go
+++ b/process/proxy/rollout_test.go
@@ -22,7 +22,8 @@
 	"shalewick/version"
 )
 
-// TestFirstAttemptGoesToTheTarget checks one, and what roll-outs are told of it.
+// TestFirstAttemptUsesTarget checks that the first attempt goes to the target, and what is reported
+// to the roll-outs.
 func TestFirstAttemptUsesTarget(t *testing.T) {
 	x := newRolloutFixture(t)
 	x.new.First = 30 * time.Millisecond
@@ -40,7 +41,7 @@
 	assert.Assert(t, !x.attempts(t)[1].outcomes[0].Unseen)
 }
 
-// TestColdIsTold checks that an answer of a cold backend server is marked.
+// TestColdBackendIsMarkedInOutcome checks that the outcome says that the backend server was cold.
 func TestColdBackendIsMarkedInOutcome(t *testing.T) {
 	x := newRolloutFixture(t)
 	x.config.Resources[version.Key{Kind: version.KindBackend, Name: "u1"}].Backend.Cold = version.Duration(time.Minute)
@@ -49,8 +50,8 @@
 	assert.Assert(t, x.outcome().Cold)
 }
 
-// TestRequestWithoutObjectMayGoToAnyOfTheTarget sends one that names no object: a service
-// whose requests concern none has roll-outs, too.
+// TestRequestWithoutObjectMayUseTarget sends a request that names no object. Services whose
+// requests name none have roll-outs, too.
 func TestRequestWithoutObjectMayUseTarget(t *testing.T) {
 	x := newRolloutFixture(t)
 	rec := httptest.NewRecorder()
@@ -62,10 +63,11 @@
 	assert.Assert(t, x.attempts(t)[0].hasHome)
 }
 
-// TestTargetThatCannotTakeItIsDeclined checks that a request for which the target has no
-// place goes to the version in force in the same attempt, whatever may be repeated.
+// TestUnavailableTargetFallsBackToVersionInForce checks that a request that the target has no
+// capacity for goes to the version in force within the same attempt, whether or not it is
+// repeatable.
 func TestUnavailableTargetFallsBackToVersionInForce(t *testing.T) {
-	for name, spoil := range map[string]func(x *rolloutFixture){
+	for name, breakTarget := range map[string]func(x *rolloutFixture){
 		"absent": func(x *rolloutFixture) { x.setVersions("v1", "v9") },
 		"leaving": func(x *rolloutFixture) {
 			x.config.Resources[version.Key{Kind: version.KindBackend, Name: "u1"}].Backend.Leaving = true
@@ -78,7 +80,7 @@
 		"ended": func(x *rolloutFixture) { x.setVersions("v1", "") },
 	} {
 		x := newRolloutFixture(t)
-		spoil(x)
+		breakTarget(x)
 		x.assertServed(x.send("b", "/bids/1", "an offer"), "b")
 		all := x.attempts(t)
 		assert.Equal(t, len(all), 1, name)
@@ -94,8 +96,8 @@
 	}
 }
 
-// TestNothingGoesToAVersionThatIsClosed checks that once an instance has said that it
-// sends nothing to the version before, a request that the target can't take is refused.
+// TestClosedVersionGetsNoRequests checks that once an instance has announced that it sends nothing
+// more to the previous version, a request that the target cannot take is refused.
 func TestClosedVersionGetsNoRequests(t *testing.T) {
 	x := newRolloutFixture(t)
 	x.previousClosed = true
@@ -111,18 +113,16 @@
 	assert.Equal(t, len(x.old.Runs()), 0)
 }
 
-// TestEndOfARolloutRefusesNobody tells of requests that were refused with "no backend
-// server" in the millisecond in which a good target was completed: one or two of some
-// thousands, now and then, on busy machines. An instance takes up the record of the last
-// step in two steps: its table of backend servers first, then the roll-outs. A request that
-// came in between had a route of the new table, which names no target, and an attempt of
-// the old roll-out, which may go nowhere else. What proved it are the refusals' times:
-// after the table was installed and before the record was noted, both at the instance
-// that wrote it. The same gap refuses requests as a roll-out is reverted.
+// TestEndOfRolloutRefusesNoRequests guards against requests that are refused with NO_BACKEND as a
+// roll-out is completed or reverted. An instance applies the record of the last step in two steps:
+// first to the table of backend servers, then to the roll-outs. A request in between gets a route
+// of the new table, which has no target, and an attempt of the old roll-out, which must not use the
+// other version. On busy machines this refused one or two of some thousands of requests in the
+// millisecond between the steps, at the instance that wrote the record.
 func TestEndOfRolloutRefusesNoRequests(t *testing.T) {
 	for name, inForce := range map[string]string{"completed": "v2", "reverted": "v1"} {
 		x := newRolloutFixture(t)
-		x.previousClosed = true // the roll-outs have not been told yet
+		x.previousClosed = true // the roll-outs have not applied the record yet
 		x.setVersions(inForce, "")
 		x.assertServed(x.send("b", "/bids/1", "an offer"), "b")
 		lines := x.log.lines("answered")
@@ -131,7 +131,7 @@
 	}
 }
 
-// TestNoPlaceAtEitherVersionIsUnsent checks a request that nobody can take.
+// TestNoCapacityAtEitherVersionIsInconclusive covers a request that no backend server can take.
 func TestNoCapacityAtEitherVersionIsInconclusive(t *testing.T) {
 	x := newRolloutFixture(t)
 	x.setVersions("v8", "v9")
@@ -139,9 +139,8 @@
 	assert.Equal(t, x.outcome(), rollout.Outcome{Inconclusive: true})
 }
 
-// TestOutcomeOfEachFault checks what roll-outs are told for each way in which the target
-// misbehaves, with a request that is not repeated, and that the caller gets what it gets
-// without a roll-out.
+// TestOutcomeOfEachFault checks which outcome is reported for each kind of fault of the target,
+// with a request that is not repeatable, and that the caller gets the same as without a roll-out.
 func TestOutcomeOfEachFault(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -150,12 +149,12 @@
 		status         int
 		attempts       int
 	}{
-		{"whole", server.None, false, false, 200, 1},
+		{"complete", server.None, false, false, 200, 1},
 		{"own failure", server.Broken, true, false, 500, 1},
 		{"cut", server.Cut, true, false, 502, 1},
 		{"lost", server.Lost, true, false, 502, 1},
-		{"no answer", server.NotAnswer, true, false, 502, 1},
-		{"silent", server.Silent, true, false, 504, 1},
+		{"no response", server.NotAnswer, true, false, 502, 1},
+		{"unresponsive", server.Silent, true, false, 504, 1},
 		{"misdirected", server.Moved, true, false, 200, 2},
 		{"refused", server.Shed, false, true, 200, 2},
 	} {
@@ -165,9 +164,9 @@
 		assert.Equal(t, r.status, c.status, c.name)
 		all := x.attempts(t)
 		assert.Equal(t, len(all), c.attempts, c.name)
-		o := all[0].outcomes[0]
-		assert.Equal(t, o.Failed, c.failed, c.name)
-		assert.Equal(t, o.Inconclusive, c.unsent, c.name)
+		outcome := all[0].outcomes[0]
+		assert.Equal(t, outcome.Failed, c.failed, c.name)
+		assert.Equal(t, outcome.Inconclusive, c.unsent, c.name)
 		for _, further := range all[1:] {
 			assert.Assert(t, !further.first && !further.outcomes[0].Failed, c.name)
 		}
@@ -175,8 +174,8 @@
 	}
 }
 
-// answering starts a backend server that answers each request with a text.
-func startScriptedBackend(t *testing.T, text func(id string) string) string {
+// startScriptedBackend starts a backend server that replies to each request with raw text.
+func startScriptedBackend(t *testing.T, reply func(id string) string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -194,33 +193,34 @@
 					return
 				}
 				_, _ = io.Copy(io.Discard, req.Body)
-				_, _ = io.WriteString(c, text(req.Header.Get(request.OwnNames.ID)))
+				_, _ = io.WriteString(c, reply(req.Header.Get(request.OwnNames.ID)))
 			}()
 		}
 	}()
 	return l.Addr().String()
 }
 
-// at puts the target's backend server at another address.
+// moveTarget changes the address of the target's backend server.
 func (x *rolloutFixture) moveTarget(address string) {
 	x.backend("u1", address)
 	x.software("u1", "v2")
 	x.install()
 }
 
-// TestForeignAnswerIsAFailure checks a target that answers other requests than were sent.
+// TestMismatchedResponsesAreFailure covers a target whose responses carry the ids of other
+// requests.
 func TestMismatchedResponsesAreFailure(t *testing.T) {
 	x := newRolloutFixture(t)
 	x.moveTarget(startScriptedBackend(t, func(string) string {
-		one := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: other\r\nContent-Length: 0\r\n\r\n", request.OwnNames.ID)
-		return strings.Repeat(one, maxMismatchedResponses+1)
+		response := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: other\r\nContent-Length: 0\r\n\r\n", request.OwnNames.ID)
+		return strings.Repeat(response, maxMismatchedResponses+1)
 	}))
 	assert.Equal(t, x.send("b", "/bids/1", "an offer").status, http.StatusBadGateway)
 	assert.Assert(t, x.outcome().Failed)
 }
 
-// TestUnreachableTargetIsUnsent checks that nothing is held against a target to which
-// no connection can be opened, and that the request is served.
+// TestUnreachableTargetIsInconclusive checks that a target to which no connection can be opened is
+// not blamed, and that the request is served.
 func TestUnreachableTargetIsInconclusive(t *testing.T) {
 	x := newRolloutFixture(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -234,8 +234,8 @@
 	assert.Equal(t, len(x.old.Runs()), 1)
 }
 
-// TestCallerThatLeavesTellsNothingOfTheTarget checks one that leaves while the target
-// works.
+// TestCallerDisconnectIsInconclusive covers a caller that disconnects while the target processes
+// the request.
 func TestCallerDisconnectIsInconclusive(t *testing.T) {
 	x := newRolloutFixture(t)
 	x.new.Work = 400 * time.Millisecond
@@ -244,7 +244,7 @@
 	assert.Equal(t, x.outcome(), rollout.Outcome{Inconclusive: true})
 }
 
-// sendWithin sends a read with a deadline of the caller's own.
+// sendWithDeadline sends a read with a deadline set by the caller.
 func (x *rolloutFixture) sendWithDeadline(id string, left time.Duration) int {
 	x.t.Helper()
 	req, err := http.NewRequest(http.MethodGet, x.front.URL+"/reads/1", nil)
@@ -259,16 +259,16 @@
 	return res.StatusCode
 }
 
-// TestDeadlineOfTheCallerTellsNothingIfItIsShort checks a deadline of the caller's below
-// and one above what answers usually take, at a target that is silent.
+// TestShortCallerDeadlineIsInconclusive covers callers' deadlines that are shorter and longer than
+// the usual response time, at a target that does not respond.
 func TestShortCallerDeadlineIsInconclusive(t *testing.T) {
 	x := newRolloutFixture(t)
 	x.new.Next(server.Silent, server.Silent)
 	x.new.Work = 0
 	assert.Equal(t, x.sendWithDeadline("short", 100*time.Millisecond), http.StatusGatewayTimeout)
-	assert.Assert(t, x.outcome().Inconclusive, "the first work is taken to need more")
+	assert.Assert(t, x.outcome().Inconclusive, "the first request of an object is expected to take longer")
 	x = newRolloutFixture(t)
-	for i := range 30 { // so that the usual work is known, and the object seen
+	for i := range 30 { // warm up the estimate of the usual processing time, and let the object be seen
 		id := fmt.Sprint("w", i)
 		x.assertServed(x.send(id, "/reads/1", ""), id)
 	}
@@ -279,7 +279,7 @@
 	assert.Assert(t, all[30].outcomes[0].Failed)
 }
 
-// TestVersionIsLoggedAndMeasured checks the fields of the lines and the metrics.
+// TestVersionIsLoggedAndCounted checks the software version in log lines and metrics.
 func TestVersionIsLoggedAndCounted(t *testing.T) {
 	x := newRolloutFixture(t)
 	x.assertServed(x.send("r1", "/reads/1", ""), "r1")
@@ -310,8 +310,9 @@
 	}
 }
 
-// TestRolloutsDecideOnRequests lets the roll-outs of an instance that is alone decide, on
-// a clock that the requests move, and checks that the target gets some, within its share.
+// TestRolloutShareBoundsTargetRequests uses the real roll-outs of a single instance, with a clock
+// that advances with each request, and checks that the target receives some requests, but no more
+// than its share.
 func TestRolloutShareBoundsTargetRequests(t *testing.T) {
 	const requests, share, slack = 300, 0.2, 10
 	x := newRolloutFixture(t)
@@ -336,14 +337,14 @@
 		id := fmt.Sprint("r", i)
 		x.assertServed(x.send(id, "/bids/1", "an offer"), id)
 	}
-	at := len(x.new.Runs())
-	assert.Assert(t, at > 0 && float64(at) <= share*requests+slack, "%d of %d", at, requests)
-	assert.Equal(t, len(x.old.Runs()), requests-at)
+	atTarget := len(x.new.Runs())
+	assert.Assert(t, atTarget > 0 && float64(atTarget) <= share*requests+slack, "%d of %d", atTarget, requests)
+	assert.Equal(t, len(x.old.Runs()), requests-atTarget)
 	assert.Equal(t, x.table.InFlight("s"), 0)
 }
 
-// BenchmarkNoRollout measures what roll-outs add to a request while none runs: the
-// beginning, the end, and the counts by version.
+// BenchmarkNoRollout measures the cost of the roll-out code for a request while no roll-out is in
+// progress: the begin and the end of the attempt, and the counts by version.
 func BenchmarkNoRollout(b *testing.B) {
 	f := newFixture(b, 1)
 	f.proxy.Rollouts = &rollout.Rollouts{}
--- a/process/proxy/suspend_test.go
+++ b/process/proxy/suspend_test.go
@@ -15,24 +15,24 @@
 	"shalewick/standin/server"
 )
 
-// What follows is of machines that are suspended while requests are under way. Seen in the
-// code, not in a play: the time of a request was kept by a clock that stands still meanwhile.
-// How: a machine that was suspended for 5 s went on with requests as if these were 5 s
-// younger, told backend servers that there were seconds left, and sent to further ones what
-// its caller had given up. Proof: here the clock that goes on jumps, and the other does not.
+// The tests in this file cover a machine that is suspended while requests are in flight. The
+// deadline of a request was once kept by a clock that stops during a suspension. After a suspension
+// of 5 s the proxy treated requests as 5 s younger than they were: it told backend servers that
+// seconds were left, and retried requests that their callers had given up. The tests advance only
+// the clock that includes suspensions.
 
-// suspendable lets the clock that goes on while the machine is suspended jump.
+// simulateSuspension makes the clock that includes suspensions adjustable.
 func (f *fixture) simulateSuspension() (suspend func(time.Duration)) {
-	var jumped atomic.Int64
+	var suspended atomic.Int64
 	now := f.proxy.Now
-	f.proxy.Now = func() time.Duration { return now() + time.Duration(jumped.Load()) }
+	f.proxy.Now = func() time.Duration { return now() + time.Duration(suspended.Load()) }
 	f.table.Now = f.proxy.Now
-	return func(d time.Duration) { jumped.Add(int64(d)) }
+	return func(d time.Duration) { suspended.Add(int64(d)) }
 }
 
-// TestRequestThatAgedInASuspensionEnds checks that a request whose time passed while the
-// machine was suspended gets its final answer as soon as that is known, and one that has time
-// left does not.
+// TestRequestExpiredDuringSuspensionIsCancelled checks that a request whose deadline passed while
+// the machine was suspended is answered as soon as the suspension is detected, and that one with
+// time left goes on.
 func TestRequestExpiredDuringSuspensionIsCancelled(t *testing.T) {
 	f := newFixture(t, 1)
 	suspend := f.simulateSuspension()
@@ -42,19 +42,19 @@
 		suspend(200 * time.Millisecond)
 		f.proxy.CancelExpired()
 	}()
-	f.assertServed(f.send("younger", "/reads/1", ""), "younger")
+	f.assertServed(f.send("in-time", "/reads/1", ""), "in-time")
 	go func() {
 		time.Sleep(50 * time.Millisecond)
 		suspend(5 * time.Second)
 		f.proxy.CancelExpired()
 	}()
-	r := f.send("lapsed", "/bids/1", "body")
+	r := f.send("expired", "/bids/1", "body")
 	assert.Equal(t, r.status, http.StatusGatewayTimeout)
 	assert.Assert(t, r.took < 150*time.Millisecond, "%s", r.took)
 }
 
-// TestNothingIsSentOnForARequestThatAged checks that a request that was refused while the
-// machine was suspended is sent to no further backend server, and says that it has not run.
+// TestRequestExpiredDuringSuspensionIsNotRetried checks that a request that was refused by a
+// backend server while the machine was suspended is not retried, and is reported as not run.
 func TestRequestExpiredDuringSuspensionIsNotRetried(t *testing.T) {
 	f := newFixture(t, 2)
 	suspend := f.simulateSuspension()
@@ -62,14 +62,14 @@
 		s.Next(server.ShedLate)
 	}
 	time.AfterFunc(50*time.Millisecond, func() { suspend(5 * time.Second) })
-	r := f.send("aged", "/bids/1", "body")
+	r := f.send("expired", "/bids/1", "body")
 	assert.Equal(t, r.status, http.StatusServiceUnavailable)
 	assert.Equal(t, len(f.backends[0].Came())+len(f.backends[1].Came()), 1)
 	assert.Equal(t, len(f.runs()), 0)
 }
 
-// TestBackendIsToldTheTimeThatIsLeft checks that a suspension comes off the time that a
-// backend server is told.
+// TestForwardedDeadlineExcludesSuspension checks that the time of a suspension is subtracted from
+// the deadline that a backend server receives.
 func TestForwardedDeadlineExcludesSuspension(t *testing.T) {
 	f := newFixture(t, 2)
 	suspend := f.simulateSuspension()
@@ -82,7 +82,7 @@
 			s.Next()
 		}
 	})
-	f.assertServed(f.send("told", "/reads/1", ""), "told")
+	f.assertServed(f.send("served", "/reads/1", ""), "served")
 	runs := f.runs()
 	assert.Equal(t, len(runs), 1)
 	left, err := strconv.Atoi(runs[0].Header.Get(request.OwnNames.Deadline))
