--- a/process/held/budget.go
+++ b/process/held/budget.go
@@ -7,73 +7,75 @@
 	"time"
 )
 
-// Kind tells what bytes are held for.
+// Kind is the purpose of held bytes.
 type Kind uint8
 
-// The kinds.
+// The kinds of held bytes. The kind also identifies the peer that a lease waits for.
 const (
-	// Requests are the fixed costs of requests. Who is waited for is a caller that sends.
+	// Requests are the fixed costs of requests. The peer is a caller that sends.
 	Requests Kind = iota
-	// Bodies are bytes of requests that a backend server has not read.
+	// Bodies are bytes of request bodies that a backend server has not read. The peer is the
+	// backend server.
 	Bodies
-	// Answers are bytes of answers that a caller has not read.
+	// Responses are bytes of responses that a caller has not read. The peer is the caller.
 	Responses
 
 	numKinds
 )
 
-// String names the kind in logs and metrics.
+// String returns the name of the kind in logs and metrics.
 func (k Kind) String() string { return [...]string{"requests", "bodies", "answers"}[k] }
 
 const (
-	// Overhead is what a request costs besides its body and its answer, in bytes: the
-	// buffers of two connections and their unread bytes, stacks and heads.
+	// RequestOverhead is the cost of a request in bytes, without its body and its response: the
+	// buffers and unread bytes of two connections, stacks, and headers.
 	RequestOverhead = 64 << 10
-	// ownerShare divides what is free into what one owner may hold.
+	// ownerDivisor sets how much one owner may hold: the free bytes divided by it.
 	ownerDivisor = 8
-	// admitShare divides the limit into what bodies and answers leave to new requests.
+	// reserveDivisor sets how much bodies and responses leave free for new requests: the limit
+	// divided by it.
 	reserveDivisor = 4
-	// stalledLeast is how long a lease must have waited for the other side to be cut off for
-	// want of room.
+	// minStall is how long a lease must have waited for its peer before it may be cut off for lack
+	// of memory.
 	minStall = time.Second
-	// StalledMost is how long one that reads may take nothing, even if there is room.
+	// MaxStall is how long a reading peer may accept no bytes, even if there is free memory.
 	MaxStall = 5 * time.Second
 )
 
-// Budget is the memory for what is held. The fields are set before use. A nil budget has no
-// bound.
+// Budget bounds the memory that leases hold. The exported fields must be set before use. A nil
+// budget is unlimited.
 type Budget struct {
-	// Limit is the most that is held, in bytes.
+	// Limit is the maximum number of bytes held.
 	Limit int64
 	Now   func() time.Duration
-	// OnCut, if set, is told of a lease that is cut off. It is called without locks.
+	// OnCutOff, if set, is called without locks for each lease that is cut off.
 	OnCutOff func(CutOff)
 
 	mu        sync.Mutex
 	held      [numKinds]int64
-	releasing int64 // bytes of leases that were cut off and have not ended
+	releasing int64 // bytes of leases that were cut off and have not ended yet
 	owners    map[string]*owner
 }
 
-// Cut is the cutting off of a lease.
+// CutOff describes a lease that was cut off.
 type CutOff struct {
 	Owner string
-	// Kind tells who was waited for.
+	// Kind identifies the peer that the lease waited for.
 	Kind    Kind
 	Held    int64 // bytes
 	Stalled time.Duration
 }
 
-// owner is one that holds leases.
+// owner holds leases.
 type owner struct {
 	name   string
-	held   int64 // bytes, but for those of leases that were cut off
+	held   int64 // bytes, without those of leases that were cut off
 	leases map[*Lease]struct{}
 }
 
-// Admit takes the fixed costs of a request. It returns false if there is no room.
-// CutOff is called without locks, at most once, when the lease is cut off while it waits for
-// the side that a kind names; the lease still has to be ended.
+// Admit reserves the fixed costs of a request for the named owner. It returns false if there is not
+// enough free memory. CutOff is called without locks, at most once, when the lease is cut off while
+// it waits for the peer that the kind identifies. The lease still has to be ended.
 func (b *Budget) Admit(name string, cutOff func(Kind)) (*Lease, bool) {
 	if b == nil {
 		return nil, true
@@ -88,7 +90,7 @@
 		o = &owner{name: name, leases: make(map[*Lease]struct{})}
 	}
 	l.owner = o
-	cuts := b.reclaim(o, RequestOverhead, 0)
+	pending := b.reclaim(o, RequestOverhead, 0)
 	ok := b.fits(o, RequestOverhead, 0)
 	if ok {
 		b.owners[name] = o
@@ -96,14 +98,14 @@
 		b.add(l, Requests, RequestOverhead)
 	}
 	b.mu.Unlock()
-	b.runCutOffs(cuts)
+	b.runCutOffs(pending)
 	if !ok {
 		return nil, false
 	}
 	return l, true
 }
 
-// Held returns the bytes that are held of a kind.
+// Held returns the number of bytes held of a kind.
 func (b *Budget) Held(k Kind) int64 {
 	if b == nil {
 		return 0
@@ -113,26 +115,27 @@
 	return b.held[k]
 }
 
-// CutStalled cuts off the leases whose backend server has taken nothing for StalledMost.
+// CutOffStalled cuts off the leases whose backend server has accepted no bytes for MaxStall.
 func (b *Budget) CutOffStalled() {
 	if b == nil {
 		return
 	}
 	b.mu.Lock()
-	var cuts []pendingCutOff
+	var pending []pendingCutOff
 	now := b.Now()
 	for _, o := range b.owners {
 		for l := range o.leases {
 			if l.waitingFor == Bodies && l.stalled(now) >= MaxStall {
-				cuts = append(cuts, b.markCutOff(l, now))
+				pending = append(pending, b.markCutOff(l, now))
 			}
 		}
 	}
 	b.mu.Unlock()
-	b.runCutOffs(cuts)
+	b.runCutOffs(pending)
 }
 
-// free returns the bytes that are not held, or soon will not be. The caller holds the lock.
+// free returns the number of bytes that are not held, or belong to leases that were cut off and are
+// about to end. The caller holds the lock.
 func (b *Budget) free() int64 {
 	free := b.Limit + b.releasing
 	for _, n := range b.held {
@@ -141,14 +144,14 @@
 	return free
 }
 
-// fits reports whether an owner may hold n bytes more, beside a reserve that is left to others. One
-// that holds nothing may have all that is free. The caller holds the lock.
+// fits reports whether an owner may hold n more bytes while a reserve stays free for others. An
+// owner that holds nothing may use all that is free. The caller holds the lock.
 func (b *Budget) fits(o *owner, n, reserve int64) bool {
 	free := b.free()
 	return n+reserve <= free && (o.held == 0 || o.held+n <= free/ownerDivisor)
 }
 
-// add notes bytes of a lease; n may be negative. The caller holds the lock.
+// add adds n to the bytes of a lease; n may be negative. The caller holds the lock.
 func (b *Budget) add(l *Lease, k Kind, n int64) {
 	l.held[k] += n
 	b.held[k] += n
@@ -159,24 +162,24 @@
 	}
 }
 
-// makeRoom chooses leases to cut off until n bytes fit for an owner beside a reserve, or there are
-// none left. The caller holds the lock, and carries the cuts out without it.
-func (b *Budget) reclaim(o *owner, n, reserve int64) (cuts []pendingCutOff) {
+// reclaim selects stalled leases to cut off until n bytes fit for an owner beside a reserve, or
+// none are left. The caller holds the lock, and passes the result to runCutOffs after releasing it.
+func (b *Budget) reclaim(o *owner, n, reserve int64) (pending []pendingCutOff) {
 	now := b.Now()
 	for !b.fits(o, n, reserve) {
 		l := b.victim(o, n+reserve > b.free(), now)
 		if l == nil {
-			return cuts
+			return pending
 		}
-		cuts = append(cuts, b.markCutOff(l, now))
+		pending = append(pending, b.markCutOff(l, now))
 	}
-	return cuts
+	return pending
 }
 
-// victim returns the stalled lease to cut off first; nil: there is none. Where there is room
-// it is one of the owner that holds too much. The caller holds the lock.
+// victim returns the stalled lease to cut off first, or nil if there is none. If memory is not
+// full, it is one of the owner, which holds too much. The caller holds the lock.
 func (b *Budget) victim(o *owner, full bool, now time.Duration) (first *Lease) {
-	look := func(o *owner) {
+	consider := func(o *owner) {
 		for l := range o.leases {
 			if l.stalled(now) >= minStall && (first == nil || l.cutOffBefore(first)) {
 				first = l
@@ -184,35 +187,35 @@
 		}
 	}
 	if !full {
-		look(o)
+		consider(o)
 		return first
 	}
 	for _, o := range b.owners {
 		if first == nil || o.held >= first.owner.held {
-			look(o)
+			consider(o)
 		}
 	}
 	return first
 }
 
-// cutting is a cut that is still to be carried out.
+// pendingCutOff is a cut-off whose callback has yet to run.
 type pendingCutOff struct {
 	event  CutOff
 	cutOff func(Kind)
 }
 
-// cut marks a lease as cut off. The caller holds the lock.
+// markCutOff marks a lease as cut off. The caller holds the lock.
 func (b *Budget) markCutOff(l *Lease, now time.Duration) pendingCutOff {
 	n := l.total()
-	c := pendingCutOff{CutOff{Owner: l.owner.name, Kind: l.waitingFor, Held: n, Stalled: l.stalled(now)}, l.cutOff}
+	pending := pendingCutOff{CutOff{Owner: l.owner.name, Kind: l.waitingFor, Held: n, Stalled: l.stalled(now)}, l.cutOff}
 	l.isCutOff = true
 	l.owner.held -= n
 	b.releasing += n
 	b.removeLease(l)
-	return c
+	return pending
 }
 
-// drop takes a lease off its owner's list. The caller holds the lock.
+// removeLease removes a lease from its owner. The caller holds the lock.
 func (b *Budget) removeLease(l *Lease) {
 	delete(l.owner.leases, l)
 	if len(l.owner.leases) == 0 {
@@ -220,12 +223,12 @@
 	}
 }
 
-// carryOut cuts leases off. The caller does not hold the lock.
-func (b *Budget) runCutOffs(cuts []pendingCutOff) {
-	for _, c := range cuts {
-		c.cutOff(c.event.Kind)
+// runCutOffs runs the callbacks of cut-offs. The caller does not hold the lock.
+func (b *Budget) runCutOffs(pending []pendingCutOff) {
+	for _, p := range pending {
+		p.cutOff(p.event.Kind)
 		if b.OnCutOff != nil {
-			b.OnCutOff(c.event)
+			b.OnCutOff(p.event)
 		}
 	}
 }
--- a/process/held/budget_test.go
+++ b/process/held/budget_test.go
@@ -12,14 +12,14 @@
 	"pgregory.net/rapid"
 )
 
-// fixture is a budget with a clock that the test moves.
+// fixture is a budget with a clock that the test controls.
 type fixture struct {
 	*Budget
 	now          time.Duration
 	cutOffOwners []string // owners of the leases that were cut off, in order
 }
 
-// newFixture returns a budget with room for so many requests.
+// newFixture returns a budget for the given number of requests.
 func newFixture(requests int64) *fixture {
 	f := &fixture{now: time.Hour}
 	f.Budget = &Budget{Limit: requests * RequestOverhead, Now: func() time.Duration { return f.now }}
@@ -29,7 +29,7 @@
 func (f *fixture) admit(t *testing.T, owner string) *Lease {
 	t.Helper()
 	l, ok := f.tryAdmit(owner)
-	assert.Assert(t, ok, "no room for %s", owner)
+	assert.Assert(t, ok, "%s was not admitted", owner)
 	return l
 }
 
@@ -44,8 +44,8 @@
 	return n
 }
 
-// TestOneOwnerLeavesRoomForOthers checks that whoever asks for all that there is gets a part, so
-// that a new owner finds room, however many others hold what they may.
+// TestGreedyOwnersLeaveCapacityForNewOnes checks that an owner that takes all it can get receives
+// only a part, so that a new owner is admitted however many others hold their maximum.
 func TestGreedyOwnersLeaveCapacityForNewOnes(t *testing.T) {
 	for _, owners := range []int{1, 5, 20} {
 		f := newFixture(1000)
@@ -56,18 +56,19 @@
 				}
 			}
 		}
-		// Each takes its part of what the ones before have left.
-		least := float64(f.Limit) * math.Pow(1-1.0/(ownerDivisor+1), float64(owners))
+		// Each owner takes its share of what the ones before it left.
+		minFree := float64(f.Limit) * math.Pow(1-1.0/(ownerDivisor+1), float64(owners))
 		free := f.free()
-		assert.Assert(t, float64(free) >= least-float64(owners*RequestOverhead), "%d owners leave %d of %d", owners, free, f.Limit)
+		assert.Assert(t, float64(free) >= minFree-float64(owners*RequestOverhead), "%d owners leave %d of %d", owners, free, f.Limit)
 		f.admit(t, "new")
 		assert.Equal(t, len(f.cutOffOwners), 0)
 	}
 }
 
-// TestAnswersLeaveRoomForRequests tells of quick callers that were refused with MEMORY_FULL in the
-// first second of 2,000 slow ones: the answers of other quick callers, of 1 MB each, had taken all
-// that was free, while nobody had stalled for long enough to be cut off.
+// TestResponsesLeaveCapacityForRequests guards against refusals with MEMORY_FULL while nobody has
+// stalled for long enough to be cut off. In the first second of 2,000 slow callers, quick callers
+// were refused because the responses of other quick callers, of 1 MB each, had taken all free
+// memory.
 func TestResponsesLeaveCapacityForRequests(t *testing.T) {
 	const requests = 400
 	f := newFixture(requests)
@@ -85,24 +86,24 @@
 	}
 }
 
-// TestStalledAreCutOffForOthers checks that a request finds room though others hold it all, once
-// these have stalled, and that those who move are left alone.
+// TestStalledLeasesAreCutOffForNewRequests checks that new requests are admitted although others
+// hold all memory, once these have stalled, and that leases that make progress are not cut off.
 func TestStalledLeasesAreCutOffForNewRequests(t *testing.T) {
 	f := newFixture(40)
-	var slow, quick []*Lease
+	var slow, fast []*Lease
 	for i := range 40 {
 		l := f.admit(t, fmt.Sprint("owner", i))
 		l.Wait(Responses)
 		if i%2 == 0 {
 			slow = append(slow, l)
 		} else {
-			quick = append(quick, l)
+			fast = append(fast, l)
 		}
 	}
 	_, ok := f.tryAdmit("new")
-	assert.Assert(t, !ok, "nobody has stalled yet")
+	assert.Assert(t, !ok, "no lease has stalled yet")
 	f.now += minStall
-	for _, l := range quick {
+	for _, l := range fast {
 		l.StopWaiting()
 	}
 	for i := range 20 {
@@ -113,15 +114,15 @@
 		var i int
 		_, err := fmt.Sscanf(owner, "owner%d", &i)
 		assert.NilError(t, err)
-		assert.Equal(t, i%2, 0, "%s moved", owner)
+		assert.Equal(t, i%2, 0, "%s made progress", owner)
 	}
-	for _, l := range append(slow, quick...) {
+	for _, l := range append(slow, fast...) {
 		l.End()
 	}
 	assert.Equal(t, f.total(), int64(20*RequestOverhead))
 }
 
-// TestWhoHoldsMostIsCutOffFirst checks the order.
+// TestLargestHolderIsCutOffFirst checks the order of cut-offs.
 func TestLargestHolderIsCutOffFirst(t *testing.T) {
 	f := newFixture(100)
 	small, large := f.admit(t, "small"), f.admit(t, "large")
@@ -137,8 +138,8 @@
 	assert.DeepEqual(t, f.cutOffOwners, []string{"large"})
 }
 
-// TestServerThatDoesNotReadIsCutOff checks that a body that its backend server does not take is
-// given up, even if there is room, and that other waits are not.
+// TestBackendThatDoesNotReadIsCutOff checks that a body that its backend server does not read is
+// cut off even if there is free memory, and that other waits are not.
 func TestBackendThatDoesNotReadIsCutOff(t *testing.T) {
 	f := newFixture(100)
 	for _, k := range []Kind{Requests, Bodies, Responses} {
@@ -153,8 +154,8 @@
 	assert.DeepEqual(t, f.cutOffOwners, []string{"bodies"})
 }
 
-// TestBudgetHolds checks, over any order of calls, that no more is held than the limit but for what
-// was cut off and has not ended, and that all comes back.
+// TestBudgetIsNeverExceeded checks, for any order of calls, that leases hold no more than the
+// limit, except for those that were cut off and have not ended, and that all bytes are released.
 func TestBudgetIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFixture(rapid.Int64Range(1, 30).Draw(t, "requests"))
@@ -183,15 +184,15 @@
 				l.End()
 				leases = append(leases[:i], leases[i+1:]...)
 			}
-			if over := f.total() - f.releasing; over > f.Limit {
-				t.Fatalf("%d of %d", over, f.Limit)
+			if excess := f.total() - f.releasing; excess > f.Limit {
+				t.Fatalf("%d of %d", excess, f.Limit)
 			}
 		}
 		for _, l := range leases {
 			l.End()
 		}
 		if f.total() != 0 || f.releasing != 0 || len(f.owners) != 0 {
-			t.Fatalf("%d bytes, %d ending, %d owners are left", f.total(), f.releasing, len(f.owners))
+			t.Fatalf("left over: %d bytes, %d releasing, %d owners", f.total(), f.releasing, len(f.owners))
 		}
 	})
 }
--- a/process/held/doc.go
+++ b/process/held/doc.go
@@ -1,27 +1,28 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package held bounds the memory that an instance holds on behalf of callers and backend
-servers that are slow to send or to read.
+Package held bounds the memory that an instance uses to buffer requests and responses for
+callers and backend servers that send or read slowly.
 
-	lease, ok := budget.Admit(owner, cutOff) // refused: answer at once that it has not run
+	lease, ok := budget.Admit(owner, cutOff) // if refused, respond immediately: not run
 	defer lease.End()
-	body, whole, err := held.Read(lease, held.Bodies, r, length, most)
+	body, whole, err := held.Read(lease, held.Bodies, r, length, maxBytes)
 
-A lease takes bytes from the budget before they are read and gives them back once they
-were written. What does not fit is left where it is: the rest of a body or of an answer is
-passed on as it comes, so that the side that sends is held up by the one that reads.
+A lease reserves bytes from the budget before they are read and releases them after they
+were written. Data that does not fit is not read ahead: the rest of a body or of a response
+is streamed, so that the reading side applies back pressure to the sending side.
 
-# Who gets the room
+# Fairness
 
-One owner, a workspace or the address of a caller, may hold a part of what is free at the
-moment (dynamic thresholds: Choudhury, Hahne, "Dynamic queue length thresholds for
-shared-memory packet switches", 1998). So however many owners hold all that they may, a
-new one finds room.
+An owner is a workspace or the address of a caller. One owner may hold a fraction of the
+memory that is free at the moment (dynamic thresholds: Choudhury, Hahne, "Dynamic queue
+length thresholds for shared-memory packet switches", 1998). So a new owner finds free
+memory however many others hold all that they may.
 
-# Who is cut off
+# Cutting off stalled requests
 
-Whoever waits for the other side for a while is stalled. When there is no room, stalled leases
-are cut off, those first whose owner holds most, and of these the largest.
+A lease is stalled once it has waited for its peer for some time. When memory is short,
+stalled leases are cut off: first those of the owner that holds the most, and of these the
+largest.
 */
 package held
--- a/process/held/lease.go
+++ b/process/held/lease.go
@@ -4,42 +4,42 @@
 
 import "time"
 
-// Lease is what is held for one request. A nil lease has no bound. It may be used by one
-// goroutine for each side at a time.
+// Lease accounts for the memory held for one request. A nil lease is unlimited. Each direction of
+// the request may use it from one goroutine at a time.
 type Lease struct {
 	budget *Budget
 	owner  *owner
 	cutOff func(Kind)
-	// The rest is guarded by the budget's mutex.
+	// The fields below are guarded by the budget's mutex.
 	held         [numKinds]int64
-	waiting      bool // for the other side
+	waiting      bool // the request waits for its peer
 	waitingFor   Kind
-	waitingSince time.Duration // when the other side was last seen to move
+	waitingSince time.Duration // when the wait began
 	isCutOff     bool
 }
 
-// Grow takes n bytes more. It returns false, and takes none, if there is no room beside what is
-// left to new requests: an answer that is not held is passed on as it comes, while a request
-// that finds no room is refused.
+// Grow reserves n more bytes. It returns false, and reserves none, if they do not fit beside the
+// reserve for new requests: a response that is not buffered can be streamed, but a request that
+// finds no memory is refused.
 func (l *Lease) Grow(k Kind, n int64) bool {
 	if l == nil {
 		return true
 	}
 	b := l.budget
 	b.mu.Lock()
-	l.waiting = false // it moves right now, so that it does not cut itself off
+	l.waiting = false // this request is making progress, so it must not cut itself off
 	reserve := b.Limit / reserveDivisor
-	cuts := b.reclaim(l.owner, n, reserve)
+	pending := b.reclaim(l.owner, n, reserve)
 	ok := b.fits(l.owner, n, reserve) && !l.isCutOff
 	if ok {
 		b.add(l, k, n)
 	}
 	b.mu.Unlock()
-	b.runCutOffs(cuts)
+	b.runCutOffs(pending)
 	return ok
 }
 
-// Free gives all bytes of a kind back.
+// Free releases all bytes of a kind.
 func (l *Lease) Free(k Kind) {
 	if l == nil {
 		return
@@ -49,8 +49,8 @@
 	l.budget.add(l, k, -l.held[k])
 }
 
-// Wait notes that the other side is waited for from now on: a caller that sends (Requests), a
-// backend server that reads (Bodies), a caller that reads (Answers).
+// Wait records that the request waits for a peer from now on: for a caller that sends (Requests),
+// for a backend server that reads (Bodies), or for a caller that reads (Responses).
 func (l *Lease) Wait(k Kind) {
 	if l == nil {
 		return
@@ -60,7 +60,7 @@
 	l.waiting, l.waitingFor, l.waitingSince = true, k, l.budget.Now()
 }
 
-// Moved notes that nobody is waited for any more.
+// StopWaiting records that the request no longer waits for a peer.
 func (l *Lease) StopWaiting() {
 	if l == nil {
 		return
@@ -70,7 +70,7 @@
 	l.waiting = false
 }
 
-// End gives all back. It is called once.
+// End releases the lease. It must be called once.
 func (l *Lease) End() {
 	if l == nil {
 		return
@@ -86,8 +86,8 @@
 	}
 }
 
-// stalled returns for how long the other side has not moved; zero if it is not waited for, or
-// the lease was cut off. The caller holds the lock.
+// stalled returns how long the lease has waited for its peer; zero if it does not wait, or was cut
+// off. The caller holds the lock.
 func (l *Lease) stalled(now time.Duration) time.Duration {
 	if !l.waiting || l.isCutOff {
 		return 0
@@ -102,7 +102,7 @@
 	return n
 }
 
-// before reports whether a lease is cut off rather than another one.
+// cutOffBefore reports whether l is cut off in preference to o.
 func (l *Lease) cutOffBefore(o *Lease) bool {
 	if l.owner.held != o.owner.held {
 		return l.owner.held > o.owner.held
--- a/process/held/read.go
+++ b/process/held/read.go
@@ -9,54 +9,55 @@
 )
 
 const (
-	// first is the size of the buffer that reading begins with, in bytes. It is part of Overhead.
+	// initialBuffer is the size of the first buffer for reading, in bytes. It is included in
+	// RequestOverhead.
 	initialBuffer = 8 << 10
-	// growth is by how much a full buffer grows.
+	// growthFactor is the factor by which a full buffer grows.
 	growthFactor = 4
-	// ChunkSize is how many bytes are passed on at a time.
+	// ChunkSize is the number of bytes that are streamed at a time.
 	ChunkSize = 16 << 10
 )
 
-// Read reads up to most bytes, or as many as there is room for. Length is how many are
-// expected, -1 if that is not known. Whole is set if that was all; otherwise the rest is still
-// to be read.
-func Read(l *Lease, k Kind, r io.Reader, length, most int64) (text []byte, whole bool, err error) {
-	if length < 0 || length > most {
-		length = most
+// Read reads up to maxBytes, or fewer if memory is short. Length is the expected number of bytes,
+// or -1 if unknown. Whole reports whether that was all; otherwise the rest is still to be read from
+// r.
+func Read(lease *Lease, kind Kind, r io.Reader, length, maxBytes int64) (data []byte, whole bool, err error) {
+	if length < 0 || length > maxBytes {
+		length = maxBytes
 	}
-	text = make([]byte, 0, min(initialBuffer, length+1)) // a small one is not worth pooling
+	data = make([]byte, 0, min(initialBuffer, length+1)) // small buffers are not worth pooling
 	for {
-		n, err := r.Read(text[len(text):cap(text)])
-		text = text[:len(text)+n]
+		n, err := r.Read(data[len(data):cap(data)])
+		data = data[:len(data)+n]
 		switch {
 		case errors.Is(err, io.EOF):
-			return text, true, nil
+			return data, true, nil
 		case err != nil:
-			return text, false, err
-		case len(text) < cap(text):
+			return data, false, err
+		case len(data) < cap(data):
 			continue
-		case int64(cap(text)) > most:
-			return text, false, nil
+		case int64(cap(data)) > maxBytes:
+			return data, false, nil
 		}
-		size := nextBufferSize(int64(cap(text)), length, most)
-		if !l.Grow(k, size-int64(cap(text))) {
-			return text, false, nil
+		size := nextBufferSize(int64(cap(data)), length, maxBytes)
+		if !lease.Grow(kind, size-int64(cap(data))) {
+			return data, false, nil
 		}
-		larger := append(getBuffer(size), text...)
-		ReleaseBuffer(text)
-		text = larger
+		larger := append(getBuffer(size), data...)
+		ReleaseBuffer(data)
+		data = larger
 	}
 }
 
-// pooled are the buffers of large bodies and answers by their size, those of growth from first on and
-// that of the most that is held. Each answer of a megabyte would otherwise leave almost two
-// of garbage, of which a busy machine holds many before it is collected.
+// bufferPools holds the buffers of large bodies and responses by size: initialBuffer times powers
+// of growthFactor, and the maximum size. Without pooling, each response of a megabyte leaves almost
+// two of garbage, of which a busy machine accumulates much before it is collected.
 var bufferPools sync.Map // of int64 to *sync.Pool
 
-// leastPooled is the size of the smallest buffer that is used again, in bytes.
+// minPooledBuffer is the size of the smallest buffer that is reused, in bytes.
 const minPooledBuffer = 32 << 10
 
-// take returns an empty buffer of a size.
+// getBuffer returns an empty buffer of the given capacity.
 func getBuffer(size int64) []byte {
 	if pool, ok := bufferPools.Load(size); ok {
 		if b, ok := pool.(*sync.Pool).Get().(*[]byte); ok {
@@ -66,29 +67,30 @@
 	return make([]byte, 0, size)
 }
 
-// Release lets the buffer of what Read returned be used again. Nobody may read it any more.
-func ReleaseBuffer(text []byte) {
-	size := int64(cap(text))
+// ReleaseBuffer makes the buffer of data that Read returned available for reuse. The data must not
+// be used afterwards.
+func ReleaseBuffer(data []byte) {
+	size := int64(cap(data))
 	if size < minPooledBuffer || !isPowerOfTwo(size) && !isPowerOfTwo(size-1) {
-		return // of a size that few have
+		return // too rare a size to pool
 	}
 	pool, _ := bufferPools.LoadOrStore(size, new(sync.Pool))
-	pool.(*sync.Pool).Put(&text)
+	pool.(*sync.Pool).Put(&data)
 }
 
 func isPowerOfTwo(n int64) bool { return n&(n-1) == 0 }
 
-// grown returns the next size of a buffer that is full. One byte more than is expected tells
-// the end.
-func nextBufferSize(size, length, most int64) int64 {
+// nextBufferSize returns the next size of a full buffer. It is one byte larger than the expected
+// length, so that the end is detected.
+func nextBufferSize(size, length, maxBytes int64) int64 {
 	if size < length+1 {
 		return min(growthFactor*size, length+1)
 	}
-	return min(growthFactor*size, most+1)
+	return min(growthFactor*size, maxBytes+1)
 }
 
-// Watch returns a reader of a body that a backend server is sent: while it is not read, the
-// backend server is waited for.
+// WatchBody returns a reader for a body that is being sent to a backend server. The backend server
+// is being waited for while it does not read.
 func WatchBody(l *Lease, r io.ReadCloser) io.ReadCloser {
 	if l == nil {
 		return r
