--- a/conn/conn_test.go
+++ b/conn/conn_test.go
@@ -27,7 +27,7 @@
 	})
 }
 
-// script is a server that does one thing with each connection.
+// startScriptedBackend starts a server that runs f for each connection, and returns a pool for it.
 func startScriptedBackend(t *testing.T, f func(net.Conn, *bufio.Reader)) *Pool {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,8 +45,8 @@
 	return &Pool{Address: l.Addr().String()}
 }
 
-// exchange dispatches a request and returns the body, the error, and how the
-// token was released.
+// exchange dispatches a request and returns the body, the error, and the value that Release was
+// called with.
 func exchange(t *testing.T, p *Pool, body string, deadline time.Duration, allowed bool) (string, error, bool) {
 	t.Helper()
 	released := make(chan bool, 2)
@@ -55,7 +55,7 @@
 	ex, err := p.Dispatch(context.Background(), req, Options{
 		Deadline: time.Now().Add(deadline),
 		Allowed:  func() bool { return allowed },
-		Release:  func(silent bool) { released <- silent },
+		Release:  func(unresponsive bool) { released <- unresponsive },
 	})
 	got := ""
 	if err == nil {
@@ -64,9 +64,9 @@
 		got = string(b)
 		ex.Close()
 	}
-	silent := <-released
+	unresponsive := <-released
 	assert.Equal(t, len(released), 0) // released once
-	return got, err, silent
+	return got, err, unresponsive
 }
 
 func TestConnectionIsReused(t *testing.T) {
@@ -83,9 +83,9 @@
 		}
 	})
 	for range 3 {
-		got, err, silent := exchange(t, p, "body", time.Second, true)
+		got, err, unresponsive := exchange(t, p, "body", time.Second, true)
 		assert.NilError(t, err)
-		assert.Assert(t, got == "ok" && !silent)
+		assert.Assert(t, got == "ok" && !unresponsive)
 	}
 	assert.Equal(t, conns.Load(), int64(1))
 }
@@ -98,7 +98,7 @@
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-		_ = c.Close() // though it did not say so
+		_ = c.Close() // without having announced it
 	})
 	for range 3 {
 		_, err, _ := exchange(t, p, "body", time.Second, true)
@@ -118,11 +118,11 @@
 	assert.Equal(t, got.Load(), int64(0))
 }
 
-// TestDispatchThatIsRefusedMidwaySendsNothing tells a story of its own. Seen: a request ended
-// after 0.3 ms with "deadline passed", and may have run. How: a request with a body is allowed
-// as its dispatch begins and no longer as its first byte is to leave, as it happens when the
-// answer to another one says meanwhile that its server wants rest. Cause: the sender of the
-// body woke the reader of the answer, which took that for a lost answer.
+// TestDispatchRefusedAfterStartSendsNothing guards against a refused dispatch that is reported as a
+// possibly sent request with a passed deadline, 0.3 ms after its start. That happened if Allowed
+// returned true as the dispatch of a request with a body began, and false as its first byte was to
+// be sent, for example because the response to another request had meanwhile asked for backoff. The
+// sender of the body interrupted the reader of the response, which took that for a lost response.
 func TestDispatchRefusedAfterStartSendsNothing(t *testing.T) {
 	var got atomic.Int64
 	p := startScriptedBackend(t, func(_ net.Conn, r *bufio.Reader) {
@@ -130,12 +130,12 @@
 		got.Add(n)
 	})
 	for range 50 {
-		asked := 0
+		calls := 0
 		req, err := http.NewRequest(http.MethodPost, "http://x/", strings.NewReader("body"))
 		assert.NilError(t, err)
 		_, err = p.Dispatch(context.Background(), req, Options{
 			Deadline: time.Now().Add(time.Second),
-			Allowed:  func() bool { asked++; return asked == 1 },
+			Allowed:  func() bool { calls++; return calls == 1 },
 			Release:  func(bool) {}, CloseImmediately: true,
 		})
 		assert.ErrorIs(t, err, ErrNotAllowed)
@@ -145,32 +145,32 @@
 	assert.Equal(t, got.Load(), int64(0))
 }
 
-// TestSilentBackend: the token comes back after deadline and margin, as silent,
-// if the backend server does not close its side; at once if it does.
+// TestUnresponsiveBackend checks that the token is released after the deadline and the margin, as
+// unresponsive, if the backend server does not close its side, and immediately if it does.
 func TestUnresponsiveBackend(t *testing.T) {
 	done := make(chan struct{})
 	defer close(done)
-	silentPool := startScriptedBackend(t, func(c net.Conn, _ *bufio.Reader) {
-		<-done // a connection that nothing refers to would be closed by the collector
+	unresponsivePool := startScriptedBackend(t, func(c net.Conn, _ *bufio.Reader) {
+		<-done // an unreferenced connection would be closed by the garbage collector
 		_ = c.Close()
 	})
 	start := time.Now()
-	_, err, silent := exchange(t, silentPool, "body", 100*time.Millisecond, true)
-	assert.Assert(t, err != nil && silent)
+	_, err, unresponsive := exchange(t, unresponsivePool, "body", 100*time.Millisecond, true)
+	assert.Assert(t, err != nil && unresponsive)
 	assert.Assert(t, time.Since(start) >= 100*time.Millisecond+ReleaseMargin)
 	closing := startScriptedBackend(t, func(c net.Conn, r *bufio.Reader) {
-		_, _ = io.Copy(io.Discard, r) // until the half close
+		_, _ = io.Copy(io.Discard, r) // until the client half-closes the connection
 		_ = c.Close()
 	})
 	start = time.Now()
-	_, err, silent = exchange(t, closing, "body", 100*time.Millisecond, true)
-	assert.Assert(t, err != nil && !silent)
+	_, err, unresponsive = exchange(t, closing, "body", 100*time.Millisecond, true)
+	assert.Assert(t, err != nil && !unresponsive)
 	assert.Assert(t, time.Since(start) < 100*time.Millisecond+ReleaseMargin)
 }
 
-// TestHeadersBelongToTheCaller checks, with the race detector, that nothing
-// reads an answer's headers once the exchange is closed: the caller changes
-// them. It is the crash that TestOutageWithDeaths saw.
+// TestHeadersMayBeModifiedAfterClose checks, with the race detector, that nothing reads the headers
+// of a response once the exchange is closed, since the caller modifies them. TestOutageWithDeaths
+// found this as a crash.
 func TestHeadersMayBeModifiedAfterClose(t *testing.T) {
 	p := startScriptedBackend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
@@ -188,7 +188,7 @@
 		assert.NilError(t, err)
 		ex, err := p.Dispatch(context.Background(), req, Options{
 			Deadline: time.Now().Add(time.Second), Allowed: func() bool { return true },
-			Release: func(silent bool) { released <- silent },
+			Release: func(unresponsive bool) { released <- unresponsive },
 		})
 		assert.NilError(t, err)
 		_, err = io.ReadAll(ex.Response.Body)
@@ -208,8 +208,8 @@
 	}
 }
 
-// TestOpenKeepsAConnectionForARequest checks that a connection that was opened
-// beforehand is used by the next request, and that a dead port is an error.
+// TestOpenKeepsConnectionForNextRequest checks that a connection that was opened in advance is used
+// by the next request, and that a closed port is an error.
 func TestOpenKeepsConnectionForNextRequest(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/conn/dispatch.go
+++ b/conn/dispatch.go
@@ -13,169 +13,172 @@
 	"github.com/juju/errors"
 )
 
-// Options of one dispatch.
+// Options configure one dispatch.
 type Options struct {
-	// Deadline is when the request is given up.
+	// Deadline is when the request is abandoned.
 	Deadline time.Time
-	// Allowed is asked right before the first byte leaves.
+	// Allowed is called right before the first byte is sent. If it returns false, the request is
+	// not sent.
 	Allowed func() bool
-	// Release is called once, when the backend server has let go of the request.
-	// Silent is true when it did not say so, and only the request's deadline
-	// and Margin have passed: a backend server that runs has let go by then, but
-	// one that is frozen may still hold it.
-	Release func(silent bool)
-	// CloseAtOnce closes the connection of a request that is given up, for an
-	// backend server that drops a request then. Otherwise the backend server is asked by a
-	// half close, and its answer waited for.
+	// Release is called once, when the backend server has finished with the request. Unresponsive
+	// is true if the backend server did not confirm that, and the request's deadline and
+	// ReleaseMargin have passed. A running backend server has finished by then, but a frozen one
+	// may still hold the request.
+	Release func(unresponsive bool)
+	// CloseImmediately closes the connection of an abandoned request, for backend servers that then
+	// cancel it. Otherwise the connection is half-closed, and Release is called once the backend
+	// server has closed its side.
 	CloseImmediately bool
 }
 
-// past is a deadline that ends all waiting.
+// aLongTimeAgo is a deadline that interrupts pending I/O immediately.
 var aLongTimeAgo = time.Unix(1, 0)
 
-// Margin is how long after its deadline a request is held to occupy a slot of
-// a backend server that did not say it let go. It covers the time on the way.
+// ReleaseMargin is how long after its deadline an abandoned request counts as occupying a slot of a
+// backend server that did not close the connection. It covers network delay.
 const ReleaseMargin = 500 * time.Millisecond
 
-// DispatchError is a dispatch that got no answer.
+// DispatchError is the error of a dispatch that got no response.
 type DispatchError struct {
-	// Sent reports whether a byte of the request may have left.
+	// Sent reports whether a byte of the request may have been sent.
 	Sent bool
 	Err  error
 }
 
-// Error describes the failure.
+// Error implements the error interface.
 func (e *DispatchError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *DispatchError) Unwrap() error { return e.Err }
 
-// Exchange is a request at a backend server whose answer has begun.
+// Exchange is a request whose response from the backend server has begun.
 type Exchange struct {
 	Response *http.Response
 
 	pool       *Pool
 	conn       *pooledConn
 	opts       Options
-	bodySent   chan error // result of sending the body; nil once received
+	bodySent   chan error // receives the result of sending the body; nil once received
 	stopCancel func() bool
-	cancelled  chan struct{} // closed once the context's end was carried out
+	cancelled  chan struct{} // closed once the cancellation of the context has been handled
 	once       sync.Once
 	complete   bool
 }
 
-// Dispatch sends the request and reads the head of the answer. It never sends
-// twice. The context's end breaks the exchange off. On error the exchange is
-// closed and Release is called as Close does.
-func (p *Pool) Dispatch(ctx context.Context, req *http.Request, o Options) (*Exchange, error) {
-	dialCtx, cancel := context.WithDeadline(ctx, o.Deadline)
-	l, err := p.getConn(dialCtx)
+// Dispatch sends the request and reads the header of the response. It never sends a request twice.
+// Cancelling ctx aborts the exchange. On error the exchange is closed and Release is called as by
+// Close.
+func (p *Pool) Dispatch(ctx context.Context, req *http.Request, opts Options) (*Exchange, error) {
+	dialCtx, cancel := context.WithDeadline(ctx, opts.Deadline)
+	conn, err := p.getConn(dialCtx)
 	cancel()
 	if err != nil {
-		o.Release(false)
+		opts.Release(false)
 		return nil, &DispatchError{Err: err}
 	}
-	l.bytesSent = 0
-	l.allowed = o.Allowed
-	ex := &Exchange{pool: p, conn: l, opts: o}
-	if err := l.SetDeadline(o.Deadline); err != nil {
+	conn.bytesSent = 0
+	conn.allowed = opts.Allowed
+	ex := &Exchange{pool: p, conn: conn, opts: opts}
+	if err := conn.SetDeadline(opts.Deadline); err != nil {
 		ex.Close()
 		return nil, &DispatchError{Err: err}
 	}
 	ex.cancelled = make(chan struct{})
 	ex.stopCancel = context.AfterFunc(ctx, func() {
-		_ = l.SetDeadline(aLongTimeAgo) // wakes whoever reads or writes
+		_ = conn.SetDeadline(aLongTimeAgo) // unblocks reads and writes
 		close(ex.cancelled)
 	})
 	if err := ex.send(req); err != nil {
-		sent := l.bytesSent > 0
+		sent := conn.bytesSent > 0
 		ex.Close()
 		return nil, &DispatchError{Sent: sent, Err: err}
 	}
-	res, err := http.ReadResponse(l.r, req)
+	res, err := http.ReadResponse(conn.r, req)
 	for err == nil && res.StatusCode/100 == 1 {
-		res, err = http.ReadResponse(l.r, req)
+		res, err = http.ReadResponse(conn.r, req)
 	}
 	if err != nil {
-		// The sender of a body that was withheld ends the reading. No byte left then, and
-		// none will: the connection is closed.
-		withheld := l.withheld.Load()
+		// If Allowed withheld the body, its sender has interrupted the read. No byte was sent, and
+		// none will be, since the connection is closed.
+		withheld := conn.withheld.Load()
 		ex.Close()
 		if withheld {
 			return nil, &DispatchError{Err: ErrNotAllowed}
 		}
-		return nil, &DispatchError{Sent: true, Err: errors.Annotate(err, "read answer")}
+		return nil, &DispatchError{Sent: true, Err: errors.Annotate(err, "read response")}
 	}
 	ex.setResponse(res)
 	return ex, nil
 }
 
-// Skip drops the present answer, which belongs to another request, and reads
-// the next one on the same connection. On error the exchange has to be closed.
+// SkipResponse discards the current response, which belongs to another request, and reads the next
+// one on the same connection. On error the exchange must be closed.
 func (ex *Exchange) SkipResponse(req *http.Request) error {
 	if _, err := io.CopyN(io.Discard, ex.Response.Body, maxSkippedBytes); err != io.EOF {
-		return errors.New("an answer to another request is too long")
+		return errors.New("the response to another request is too long")
 	}
 	ex.complete = false
 	if ex.Response.Close {
-		return errors.New("the connection ends with an answer to another request")
+		return errors.New("the connection ends after the response to another request")
 	}
 	res, err := http.ReadResponse(ex.conn.r, req)
 	if err != nil {
-		return errors.Annotate(err, "read answer after one to another request")
+		return errors.Annotate(err, "read response after that to another request")
 	}
 	ex.setResponse(res)
 	return nil
 }
 
-// take makes res the answer. Its headers are the caller's from then on.
+// setResponse makes res the response of the exchange. Its headers belong to the caller from then
+// on.
 func (ex *Exchange) setResponse(res *http.Response) {
 	ex.conn.idleTimeout = keepAliveTimeout(ex.pool.idleTimeout(), res.Header.Get("Keep-Alive"))
 	res.Body = &trackedBody{ReadCloser: res.Body, ex: ex}
 	ex.Response = res
 }
 
-// Deliver lets the rest of an answer be read until a time, though the context ends: an answer
-// that has begun is delivered, also late. The error says that the context had ended before.
+// DetachUntil detaches the exchange from its context, and allows the rest of the response to be
+// read until the given time. So a response that has begun can be delivered after the request's
+// deadline. It fails if the context has already been cancelled.
 func (ex *Exchange) DetachUntil(until time.Time) error {
 	if ex.stopCancel != nil && !ex.stopCancel() {
-		return errors.New("the exchange was broken off")
+		return errors.New("the exchange was cancelled")
 	}
 	ex.stopCancel = nil
 	return errors.Trace(ex.conn.SetDeadline(until))
 }
 
-// maxSkipped bounds an answer to another request that is dropped, in bytes.
+// maxSkippedBytes limits the size of a response to another request that is discarded, in bytes.
 const maxSkippedBytes = 1 << 20
 
-// send writes the request. One without a body is written at once; a body is
-// sent beside the reading of the answer, which may come before its end.
+// send writes the request. A body is sent concurrently with reading the response, which may arrive
+// before the body is complete.
 func (ex *Exchange) send(req *http.Request) error {
-	l := ex.conn
+	conn := ex.conn
 	if req.Body == nil || req.Body == http.NoBody {
-		if err := req.Write(l.w); err != nil {
+		if err := req.Write(conn.w); err != nil {
 			return errors.Annotate(err, "write request")
 		}
-		return errors.Annotate(l.w.Flush(), "write request")
+		return errors.Annotate(conn.w.Flush(), "write request")
 	}
-	if !l.allowed() {
+	if !conn.allowed() {
 		return ErrNotAllowed
 	}
 	ex.bodySent = make(chan error, 1)
 	go func() {
-		err := req.Write(l.w)
+		err := req.Write(conn.w)
 		if err == nil {
-			err = l.w.Flush()
+			err = conn.w.Flush()
 		}
 		if err != nil {
-			_ = l.SetDeadline(aLongTimeAgo) // wakes the reader of the answer
+			_ = conn.SetDeadline(aLongTimeAgo) // unblocks the reader of the response
 		}
 		ex.bodySent <- err
 	}()
 	return nil
 }
 
-// body notes when the whole answer was read.
+// trackedBody records when the whole response has been read.
 type trackedBody struct {
 	io.ReadCloser
 	ex *Exchange
@@ -189,32 +192,32 @@
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept for the next request when
-// request and answer are both whole.
+// Close ends the exchange. The connection is reused if both the request and the response are
+// complete.
 func (ex *Exchange) Close() {
 	ex.once.Do(ex.close)
 }
 
 func (ex *Exchange) close() {
-	undisturbed := ex.stopCancel == nil || ex.stopCancel()
-	if !undisturbed {
+	notCancelled := ex.stopCancel == nil || ex.stopCancel()
+	if !notCancelled {
 		<-ex.cancelled
 	}
 	sent := ex.bodySent != nil || ex.conn.bytesSent > 0
 	if !sent {
-		_ = ex.conn.Conn.Close() // nothing left on it
+		_ = ex.conn.Conn.Close() // nothing was sent on it
 		ex.opts.Release(false)
 		return
 	}
-	keep := ex.complete && undisturbed && !ex.Response.Close
-	if keep && ex.bodySent == nil {
+	reusable := ex.complete && notCancelled && !ex.Response.Close
+	if reusable && ex.bodySent == nil {
 		ex.reuse()
 		return
 	}
-	go ex.closeAsync(keep)
+	go ex.closeAsync(reusable)
 }
 
-// keep gives the connection back for the next request.
+// reuse returns the connection to the pool.
 func (ex *Exchange) reuse() {
 	if ex.conn.SetDeadline(time.Time{}) != nil {
 		ex.abandon()
@@ -224,16 +227,16 @@
 	ex.opts.Release(false)
 }
 
-// settle ends an exchange whose body may still be on its way, or that was
-// broken off. The answer can be whole a moment before the sender of the body
-// has said that it is done; a backend server can also answer before the body's end.
-func (ex *Exchange) closeAsync(keep bool) {
-	if !keep {
+// closeAsync ends an exchange that was aborted, or whose body may still be being sent. The response
+// may be complete shortly before the sender of the body reports that it is done, and a backend
+// server may respond before the end of the body.
+func (ex *Exchange) closeAsync(reusable bool) {
+	if !reusable {
 		ex.abandon()
 		return
 	}
-	t := time.NewTimer(ReleaseMargin)
-	defer t.Stop()
+	timer := time.NewTimer(ReleaseMargin)
+	defer timer.Stop()
 	select {
 	case err := <-ex.bodySent:
 		ex.bodySent = nil
@@ -241,21 +244,20 @@
 			ex.reuse()
 			return
 		}
-	case <-t.C: // answered before the body's end
+	case <-timer.C: // the response came before the end of the body
 	}
 	ex.abandon()
 }
 
-// letGo tells the backend server that the request is given up, by closing the
-// sending side, and waits until the backend server closes its own. A late answer is
-// read and dropped.
+// abandon tells the backend server that the request is abandoned by half-closing the connection,
+// and waits until it closes its side. A late response is discarded.
 func (ex *Exchange) abandon() {
-	silent := ex.awaitPeerClose()
-	ex.opts.Release(silent)
+	unresponsive := ex.awaitPeerClose()
+	ex.opts.Release(unresponsive)
 }
 
-// awaitEnd ends the connection and reports whether the backend server was silent.
-func (ex *Exchange) awaitPeerClose() (silent bool) {
+// awaitPeerClose closes the connection and reports whether the backend server was unresponsive.
+func (ex *Exchange) awaitPeerClose() (unresponsive bool) {
 	c := ex.conn.Conn
 	defer c.Close()
 	if ex.opts.CloseImmediately {
@@ -264,7 +266,7 @@
 	}
 	limit := ex.opts.Deadline.Add(ReleaseMargin)
 	if ex.bodySent != nil {
-		_ = c.SetWriteDeadline(aLongTimeAgo) // stops a body still being sent
+		_ = c.SetWriteDeadline(aLongTimeAgo) // aborts a body that is still being sent
 		<-ex.bodySent
 	}
 	tcp, ok := c.(*net.TCPConn)
@@ -273,19 +275,19 @@
 		return true
 	}
 	if tcp.CloseWrite() != nil {
-		return false // the backend server has closed or reset it
+		return false // the backend server has already closed or reset the connection
 	}
 	_, err := io.Copy(io.Discard, c)
 	if !isTimeout(err) {
 		return false
 	}
-	// What still waits to be sent must never arrive. An error leaves it to
-	// the backend server's own deadline.
+	// Data that is still queued must not be sent any more. If that cannot be set, the backend
+	// server's own deadline applies.
 	_ = tcp.SetLinger(0)
 	return true
 }
 
 func isTimeout(err error) bool {
-	var t net.Error
-	return errors.As(err, &t) && t.Timeout()
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
--- a/conn/doc.go
+++ b/conn/doc.go
@@ -1,28 +1,28 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package conn holds what lives for one connection to a backend server.
+Package conn manages connections to backend servers and sends requests over them.
 
-A Pool keeps idle connections to one address. Dispatch sends one request over
-one connection and reads the head of the answer:
+A Pool keeps idle connections to one address. Dispatch sends one request over one
+connection and reads the header of the response:
 
-	ex, err := pool.Dispatch(req, opts) // err says whether a byte was sent
+	ex, err := pool.Dispatch(req, opts) // err tells whether a byte was sent
 	io.Copy(w, ex.Response.Body)
 	ex.Close()
 
 # Why not net/http's Transport
 
-Transport sends a request again by itself when it looks idempotent, and it does
-not say whether a byte had left. Requests that may not be repeated need both
-under control, so this package writes the request itself, once.
+Transport retries a request by itself if it looks idempotent, and it does not report
+whether a byte was sent. Requests that may not be repeated need control over both, so this
+package writes the request itself, once.
 
-# When a slot is free again
+# When a slot becomes free
 
 The caller holds a slot token while a request is at a backend server. Close ends the
-exchange and calls Options.Release once the backend server has surely let go: at once
-when the whole answer was read; otherwise the connection is half closed, and
-the token is held until the backend server closes its side in turn, or until the
-request's deadline and a margin have passed. In the latter case Release tells
-that the backend server was silent; it may be frozen with the request in hand.
+exchange and calls Options.Release once the backend server has certainly finished with the
+request. That is immediately if the whole response was read. Otherwise the connection is
+half-closed, and the token is held until the backend server closes its side in turn, or
+until the request's deadline and a margin have passed. In the latter case Release is told
+that the backend server is unresponsive: it may be frozen and still hold the request.
 */
 package conn
--- a/conn/pool.go
+++ b/conn/pool.go
@@ -19,51 +19,50 @@
 	"shalewick/clock"
 )
 
-// Bounds of a pool.
+// Limits of a pool.
 const (
-	// MaxIdle is the number of idle connections kept to one backend server.
+	// MaxIdleConns is the number of idle connections that are kept to one backend server.
 	MaxIdleConns = 16
-	// IdleTime is how long an idle connection is kept.
+	// DefaultIdleTimeout is how long an idle connection is kept.
 	DefaultIdleTimeout = 30 * time.Second
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout limits the time to open a connection.
 	DialTimeout = time.Second
 )
 
-// Pool keeps connections to one backend server. The fields are set before use.
+// Pool keeps connections to one backend server. The exported fields must be set before use.
 type Pool struct {
 	Address string
-	// Dialer opens connections; nil: one with DialTimeout.
+	// Dialer opens connections. If nil, a dialer with DialTimeout is used.
 	Dialer *net.Dialer
-	// IdleTime is how long an idle connection is kept, unless the backend server
-	// says that it keeps it for less. Zero means the constant IdleTime.
+	// IdleTimeout is how long an idle connection is kept, unless the backend server announces a
+	// shorter time. Zero means DefaultIdleTimeout.
 	IdleTimeout time.Duration
 
 	mu   sync.Mutex
 	idle []*pooledConn // most recently used last
 }
 
-// link is one connection with its buffers.
+// pooledConn is a connection with its buffers.
 type pooledConn struct {
 	net.Conn
 	r           *bufio.Reader
 	w           *bufio.Writer
-	idleSince   time.Duration // idle since, by clock.Now
+	idleSince   time.Duration // when it became idle, by clock.Now
 	idleTimeout time.Duration
-	bytesSent   int64 // bytes handed to the kernel for the present request
-	// allowed is asked right before each first write of a request, so that a
-	// process that was frozen in between does not send what it no longer may.
+	bytesSent   int64 // bytes of the current request that were written to the socket
+	// allowed is called right before the first write of each request, so that a process that was
+	// frozen in between does not send a request that it may no longer send.
 	allowed func() bool
-	// withheld is set once allowed said no.
+	// withheld is set once allowed has returned false.
 	withheld atomic.Bool
 }
 
 const bufferSize = 16 << 10
 
-// NotAllowed is the error of a request that Options.Allowed refused. No byte
-// of it was sent.
+// ErrNotAllowed is the error of a request that Options.Allowed refused. No byte of it was sent.
 const ErrNotAllowed = errors.ConstError("the dispatch is no longer allowed")
 
-// Write counts what leaves.
+// Write writes to the connection and counts the bytes.
 func (l *pooledConn) Write(p []byte) (int, error) {
 	if l.bytesSent == 0 && !l.allowed() {
 		l.withheld.Store(true)
@@ -74,7 +73,7 @@
 	return n, err
 }
 
-// get returns an idle connection that still looks open, or a new one.
+// getConn returns an idle connection that still appears open, or a new one.
 func (p *Pool) getConn(ctx context.Context) (*pooledConn, error) {
 	for {
 		l := p.popIdle()
@@ -84,13 +83,13 @@
 		if clock.Now()-l.idleSince < l.idleTimeout && isIdle(l.Conn) {
 			return l, nil
 		}
-		_ = l.Conn.Close() // it is of no more use
+		_ = l.Conn.Close() // expired, or closed by the backend server
 	}
 	return p.dial(ctx)
 }
 
-// Open opens a connection and keeps it for a request to come. The error says that
-// the backend server can't be reached.
+// Open opens a connection and keeps it for a later request. It fails if the backend server cannot
+// be reached.
 func (p *Pool) Open(ctx context.Context) error {
 	l, err := p.dial(ctx)
 	if err != nil {
@@ -120,20 +119,20 @@
 	return cmp.Or(p.IdleTimeout, DefaultIdleTimeout)
 }
 
-// idleMargin is how long before the backend server would close an idle connection it
-// is no longer used.
+// idleMargin is how long before the backend server would close an idle connection the pool stops
+// using it.
 const idleMargin = time.Second
 
-// keptIdle bounds the time that an idle connection is kept by what a
-// Keep-Alive header says.
+// keepAliveTimeout returns the idle timeout of a connection: own, or less if the Keep-Alive header
+// announces a shorter one.
 func keepAliveTimeout(own time.Duration, header string) time.Duration {
 	for field := range strings.SplitSeq(header, ",") {
 		text, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if !ok {
 			continue
 		}
-		if s, err := strconv.Atoi(text); err == nil && s >= 0 {
-			own = min(own, time.Duration(s)*time.Second-idleMargin)
+		if seconds, err := strconv.Atoi(text); err == nil && seconds >= 0 {
+			own = min(own, time.Duration(seconds)*time.Second-idleMargin)
 		}
 	}
 	return own
@@ -160,7 +159,7 @@
 	}
 	p.mu.Unlock()
 	if l != nil {
-		_ = l.Conn.Close() // one too many
+		_ = l.Conn.Close() // the pool is full
 	}
 }
 
@@ -171,22 +170,22 @@
 	}
 }
 
-// quiet reports whether an idle connection is open with nothing to read. An
-// backend server that closed it, or that sent an answer nobody waits for, is not.
+// isIdle reports whether a connection is open with nothing to read. A connection that the backend
+// server has closed, or on which it has sent an unexpected response, is not idle.
 func isIdle(c net.Conn) bool {
-	sc, ok := c.(syscall.Conn)
+	syscallConn, ok := c.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
 	open := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
-		_, _, rerr := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		open = rerr == syscall.EAGAIN
+		_, _, recvErr := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		open = recvErr == syscall.EAGAIN
 		return true
 	})
 	return err == nil && open
--- a/conn/report.go
+++ b/conn/report.go
@@ -11,14 +11,14 @@
 	"github.com/juju/errors"
 )
 
-// States in a backend server's own word on itself.
+// States that a backend server reports.
 const (
 	StateReady   = "ready"
 	StateCold    = "cold"
 	StateLeaving = "leaving"
 )
 
-// Report is a backend server's load report, the answer to GET /probe.
+// Report is the load report of a backend server, which it returns from GET /probe.
 type Report struct {
 	State    string `json:"state"`
 	Boot     string `json:"boot"` // identifies one start of the backend server
@@ -26,44 +26,45 @@
 	Slots    int    `json:"slots"`
 }
 
-// maxReport bounds a load report, in bytes.
+// maxReportBytes limits the size of a load report, in bytes.
 const maxReportBytes = 4 << 10
 
-// Probe asks the backend server at address for its load report.
-func Probe(ctx context.Context, c *http.Client, address string) (Report, error) {
-	var rep Report
+// Probe requests the load report of the backend server at address.
+func Probe(ctx context.Context, client *http.Client, address string) (Report, error) {
+	var report Report
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/probe", nil)
 	if err != nil {
-		return rep, errors.Trace(err)
+		return report, errors.Trace(err)
 	}
-	res, err := c.Do(req)
+	res, err := client.Do(req)
 	if err != nil {
-		return rep, errors.Trace(err)
+		return report, errors.Trace(err)
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return rep, errors.Errorf("probe of %s: status %d", address, res.StatusCode)
+		return report, errors.Errorf("probe of %s: status %d", address, res.StatusCode)
 	}
 	b, err := io.ReadAll(io.LimitReader(res.Body, maxReportBytes))
 	if err != nil {
-		return rep, errors.Annotatef(err, "probe of %s", address)
+		return report, errors.Annotatef(err, "probe of %s", address)
 	}
 	return ParseReport(b)
 }
 
-// maxBoot bounds the id of a backend server's start, in bytes.
+// maxBootIDBytes limits the length of the boot id, which identifies one start of a backend server,
+// in bytes.
 const maxBootIDBytes = 64
 
-// ParseReport reads a load report. It refuses one with an unknown state, with
-// numbers below zero, or with a boot id that is too long to be passed on.
+// ParseReport parses a load report. It rejects unknown states, negative numbers, and boot ids that
+// are too long to be passed on to other instances.
 func ParseReport(b []byte) (Report, error) {
-	var rep Report
-	if err := json.Unmarshal(b, &rep); err != nil {
+	var report Report
+	if err := json.Unmarshal(b, &report); err != nil {
 		return Report{}, errors.Annotate(err, "load report")
 	}
-	known := rep.State == StateReady || rep.State == StateCold || rep.State == StateLeaving
-	if !known || rep.InFlight < 0 || rep.Slots < 0 || len(rep.Boot) > maxBootIDBytes {
+	validState := report.State == StateReady || report.State == StateCold || report.State == StateLeaving
+	if !validState || report.InFlight < 0 || report.Slots < 0 || len(report.Boot) > maxBootIDBytes {
 		return Report{}, errors.Errorf("load report out of range: %.100q", b)
 	}
-	return rep, nil
+	return report, nil
 }
--- a/process/held/budget_test.go
+++ b/process/held/budget_test.go
@@ -66,8 +66,8 @@
 }
 
 // TestResponsesLeaveCapacityForRequests guards against refusals with MEMORY_FULL while nobody has
-// stalled for long enough to be cut off. In the first second of 2,000 slow callers, quick callers
-// were refused because the responses of other quick callers, of 1 MB each, had taken all free
+// stalled for long enough to be cut off. In the first second of 2,000 slow callers, fast callers
+// were refused because the responses of other fast callers, of 1 MB each, had taken all free
 // memory.
 func TestResponsesLeaveCapacityForRequests(t *testing.T) {
 	const requests = 400
--- a/process/proxy/account_test.go
+++ b/process/proxy/account_test.go
@@ -100,9 +100,9 @@
 // anything counts as an unreachable backend server, not as a lost response.
 func TestUserTimeoutCountsAsUnreachable(t *testing.T) {
 	timedOut := &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", syscall.ETIMEDOUT)}
-	unacknowledged := &conn.DispatchError{Sent: true, Err: errors.Annotate(timedOut, "read answer")}
+	unacknowledged := &conn.DispatchError{Sent: true, Err: errors.Annotate(timedOut, "read response")}
 	assert.Equal(t, outcomeOf(unacknowledged), balance.Unreachable)
-	late := &conn.DispatchError{Sent: true, Err: errors.Annotate(os.ErrDeadlineExceeded, "read answer")}
+	late := &conn.DispatchError{Sent: true, Err: errors.Annotate(os.ErrDeadlineExceeded, "read response")}
 	assert.Equal(t, outcomeOf(late), balance.Lost)
 	assert.Equal(t, outcomeOf(io.ErrUnexpectedEOF), balance.Lost)
 }
--- a/request/class.go
+++ b/request/class.go
@@ -8,10 +8,11 @@
 	"github.com/juju/errors"
 )
 
-// Class orders requests when there is not room for all. A lower value goes first.
+// Class is the priority class of a request when there is not enough capacity for all. Lower values
+// are served first.
 type Class uint8
 
-// The classes, most urgent first.
+// The classes, in order of priority.
 const (
 	ClassInvalid Class = iota
 	// ClassCommit is for bids, deposits, assignments and swaps.
@@ -26,7 +27,7 @@
 
 var classNames = [NumClasses]string{"invalid", "commit", "read", "upload"}
 
-// String returns the class's name in documents.
+// String returns the name of the class in documents.
 func (c Class) String() string {
 	if c >= NumClasses {
 		return classNames[ClassInvalid]
@@ -34,17 +35,17 @@
 	return classNames[c]
 }
 
-// Valid reports whether the class is one of the named ones.
+// Valid reports whether c is a defined class other than ClassInvalid.
 func (c Class) Valid() bool {
 	return c > ClassInvalid && c < NumClasses
 }
 
-// ClassNames lists the names of the valid classes.
+// ClassNames returns the names of the valid classes.
 func ClassNames() []string {
 	return classNames[ClassCommit:]
 }
 
-// ParseClass returns the class of a name, or ClassInvalid.
+// ParseClass returns the class with the given name, or ClassInvalid.
 func ParseClass(name string) Class {
 	for c := ClassCommit; c < NumClasses; c++ {
 		if classNames[c] == name {
@@ -54,12 +55,12 @@
 	return ClassInvalid
 }
 
-// MarshalJSON writes the name.
+// MarshalJSON encodes the class as its name.
 func (c Class) MarshalJSON() ([]byte, error) {
 	return json.Marshal(c.String())
 }
 
-// UnmarshalJSON reads the name.
+// UnmarshalJSON decodes the name of a valid class.
 func (c *Class) UnmarshalJSON(b []byte) error {
 	var s string
 	if err := json.Unmarshal(b, &s); err != nil {
--- a/request/fingerprint.go
+++ b/request/fingerprint.go
@@ -11,32 +11,32 @@
 	"github.com/juju/errors"
 )
 
-// Fingerprint is what all attempts at the same request have in common: the workspace
-// that sends it, host, method, path with query, and body. Each attempt has an id of its
-// own, comes to any instance, and goes to any backend server; so what a request does
-// wherever it runs can be told only by its fingerprint. Zero: not known.
+// Fingerprint identifies equal requests: it is a hash of the workspace that sends the request,
+// host, method, path with query, and body. Each attempt has its own id, may arrive at any instance
+// and go to any backend server, so only the fingerprint relates the effects of a request in
+// different places. Zero means unknown.
 type Fingerprint uint64
 
-// FingerprintOf returns the fingerprint of a request. Body is its beginning, as far as it
-// is held, and length that of all of it in bytes, -1 when it is not known.
+// FingerprintOf returns the fingerprint of a request. Body is as much of the beginning of the body
+// as is buffered; length is the length of the whole body in bytes, or -1 if unknown.
 func FingerprintOf(workspace, host, method, target string, body []byte, length int64) Fingerprint {
-	var d xxhash.Digest
-	d.Reset()
+	var digest xxhash.Digest
+	digest.Reset()
 	for _, part := range [...]string{workspace, host, method, target} {
-		_, _ = d.WriteString(part) // it never fails
-		_, _ = d.Write([]byte{0})
+		_, _ = digest.WriteString(part) // never fails
+		_, _ = digest.Write([]byte{0})
 	}
-	var n [8]byte
-	binary.LittleEndian.PutUint64(n[:], uint64(length))
-	_, _ = d.Write(n[:])
-	_, _ = d.Write(body)
-	return Fingerprint(d.Sum64())
+	var encodedLength [8]byte
+	binary.LittleEndian.PutUint64(encodedLength[:], uint64(length))
+	_, _ = digest.Write(encodedLength[:])
+	_, _ = digest.Write(body)
+	return Fingerprint(digest.Sum64())
 }
 
-// String returns 16 hexadecimal digits.
+// String returns the fingerprint as 16 hexadecimal digits.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
 
-// ParseFingerprint reads what String returns.
+// ParseFingerprint parses the format that String returns.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	n, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != 16 {
--- a/request/fingerprint_test.go
+++ b/request/fingerprint_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestFingerprintsTellRequestsApart checks that each part counts, and that none runs into
-// the next.
+// TestFingerprintsDifferPerRequest checks that each part of a request affects the fingerprint, and
+// that adjacent parts are separated.
 func TestFingerprintsDifferPerRequest(t *testing.T) {
 	of := func(workspace, host, method, target, body string) Fingerprint {
 		return FingerprintOf(workspace, host, method, target, []byte(body), int64(len(body)))
@@ -32,7 +32,8 @@
 	}
 }
 
-// TestFingerprintsAreReadBack checks that what operators write names the same request.
+// TestFingerprintRoundTrip checks that a parsed fingerprint equals the original, and that malformed
+// ones are errors.
 func TestFingerprintRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := Fingerprint(rapid.Uint64().Draw(t, "fingerprint"))
@@ -46,7 +47,7 @@
 	}
 }
 
-// BenchmarkFingerprint measures what each request pays.
+// BenchmarkFingerprint measures the cost of a fingerprint, which is computed for every request.
 func BenchmarkFingerprint(b *testing.B) {
 	for name, size := range map[string]int{"none": 0, "300B": 300, "60kB": 60_000, "1MB": 1 << 20} {
 		body := bytes.Repeat([]byte("x"), size)
--- a/request/forward.go
+++ b/request/forward.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// hopHeaders belong to one connection and are not passed on.
+// hopHeaders are the hop-by-hop headers, which apply to one connection only.
 var hopHeaders = [...]string{
 	"Connection", "Expect", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// Forwardable returns a copy of the headers that go on to the other side of a
-// proxy: all but those that concern one connection only.
+// Forwardable returns a copy of the headers without the hop-by-hop headers, which a proxy must not
+// forward.
 func Forwardable(in http.Header) http.Header {
 	out := make(http.Header, len(in)+4)
 	for k, vs := range in {
@@ -32,7 +32,8 @@
 	return out
 }
 
-// BodyAllowed reports whether an answer to a method can have a body.
+// BodyAllowed reports whether a response with this status to a request with this method may have a
+// body.
 func BodyAllowed(method string, status int) bool {
 	return method != http.MethodHead && status/100 != 1 && status != http.StatusNoContent && status != http.StatusNotModified
 }
--- a/request/notice.go
+++ b/request/notice.go
@@ -9,43 +9,44 @@
 	"time"
 )
 
-// Notice is what a backend server's answer says of what it wants from now on, whatever
-// became of the request. The zero value says nothing.
+// Notice is what a response says about requests to its backend server from now on, regardless of
+// how the current request ended. The zero value says nothing.
 type Notice struct {
-	// Leaving is set if it is about to end and wants no new requests.
+	// Leaving is set if the backend server is about to stop and wants no new requests.
 	Leaving bool
-	// RetryAfter is for how long it wants no requests of this instance. Zero: it did not ask.
+	// RetryAfter is how long the backend server wants no requests from this instance; zero if it
+	// did not say.
 	RetryAfter time.Duration
 }
 
 const (
-	// headerRetryAfter is the standard name (RFC 9110, 10.2.3). Of its two forms only the
-	// seconds are read: a date would need the backend server's clock.
+	// headerRetryAfter is the standard header (RFC 9110, 10.2.3). Only the form in seconds is read:
+	// a date would depend on the backend server's clock.
 	headerRetryAfter = "Retry-After"
-	// leavingSaid is the value with which an answer says that its server leaves.
+	// leavingValue is the value of the leaving header if the backend server is leaving.
 	leavingValue = "1"
-	// mostRetryAfter bounds what is taken up, so that no number overflows a time: a longer time
-	// than a day is as good as for ever.
+	// maxRetryAfter caps RetryAfter, so that no value overflows a time.Duration. For an instance, a
+	// day is as good as forever.
 	maxRetryAfter = 24 * time.Hour
 )
 
-// Notice reads what the head of an answer says. RetryAfter is asked for by an answer that turns
-// its request away: a 503, or a 429 that says that nothing was run. Other answers with a
-// time to come back mean the caller.
+// Notice parses the headers of a response. RetryAfter is taken from a response that rejects the
+// request: a 503, or a 429 that says that the request was not run. In other responses the header is
+// meant for the caller.
 func (n *Names) Notice(status int, h http.Header) Notice {
 	out := Notice{Leaving: n.Leaving != "" && h.Get(n.Leaving) == leavingValue}
-	away := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests && h.Get(n.NotRun) != ""
-	if away {
+	rejected := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests && h.Get(n.NotRun) != ""
+	if rejected {
 		out.RetryAfter = parseRetryAfter(h.Get(headerRetryAfter))
 	}
 	return out
 }
 
-// retryAfterOf reads a number of seconds, fractions allowed. Anything else is none.
+// parseRetryAfter parses a number of seconds, possibly with a fraction. Any other text yields zero.
 func parseRetryAfter(text string) time.Duration {
-	s, err := strconv.ParseFloat(text, 64)
-	if err != nil || math.IsNaN(s) || s <= 0 {
+	seconds, err := strconv.ParseFloat(text, 64)
+	if err != nil || math.IsNaN(seconds) || seconds <= 0 {
 		return 0
 	}
-	return time.Duration(min(s, maxRetryAfter.Seconds()) * float64(time.Second))
+	return time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second))
 }
--- a/request/notice_test.go
+++ b/request/notice_test.go
@@ -24,24 +24,24 @@
 		head   http.Header
 		want   Notice
 	}{
-		"nothing":                      {200, head(), Notice{}},
-		"it leaves":                    {200, head(leaving, "1"), Notice{Leaving: true}},
-		"it does not leave":            {200, head(leaving, "0"), Notice{}},
-		"a refusal of one that leaves": {503, head(leaving, "1", "Retry-After", "2"), Notice{Leaving: true, RetryAfter: 2 * time.Second}},
-		"rest":                         {503, head("Retry-After", "3", notRun, "1"), Notice{RetryAfter: 3 * time.Second}},
-		"a part of a second":           {503, head("Retry-After", "0.25"), Notice{RetryAfter: 250 * time.Millisecond}},
-		"too many, turned away":        {429, head("Retry-After", "1", notRun, "1"), Notice{RetryAfter: time.Second}},
-		"too many, of the caller":      {429, head("Retry-After", "1"), Notice{}},
-		"of another answer":            {200, head("Retry-After", "1"), Notice{}},
-		"a date":                       {503, head("Retry-After", "Fri, 31 Dec 2027 23:59:59 GMT"), Notice{}},
-		"below zero":                   {503, head("Retry-After", "-4"), Notice{}},
-		"no number":                    {503, head("Retry-After", "NaN"), Notice{}},
-		"without end":                  {503, head("Retry-After", "+Inf"), Notice{RetryAfter: maxRetryAfter}},
-		"too large for a time":         {503, head("Retry-After", "1e300"), Notice{RetryAfter: maxRetryAfter}},
+		"nothing":                     {200, head(), Notice{}},
+		"leaving":                     {200, head(leaving, "1"), Notice{Leaving: true}},
+		"not leaving":                 {200, head(leaving, "0"), Notice{}},
+		"refused by a leaving server": {503, head(leaving, "1", "Retry-After", "2"), Notice{Leaving: true, RetryAfter: 2 * time.Second}},
+		"backoff":                     {503, head("Retry-After", "3", notRun, "1"), Notice{RetryAfter: 3 * time.Second}},
+		"fraction of a second":        {503, head("Retry-After", "0.25"), Notice{RetryAfter: 250 * time.Millisecond}},
+		"429, not run":                {429, head("Retry-After", "1", notRun, "1"), Notice{RetryAfter: time.Second}},
+		"429 for the caller":          {429, head("Retry-After", "1"), Notice{}},
+		"other status":                {200, head("Retry-After", "1"), Notice{}},
+		"date":                        {503, head("Retry-After", "Fri, 31 Dec 2027 23:59:59 GMT"), Notice{}},
+		"negative":                    {503, head("Retry-After", "-4"), Notice{}},
+		"not a number":                {503, head("Retry-After", "NaN"), Notice{}},
+		"infinite":                    {503, head("Retry-After", "+Inf"), Notice{RetryAfter: maxRetryAfter}},
+		"overflow":                    {503, head("Retry-After", "1e300"), Notice{RetryAfter: maxRetryAfter}},
 	} {
 		assert.Equal(t, OwnNames.Notice(x.status, x.head), x.want, name)
 	}
-	assert.Equal(t, (&Names{}).Notice(200, head("", "1")), Notice{}, "a deployment whose servers do not say it")
+	assert.Equal(t, (&Names{}).Notice(200, head("", "1")), Notice{}, "no leaving header is configured")
 }
 
 func FuzzNotice(f *testing.F) {
--- a/request/result.go
+++ b/request/result.go
@@ -11,12 +11,11 @@
 	"time"
 )
 
-// Code is the number of a result. docs/RESULTS.md lists them.
+// Code is the number of a result. docs/RESULTS.md lists the codes.
 type Code int
 
-// The result codes. Tens group them: 1x the request is at fault, 2x there is
-// no room, 3x the instance can not serve now, 4x a backend server failed, 5x
-// tickets, 6x and 7x operators' calls.
+// The result codes. They are grouped by tens: 1x the request is at fault, 2x no capacity, 3x the
+// instance cannot serve now, 4x a backend server failed, 5x tickets, 6x and 7x operators' calls.
 const (
 	OK Code = 0
 
@@ -66,7 +65,7 @@
 	NotCarriedOut Code = 70
 )
 
-// Ran says whether a backend server ran a request.
+// Ran states whether a backend server ran a request.
 type Ran string
 
 // The values of Ran.
@@ -83,7 +82,7 @@
 	Text   string
 }
 
-// infos is the table that docs/RESULTS.md shows.
+// infos describes each code. docs/RESULTS.md shows the same table.
 var infos = map[Code]Info{
 	OK:             {"OK", http.StatusOK, "answered by a backend server"},
 	BadRequest:     {"BAD_REQUEST", http.StatusBadRequest, "the request could not be read"},
@@ -132,55 +131,55 @@
 	return infos[c]
 }
 
-// NoPlace reports whether the code says that there was no room for a request,
-// so that it was not sent at all.
+// NoCapacity reports whether the code says that there was no capacity for a request, so that it was
+// not sent.
 func (c Code) NoCapacity() bool {
 	return c == QueueFull || c == DeadlineNear || c == NoBackend
 }
 
-// Codes lists every code with a description, unordered.
+// Codes returns every code that has a description, in no particular order.
 func Codes() []Code {
-	cs := make([]Code, 0, len(infos))
+	codes := make([]Code, 0, len(infos))
 	for c := range infos {
-		cs = append(cs, c)
+		codes = append(codes, c)
 	}
-	return cs
+	return codes
 }
 
-// String returns number and name.
+// String returns the number and the name of the code.
 func (c Code) String() string {
 	return fmt.Sprintf("%d %s", int(c), infos[c].Name)
 }
 
-// Headers of requests and answers.
+// Headers of requests and responses.
 const (
-	HeaderService   = "Shalewick-Service"    // names the service, before Host
+	HeaderService   = "Shalewick-Service"    // names the service; takes precedence over Host
 	HeaderResult    = "Shalewick-Result"     // number and name of the result
 	HeaderRan       = "Shalewick-Ran"        // no, yes or unknown
-	HeaderRetry     = "Shalewick-Retry-Ms"   // when to come back, milliseconds
-	HeaderDeadline  = "Shalewick-Timeout-Ms" // time left, milliseconds
+	HeaderRetry     = "Shalewick-Retry-Ms"   // when to retry, in milliseconds
+	HeaderDeadline  = "Shalewick-Timeout-Ms" // time left, in milliseconds
 	HeaderID        = "Shalewick-Request-Id" // echoed by backend servers
 	HeaderTicket    = "Shalewick-Ticket"     // ticket of a request that may not be repeated
-	HeaderOnce      = "Shalewick-Once"       // "true": treat as not repeatable
-	HeaderForwarded = "Shalewick-Forwarded"  // set by an instance that passes a ticket on
+	HeaderOnce      = "Shalewick-Once"       // "true": treat the request as not repeatable
+	HeaderForwarded = "Shalewick-Forwarded"  // set by an instance that forwards a ticket
 	HeaderRegion    = "Shalewick-Region"     // region of the instance that sent it
-	HeaderNotRun    = "Shalewick-Not-Run"    // "true" in a backend server's refusal: it was not run
-	HeaderState     = "Shalewick-State"      // backend server's own word: ready, cold or leaving
+	HeaderNotRun    = "Shalewick-Not-Run"    // "true" in a backend server's refusal: the request was not run
+	HeaderState     = "Shalewick-State"      // state reported by the backend server: ready, cold or leaving
 	HeaderBoot      = "Shalewick-Boot"       // identifies one start of a backend server
 	HeaderBackend   = "Shalewick-Backend"    // which backend server answered
 	HeaderOperation = "Shalewick-Operation"  // identifies an operator's call
 )
 
-// Result is the end of a request that no backend server's answer ended.
+// Result ends a request that is not answered by a backend server.
 type Result struct {
 	Code   Code          `json:"code"`
 	Name   string        `json:"name"`
 	Ran    Ran           `json:"ran"`
-	Retry  time.Duration `json:"-"` // when to come back; zero: no use in coming back
+	Retry  time.Duration `json:"-"` // when to retry; zero if retrying is of no use
 	Detail string        `json:"detail,omitempty"`
 }
 
-// NotRun returns a result that promises that the request was not run.
+// NotRun returns a result that guarantees that the request was not run.
 func NotRun(c Code, retry time.Duration) Result {
 	return Result{Code: c, Ran: RanNo, Retry: retry}
 }
@@ -190,7 +189,7 @@
 	return Result{Code: c, Ran: RanUnknown}
 }
 
-// Error makes a Result usable as an error.
+// Error implements the error interface.
 func (r Result) Error() string {
 	return fmt.Sprintf("%s: %s (ran: %s)", r.Code, r.Detail, r.Ran)
 }
@@ -202,7 +201,7 @@
 	RetryMs int64  `json:"retryMs,omitempty"`
 }
 
-// Write answers with the result, in headers and JSON body.
+// Write responds with the result, in headers and a JSON body.
 func (r Result) Write(w http.ResponseWriter) {
 	info := r.Code.Info()
 	r.Name = info.Name
@@ -220,10 +219,11 @@
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(b)))
 	w.WriteHeader(info.Status)
-	_, _ = w.Write(b) // the caller may be gone; there is nobody left to tell
+	_, _ = w.Write(b) // an error means that the caller has disconnected
 }
 
-// FromHeader reads a result back. The bool is false for a backend server's answer.
+// FromHeader parses the result in the headers of a response. It returns false for a response of a
+// backend server.
 func FromHeader(h http.Header) (Result, bool) {
 	text := h.Get(HeaderResult)
 	if text == "" {
