--- a/conn/pool.go
+++ b/conn/pool.go
@@ -63,27 +63,27 @@
 const ErrNotAllowed = errors.ConstError("the dispatch is no longer allowed")
 
 // Write writes to the connection and counts the bytes.
-func (l *pooledConn) Write(p []byte) (int, error) {
-	if l.bytesSent == 0 && !l.allowed() {
-		l.withheld.Store(true)
+func (c *pooledConn) Write(p []byte) (int, error) {
+	if c.bytesSent == 0 && !c.allowed() {
+		c.withheld.Store(true)
 		return 0, ErrNotAllowed
 	}
-	n, err := l.Conn.Write(p)
-	l.bytesSent += int64(n)
+	n, err := c.Conn.Write(p)
+	c.bytesSent += int64(n)
 	return n, err
 }
 
 // getConn returns an idle connection that still appears open, or a new one.
 func (p *Pool) getConn(ctx context.Context) (*pooledConn, error) {
 	for {
-		l := p.popIdle()
-		if l == nil {
+		conn := p.popIdle()
+		if conn == nil {
 			break
 		}
-		if clock.Now()-l.idleSince < l.idleTimeout && isIdle(l.Conn) {
-			return l, nil
+		if clock.Now()-conn.idleSince < conn.idleTimeout && isIdle(conn.Conn) {
+			return conn, nil
 		}
-		_ = l.Conn.Close() // expired, or closed by the backend server
+		_ = conn.Conn.Close() // expired, or closed by the backend server
 	}
 	return p.dial(ctx)
 }
@@ -91,12 +91,12 @@
 // Open opens a connection and keeps it for a later request. It fails if the backend server cannot
 // be reached.
 func (p *Pool) Open(ctx context.Context) error {
-	l, err := p.dial(ctx)
+	conn, err := p.dial(ctx)
 	if err != nil {
 		return err
 	}
-	l.idleTimeout = p.idleTimeout()
-	p.putIdle(l)
+	conn.idleTimeout = p.idleTimeout()
+	p.putIdle(conn)
 	return nil
 }
 
@@ -106,13 +106,13 @@
 	if d == nil {
 		d = &net.Dialer{Timeout: DialTimeout}
 	}
-	c, err := d.DialContext(ctx, "tcp", p.Address)
+	netConn, err := d.DialContext(ctx, "tcp", p.Address)
 	if err != nil {
 		return nil, errors.Annotatef(err, "open connection to %s", p.Address)
 	}
-	l := &pooledConn{Conn: c, r: bufio.NewReaderSize(c, bufferSize)}
-	l.w = bufio.NewWriterSize(l, bufferSize)
-	return l, nil
+	conn := &pooledConn{Conn: netConn, r: bufio.NewReaderSize(netConn, bufferSize)}
+	conn.w = bufio.NewWriterSize(conn, bufferSize)
+	return conn, nil
 }
 
 func (p *Pool) idleTimeout() time.Duration {
@@ -145,28 +145,28 @@
 	if n == 0 {
 		return nil
 	}
-	l := p.idle[n-1]
+	conn := p.idle[n-1]
 	p.idle = p.idle[:n-1]
-	return l
+	return conn
 }
 
-func (p *Pool) putIdle(l *pooledConn) {
-	l.idleSince = clock.Now()
+func (p *Pool) putIdle(conn *pooledConn) {
+	conn.idleSince = clock.Now()
 	p.mu.Lock()
 	if len(p.idle) < MaxIdleConns {
-		p.idle = append(p.idle, l)
-		l = nil
+		p.idle = append(p.idle, conn)
+		conn = nil
 	}
 	p.mu.Unlock()
-	if l != nil {
-		_ = l.Conn.Close() // the pool is full
+	if conn != nil {
+		_ = conn.Conn.Close() // the pool is full
 	}
 }
 
 // CloseIdle closes the idle connections.
 func (p *Pool) CloseIdle() {
-	for l := p.popIdle(); l != nil; l = p.popIdle() {
-		_ = l.Conn.Close() // nothing is in flight on it
+	for conn := p.popIdle(); conn != nil; conn = p.popIdle() {
+		_ = conn.Conn.Close() // nothing is in flight on it
 	}
 }
 
--- a/process/proxy/account_test.go
+++ b/process/proxy/account_test.go
@@ -79,7 +79,7 @@
 		f.assertServed(f.send(id, "/reads/1", ""), id)
 	}
 	ran := len(f.runs())
-	req, err := http.NewRequest(http.MethodGet, f.front.URL+"/reads/1", nil)
+	req, err := http.NewRequest(http.MethodGet, f.proxyServer.URL+"/reads/1", nil)
 	assert.NilError(t, err)
 	req.Host = "a.example"
 	req.Header.Set(request.OwnNames.ID, "x")
--- a/process/proxy/attempt.go
+++ b/process/proxy/attempt.go
@@ -127,7 +127,9 @@
 	// maxBackendsTried bounds the backend servers that are tried for one request, including those
 	// to which no connection could be opened.
 	maxBackendsTried = 4
-	minRetryAfter    = 150 * time.Millisecond
+	// minRetryAfter is the Retry-After time of requests that a backend server refused or could not be
+	// reached for, and of requests to an instance whose configuration is not confirmed.
+	minRetryAfter = 150 * time.Millisecond
 )
 
 // attempt makes one attempt.
--- a/process/proxy/caller_test.go
+++ b/process/proxy/caller_test.go
@@ -32,7 +32,7 @@
 // sendAs sends a GET request with additional headers.
 func (f *fixture) sendAs(id, path string, headers http.Header) reply {
 	f.t.Helper()
-	req, err := http.NewRequest(http.MethodGet, f.front.URL+path, nil)
+	req, err := http.NewRequest(http.MethodGet, f.proxyServer.URL+path, nil)
 	assert.NilError(f.t, err)
 	req.Host = "a.example"
 	if headers != nil {
--- a/process/proxy/gone_test.go
+++ b/process/proxy/gone_test.go
@@ -26,7 +26,7 @@
 // sendRaw opens a connection to the proxy and writes text to it.
 func (f *fixture) sendRaw(text string) net.Conn {
 	f.t.Helper()
-	c, err := net.Dial("tcp", f.front.Listener.Addr().String())
+	c, err := net.Dial("tcp", f.proxyServer.Listener.Addr().String())
 	assert.NilError(f.t, err)
 	f.t.Cleanup(func() { c.Close() })
 	_, err = fmt.Fprint(c, text)
--- a/process/proxy/held_test.go
+++ b/process/proxy/held_test.go
@@ -35,7 +35,7 @@
 // openSlowCaller sends a request over a new connection.
 func (f *fixture) openSlowCaller(head, body string) *slowCaller {
 	f.t.Helper()
-	c, err := net.Dial("tcp", f.front.Listener.Addr().String())
+	c, err := net.Dial("tcp", f.proxyServer.Listener.Addr().String())
 	assert.NilError(f.t, err)
 	f.t.Cleanup(func() { _ = c.Close() })
 	_, err = io.WriteString(c, head+"\r\n\r\n"+body)
--- a/process/proxy/lapse.go
+++ b/process/proxy/lapse.go
@@ -75,7 +75,7 @@
 // CancelExpired cancels the requests whose deadline passed while the machine was suspended. Their
 // timers stood still, so they would otherwise go on for as long as the suspension lasted. Responses
 // that have arrived by now have already been read.
-func (p *Proxy) CancelExpired() (ended int) {
+func (p *Proxy) CancelExpired() (cancelled int) {
 	p.calls.mu.Lock()
 	defer p.calls.mu.Unlock()
 	for c, cancel := range p.calls.cancels {
@@ -84,7 +84,7 @@
 		}
 		cancel()
 		c.abortBodyRead()
-		ended++
+		cancelled++
 	}
-	return ended
+	return cancelled
 }
--- a/process/proxy/limit.go
+++ b/process/proxy/limit.go
@@ -39,8 +39,8 @@
 	if t.query.Unlimited {
 		return false // the limit was reported after the pick
 	}
-	at, ok := t.p.Limits.Acquire(ctx, pick.Limitable(), t.query.Priority)
-	t.permitFrom = at
+	from, ok := t.p.Limits.Acquire(ctx, pick.Limitable(), t.query.Priority)
+	t.permitFrom = from
 	return ok
 }
 
--- a/process/proxy/proxy_test.go
+++ b/process/proxy/proxy_test.go
@@ -33,7 +33,7 @@
 	t        testing.TB
 	proxy    *Proxy
 	table    *balance.Table
-	front    *httptest.Server
+	proxyServer    *httptest.Server
 	backends []*server.Server
 	config   *version.Config
 }
@@ -68,8 +68,8 @@
 		f.backend(s.Name, s.Address())
 	}
 	f.install()
-	f.front = httptest.NewServer(f.proxy)
-	t.Cleanup(f.front.Close)
+	f.proxyServer = httptest.NewServer(f.proxy)
+	t.Cleanup(f.proxyServer.Close)
 	return f
 }
 
@@ -135,7 +135,7 @@
 	if body != "" {
 		method = http.MethodPost
 	}
-	req, err := http.NewRequest(method, f.front.URL+path, strings.NewReader(body))
+	req, err := http.NewRequest(method, f.proxyServer.URL+path, strings.NewReader(body))
 	assert.NilError(f.t, err)
 	req.Host = "a.example"
 	req.Header.Set(request.OwnNames.ID, id)
@@ -251,8 +251,8 @@
 // not be reached, or refused it, is answered immediately and takes at most one retry.
 func TestSingleBackendFailureIsFinalImmediately(t *testing.T) {
 	for name, fail := range map[string]func(f *fixture){
-		"dead":    func(f *fixture) { f.backends[0].Close() },
-		"refuses": func(f *fixture) { f.shedAll() },
+		"down":     func(f *fixture) { f.backends[0].Close() },
+		"refusing": func(f *fixture) { f.shedAll() },
 	} {
 		f := newFixture(t, 1)
 		fail(f)
@@ -289,7 +289,7 @@
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), after)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, f.front.URL+"/reads/1", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, f.proxyServer.URL+"/reads/1", nil)
 	assert.NilError(f.t, err)
 	req.Host = "a.example"
 	req.Header.Set(request.OwnNames.ID, id)
@@ -327,7 +327,7 @@
 	f.assertServed(f.send("big", "/bids/1", large), "big")
 	assert.Equal(t, f.runs()[0].Body, large)
 	assert.Equal(t, f.send("more", "/bids/1", strings.Repeat("v", 3<<20+1)).status, http.StatusRequestEntityTooLarge)
-	req, err := http.NewRequest(http.MethodGet, f.front.URL+"/reads/1", nil)
+	req, err := http.NewRequest(http.MethodGet, f.proxyServer.URL+"/reads/1", nil)
 	assert.NilError(t, err)
 	req.Host = "a.example"
 	req.Header.Set("X-Long", strings.Repeat("h", 5000))
@@ -340,7 +340,7 @@
 func TestDisabledKeepAlivesCloseConnections(t *testing.T) {
 	f := newFixture(t, 1)
 	f.proxy.DisableKeepAlives()
-	c, err := net.Dial("tcp", f.front.Listener.Addr().String())
+	c, err := net.Dial("tcp", f.proxyServer.Listener.Addr().String())
 	assert.NilError(t, err)
 	defer c.Close()
 	fmt.Fprintf(c, "GET /reads/1 HTTP/1.1\r\nHost: a.example\r\n%s: x\r\n\r\n", request.OwnNames.ID)
@@ -361,7 +361,7 @@
 		"POST /bids/1 HTTP/1.1\r\nHost: a.example\r\nTransfer-Encoding: chunked, chunked\r\n\r\n0\r\n\r\n",
 		"GET /reads/1 HTTP/1.1\r\nHost: a.example\r\nX: a\r\n b\x00c\r\n\r\n",
 	} {
-		c, err := net.Dial("tcp", f.front.Listener.Addr().String())
+		c, err := net.Dial("tcp", f.proxyServer.Listener.Addr().String())
 		assert.NilError(t, err)
 		_, err = io.WriteString(c, text)
 		assert.NilError(t, err)
--- a/process/proxy/rollout_test.go
+++ b/process/proxy/rollout_test.go
@@ -247,7 +247,7 @@
 // sendWithDeadline sends a read with a deadline set by the caller.
 func (x *rolloutFixture) sendWithDeadline(id string, left time.Duration) int {
 	x.t.Helper()
-	req, err := http.NewRequest(http.MethodGet, x.front.URL+"/reads/1", nil)
+	req, err := http.NewRequest(http.MethodGet, x.proxyServer.URL+"/reads/1", nil)
 	assert.NilError(x.t, err)
 	req.Host = "a.example"
 	req.Header.Set(request.OwnNames.ID, id)
