--- a/process/proxy/lapse.go
+++ b/process/proxy/lapse.go
@@ -72,9 +72,9 @@
 // aLongTimeAgo is a deadline that interrupts pending I/O immediately.
 var aLongTimeAgo = time.Unix(1, 0)
 
-// CancelExpired cancels the requests whose deadline passed while the machine was suspended. Their
-// timers stood still, so they would otherwise go on for as long as the suspension lasted. Responses
-// that have arrived by now have already been read.
+// CancelExpired cancels the requests whose deadline passed while the machine was suspended, and
+// returns their number. Their timers stood still, so they would otherwise go on for as long as the
+// suspension lasted. Responses that have arrived by now have already been read.
 func (p *Proxy) CancelExpired() (cancelled int) {
 	p.calls.mu.Lock()
 	defer p.calls.mu.Unlock()
--- a/process/proxy/proxy_test.go
+++ b/process/proxy/proxy_test.go
@@ -30,12 +30,12 @@
 
 // fixture is a proxy with some backend servers, in one process.
 type fixture struct {
-	t        testing.TB
-	proxy    *Proxy
-	table    *balance.Table
-	proxyServer    *httptest.Server
-	backends []*server.Server
-	config   *version.Config
+	t           testing.TB
+	proxy       *Proxy
+	table       *balance.Table
+	proxyServer *httptest.Server
+	backends    []*server.Server
+	config      *version.Config
 }
 
 func newFixture(t testing.TB, backends int) *fixture {
@@ -351,7 +351,7 @@
 }
 
 // TestTruncatedRequestsRunNothing sends bodies that end early, in both framings, conflicting
-// lengths and malformed headers.
+// lengths and encodings as in request smuggling, and malformed headers.
 func TestTruncatedRequestsRunNothing(t *testing.T) {
 	f := newFixture(t, 1)
 	for _, text := range []string{
