--- a/conn/dispatch.go
+++ b/conn/dispatch.go
@@ -13,259 +13,261 @@
 	"github.com/juju/errors"
 )
 
-// Options of one dispatch.
+// Options configure one dispatch.
 type Options struct {
-	// Deadline is when the request is given up.
+	// Deadline is when the request is abandoned.
 	Deadline time.Time
-	// Allowed is asked right before the first byte leaves.
+	// Allowed is called right before the first byte is sent. If it returns false, the request is
+	// not sent.
 	Allowed func() bool
-	// Release is called once, when the backend server has let go of the request.
-	// Silent is true when it did not say so, and only the request's deadline
-	// and Margin have passed: a backend server that runs has let go by then, but
-	// one that is frozen may still hold it.
-	Release func(silent bool)
-	// CloseAtOnce closes the connection of a request that is given up, for an
-	// backend server that drops a request then. Otherwise the backend server is asked by a
-	// half close, and its answer waited for.
-	CloseAtOnce bool
+	// Release is called once, when the backend server has finished with the request. Unresponsive
+	// is true if the backend server did not confirm that, and the request's deadline and
+	// ReleaseMargin have passed. A running backend server has finished by then, but a frozen one
+	// may still hold the request.
+	Release func(unresponsive bool)
+	// CloseImmediately closes the connection of an abandoned request, for backend servers that then
+	// cancel it. Otherwise the connection is half-closed, and Release is called once the backend
+	// server has closed its side.
+	CloseImmediately bool
 }
 
-// past is a deadline that ends all waiting.
-var past = time.Unix(1, 0)
+// aLongTimeAgo is a deadline that interrupts pending I/O immediately.
+var aLongTimeAgo = time.Unix(1, 0)
 
-// Margin is how long after its deadline a request is held to occupy a slot of
-// a backend server that did not say it let go. It covers the time on the way.
-const Margin = 500 * time.Millisecond
+// ReleaseMargin is how long after its deadline an abandoned request counts as occupying a slot of a
+// backend server that did not close the connection. It covers network delay.
+const ReleaseMargin = 500 * time.Millisecond
 
-// DispatchError is a dispatch that got no answer.
+// DispatchError is the error of a dispatch that got no response.
 type DispatchError struct {
-	// Sent reports whether a byte of the request may have left.
+	// Sent reports whether a byte of the request may have been sent.
 	Sent bool
 	Err  error
 }
 
-// Error describes the failure.
+// Error implements the error interface.
 func (e *DispatchError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *DispatchError) Unwrap() error { return e.Err }
 
-// Exchange is a request at a backend server whose answer has begun.
+// Exchange is a request whose response from the backend server has begun.
 type Exchange struct {
 	Response *http.Response
 
-	pool    *Pool
-	link    *link
-	opts    Options
-	written chan error // result of sending the body; nil once received
-	stop    func() bool
-	broken  chan struct{} // closed once the context's end was carried out
-	once    sync.Once
-	whole   bool
+	pool       *Pool
+	conn       *pooledConn
+	opts       Options
+	bodySent   chan error // receives the result of sending the body; nil once received
+	stopCancel func() bool
+	cancelled  chan struct{} // closed once the cancellation of the context has been handled
+	once       sync.Once
+	complete   bool
 }
 
-// Dispatch sends the request and reads the head of the answer. It never sends
-// twice. The context's end breaks the exchange off. On error the exchange is
-// closed and Release is called as Close does.
-func (p *Pool) Dispatch(ctx context.Context, req *http.Request, o Options) (*Exchange, error) {
-	dialCtx, cancel := context.WithDeadline(ctx, o.Deadline)
-	l, err := p.get(dialCtx)
+// Dispatch sends the request and reads the header of the response. It never sends a request twice.
+// Cancelling ctx aborts the exchange. On error the exchange is closed and Release is called as by
+// Close.
+func (p *Pool) Dispatch(ctx context.Context, req *http.Request, opts Options) (*Exchange, error) {
+	dialCtx, cancel := context.WithDeadline(ctx, opts.Deadline)
+	conn, err := p.getConn(dialCtx)
 	cancel()
 	if err != nil {
-		o.Release(false)
+		opts.Release(false)
 		return nil, &DispatchError{Err: err}
 	}
-	l.sent = 0
-	l.allowed = o.Allowed
-	ex := &Exchange{pool: p, link: l, opts: o}
-	if err := l.SetDeadline(o.Deadline); err != nil {
+	conn.bytesSent = 0
+	conn.allowed = opts.Allowed
+	ex := &Exchange{pool: p, conn: conn, opts: opts}
+	if err := conn.SetDeadline(opts.Deadline); err != nil {
 		ex.Close()
 		return nil, &DispatchError{Err: err}
 	}
-	ex.broken = make(chan struct{})
-	ex.stop = context.AfterFunc(ctx, func() {
-		_ = l.SetDeadline(past) // wakes whoever reads or writes
-		close(ex.broken)
+	ex.cancelled = make(chan struct{})
+	ex.stopCancel = context.AfterFunc(ctx, func() {
+		_ = conn.SetDeadline(aLongTimeAgo) // unblocks reads and writes
+		close(ex.cancelled)
 	})
 	if err := ex.send(req); err != nil {
-		sent := l.sent > 0
+		sent := conn.bytesSent > 0
 		ex.Close()
 		return nil, &DispatchError{Sent: sent, Err: err}
 	}
-	res, err := http.ReadResponse(l.r, req)
+	res, err := http.ReadResponse(conn.r, req)
 	for err == nil && res.StatusCode/100 == 1 {
-		res, err = http.ReadResponse(l.r, req)
+		res, err = http.ReadResponse(conn.r, req)
 	}
 	if err != nil {
-		// The sender of a body that was withheld ends the reading. No byte left then, and
-		// none will: the connection is closed.
-		withheld := l.withheld.Load()
+		// If Allowed withheld the body, its sender has interrupted the read. No byte was sent, and
+		// none will be, since the connection is closed.
+		withheld := conn.withheld.Load()
 		ex.Close()
 		if withheld {
-			return nil, &DispatchError{Err: NotAllowed}
+			return nil, &DispatchError{Err: ErrNotAllowed}
 		}
-		return nil, &DispatchError{Sent: true, Err: errors.Annotate(err, "read answer")}
+		return nil, &DispatchError{Sent: true, Err: errors.Annotate(err, "read response")}
 	}
-	ex.take(res)
+	ex.setResponse(res)
 	return ex, nil
 }
 
-// Skip drops the present answer, which belongs to another request, and reads
-// the next one on the same connection. On error the exchange has to be closed.
-func (ex *Exchange) Skip(req *http.Request) error {
-	if _, err := io.CopyN(io.Discard, ex.Response.Body, maxSkipped); err != io.EOF {
-		return errors.New("an answer to another request is too long")
+// SkipResponse discards the current response, which belongs to another request, and reads the next
+// one on the same connection. On error the exchange must be closed.
+func (ex *Exchange) SkipResponse(req *http.Request) error {
+	if _, err := io.CopyN(io.Discard, ex.Response.Body, maxSkippedBytes); err != io.EOF {
+		return errors.New("the response to another request is too long")
 	}
-	ex.whole = false
+	ex.complete = false
 	if ex.Response.Close {
-		return errors.New("the connection ends with an answer to another request")
+		return errors.New("the connection ends after the response to another request")
 	}
-	res, err := http.ReadResponse(ex.link.r, req)
+	res, err := http.ReadResponse(ex.conn.r, req)
 	if err != nil {
-		return errors.Annotate(err, "read answer after one to another request")
+		return errors.Annotate(err, "read response after that to another request")
 	}
-	ex.take(res)
+	ex.setResponse(res)
 	return nil
 }
 
-// take makes res the answer. Its headers are the caller's from then on.
-func (ex *Exchange) take(res *http.Response) {
-	ex.link.idle = keptIdle(ex.pool.idleTime(), res.Header.Get("Keep-Alive"))
-	res.Body = &body{ReadCloser: res.Body, ex: ex}
+// setResponse makes res the response of the exchange. Its headers belong to the caller from then
+// on.
+func (ex *Exchange) setResponse(res *http.Response) {
+	ex.conn.idleTimeout = keepAliveTimeout(ex.pool.idleTimeout(), res.Header.Get("Keep-Alive"))
+	res.Body = &trackedBody{ReadCloser: res.Body, ex: ex}
 	ex.Response = res
 }
 
-// Deliver lets the rest of an answer be read until a time, though the context ends: an answer
-// that has begun is delivered, also late. The error says that the context had ended before.
-func (ex *Exchange) Deliver(until time.Time) error {
-	if ex.stop != nil && !ex.stop() {
-		return errors.New("the exchange was broken off")
+// DetachUntil detaches the exchange from its context, and allows the rest of the response to be
+// read until the given time. So a response that has begun can be delivered after the request's
+// deadline. It fails if the context has already been cancelled.
+func (ex *Exchange) DetachUntil(until time.Time) error {
+	if ex.stopCancel != nil && !ex.stopCancel() {
+		return errors.New("the exchange was cancelled")
 	}
-	ex.stop = nil
-	return errors.Trace(ex.link.SetDeadline(until))
+	ex.stopCancel = nil
+	return errors.Trace(ex.conn.SetDeadline(until))
 }
 
-// maxSkipped bounds an answer to another request that is dropped, in bytes.
-const maxSkipped = 1 << 20
+// maxSkippedBytes limits the size of a response to another request that is discarded, in bytes.
+const maxSkippedBytes = 1 << 20
 
-// send writes the request. One without a body is written at once; a body is
-// sent beside the reading of the answer, which may come before its end.
+// send writes the request. A body is sent concurrently with reading the response, which may arrive
+// before the body is complete.
 func (ex *Exchange) send(req *http.Request) error {
-	l := ex.link
+	conn := ex.conn
 	if req.Body == nil || req.Body == http.NoBody {
-		if err := req.Write(l.w); err != nil {
+		if err := req.Write(conn.w); err != nil {
 			return errors.Annotate(err, "write request")
 		}
-		return errors.Annotate(l.w.Flush(), "write request")
+		return errors.Annotate(conn.w.Flush(), "write request")
 	}
-	if !l.allowed() {
-		return NotAllowed
+	if !conn.allowed() {
+		return ErrNotAllowed
 	}
-	ex.written = make(chan error, 1)
+	ex.bodySent = make(chan error, 1)
 	go func() {
-		err := req.Write(l.w)
+		err := req.Write(conn.w)
 		if err == nil {
-			err = l.w.Flush()
+			err = conn.w.Flush()
 		}
 		if err != nil {
-			_ = l.SetDeadline(past) // wakes the reader of the answer
+			_ = conn.SetDeadline(aLongTimeAgo) // unblocks the reader of the response
 		}
-		ex.written <- err
+		ex.bodySent <- err
 	}()
 	return nil
 }
 
-// body notes when the whole answer was read.
-type body struct {
+// trackedBody records when the whole response has been read.
+type trackedBody struct {
 	io.ReadCloser
 	ex *Exchange
 }
 
-func (b *body) Read(p []byte) (int, error) {
+func (b *trackedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == io.EOF {
-		b.ex.whole = true
+		b.ex.complete = true
 	}
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept for the next request when
-// request and answer are both whole.
+// Close ends the exchange. The connection is reused if both the request and the response are
+// complete.
 func (ex *Exchange) Close() {
 	ex.once.Do(ex.close)
 }
 
 func (ex *Exchange) close() {
-	undisturbed := ex.stop == nil || ex.stop()
-	if !undisturbed {
-		<-ex.broken
+	notCancelled := ex.stopCancel == nil || ex.stopCancel()
+	if !notCancelled {
+		<-ex.cancelled
 	}
-	sent := ex.written != nil || ex.link.sent > 0
+	sent := ex.bodySent != nil || ex.conn.bytesSent > 0
 	if !sent {
-		_ = ex.link.Conn.Close() // nothing left on it
+		_ = ex.conn.Conn.Close() // nothing was sent on it
 		ex.opts.Release(false)
 		return
 	}
-	keep := ex.whole && undisturbed && !ex.Response.Close
-	if keep && ex.written == nil {
-		ex.keep()
+	reusable := ex.complete && notCancelled && !ex.Response.Close
+	if reusable && ex.bodySent == nil {
+		ex.reuse()
 		return
 	}
-	go ex.settle(keep)
+	go ex.closeAsync(reusable)
 }
 
-// keep gives the connection back for the next request.
-func (ex *Exchange) keep() {
-	if ex.link.SetDeadline(time.Time{}) != nil {
-		ex.letGo()
+// reuse returns the connection to the pool.
+func (ex *Exchange) reuse() {
+	if ex.conn.SetDeadline(time.Time{}) != nil {
+		ex.abandon()
 		return
 	}
-	ex.pool.put(ex.link)
+	ex.pool.putIdle(ex.conn)
 	ex.opts.Release(false)
 }
 
-// settle ends an exchange whose body may still be on its way, or that was
-// broken off. The answer can be whole a moment before the sender of the body
-// has said that it is done; a backend server can also answer before the body's end.
-func (ex *Exchange) settle(keep bool) {
-	if !keep {
-		ex.letGo()
+// closeAsync ends an exchange that was aborted, or whose body may still be being sent. The response
+// may be complete shortly before the sender of the body reports that it is done, and a backend
+// server may respond before the end of the body.
+func (ex *Exchange) closeAsync(reusable bool) {
+	if !reusable {
+		ex.abandon()
 		return
 	}
-	t := time.NewTimer(Margin)
-	defer t.Stop()
+	timer := time.NewTimer(ReleaseMargin)
+	defer timer.Stop()
 	select {
-	case err := <-ex.written:
-		ex.written = nil
+	case err := <-ex.bodySent:
+		ex.bodySent = nil
 		if err == nil {
-			ex.keep()
+			ex.reuse()
 			return
 		}
-	case <-t.C: // answered before the body's end
+	case <-timer.C: // the response came before the end of the body
 	}
-	ex.letGo()
+	ex.abandon()
 }
 
-// letGo tells the backend server that the request is given up, by closing the
-// sending side, and waits until the backend server closes its own. A late answer is
-// read and dropped.
-func (ex *Exchange) letGo() {
-	silent := ex.awaitEnd()
-	ex.opts.Release(silent)
+// abandon tells the backend server that the request is abandoned by half-closing the connection,
+// and waits until it closes its side. A late response is discarded.
+func (ex *Exchange) abandon() {
+	unresponsive := ex.awaitPeerClose()
+	ex.opts.Release(unresponsive)
 }
 
-// awaitEnd ends the connection and reports whether the backend server was silent.
-func (ex *Exchange) awaitEnd() (silent bool) {
-	c := ex.link.Conn
+// awaitPeerClose closes the connection and reports whether the backend server was unresponsive.
+func (ex *Exchange) awaitPeerClose() (unresponsive bool) {
+	c := ex.conn.Conn
 	defer c.Close()
-	if ex.opts.CloseAtOnce {
+	if ex.opts.CloseImmediately {
 		_ = c.Close()
 		return false
 	}
-	limit := ex.opts.Deadline.Add(Margin)
-	if ex.written != nil {
-		_ = c.SetWriteDeadline(past) // stops a body still being sent
-		<-ex.written
+	limit := ex.opts.Deadline.Add(ReleaseMargin)
+	if ex.bodySent != nil {
+		_ = c.SetWriteDeadline(aLongTimeAgo) // aborts a body that is still being sent
+		<-ex.bodySent
 	}
 	tcp, ok := c.(*net.TCPConn)
 	if !ok || c.SetReadDeadline(limit) != nil {
@@ -273,19 +275,19 @@
 		return true
 	}
 	if tcp.CloseWrite() != nil {
-		return false // the backend server has closed or reset it
+		return false // the backend server has already closed or reset the connection
 	}
 	_, err := io.Copy(io.Discard, c)
 	if !isTimeout(err) {
 		return false
 	}
-	// What still waits to be sent must never arrive. An error leaves it to
-	// the backend server's own deadline.
+	// Data that is still queued must not be sent any more. If that cannot be set, the backend
+	// server's own deadline applies.
 	_ = tcp.SetLinger(0)
 	return true
 }
 
 func isTimeout(err error) bool {
-	var t net.Error
-	return errors.As(err, &t) && t.Timeout()
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
