--- a/process/edge/quota.go
+++ b/process/edge/quota.go
@@ -13,7 +13,7 @@
 func (e *Edge) newQuota() *quota.Quota {
 	return &quota.Quota{
 		Now: e.now, Tolerance: e.settings.QuotaTolerance, Owners: e.quotaOwners, Instances: e.entries,
-		Send: e.beats.SendMessage, Answers: e.quotaAnswers, First: e.settings.First,
+		Send: e.beats.SendMessage, OnOwnerResponsive: e.quotaAnswers, FirstStart: e.settings.First,
 	}
 }
 
@@ -45,7 +45,7 @@
 
 // tickQuota tells and asks the owners of limits until the context ends.
 func (e *Edge) tickQuota(ctx context.Context) {
-	for clock.SleepAligned(ctx, quota.TickTime) {
+	for clock.SleepAligned(ctx, quota.TickInterval) {
 		e.quota.Tick()
 	}
 }
--- a/process/edge/rollout.go
+++ b/process/edge/rollout.go
@@ -54,7 +54,7 @@
 	if e.rollouts.Hear(from, text) || e.quarantine.Hear(from, text) || e.limits.Hear(from, text) {
 		return
 	}
-	e.quota.Hear(from, text)
+	e.quota.Receive(from, text)
 }
 
 // rolloutOwner returns who decides on the roll-out of a service.
--- a/process/proxy/caller.go
+++ b/process/proxy/caller.go
@@ -80,7 +80,7 @@
 	in, why := p.Quota.Take(ctx, c.workspace)
 	if !in {
 		c.overQuota = &why
-		return refuse(request.OverQuota, why.Retry)
+		return refuse(request.OverQuota, why.RetryAfter)
 	}
 	c.counted = true
 	return nil
@@ -96,7 +96,7 @@
 		p.Quota.Return(c.workspace)
 	}
 	for range c.runs - 1 {
-		p.Quota.Again(c.workspace)
+		p.Quota.CountRetry(c.workspace)
 	}
 }
 
--- a/process/proxy/caller_test.go
+++ b/process/proxy/caller_test.go
@@ -157,7 +157,7 @@
 	f := newFixture(t, 1)
 	f.workspace("farm", "good", func(w *version.Workspace) { w.Rate, w.Burst = 1, 3 })
 	f.proxy.Quota = &quota.Quota{
-		Now: f.proxy.Now, Instances: func() int { return 1 }, Send: func(string, []byte) {}, First: true,
+		Now: f.proxy.Now, Instances: func() int { return 1 }, Send: func(string, []byte) {}, FirstStart: true,
 		Owners: func() (out [quota.Shards]quota.Owner) {
 			for i := range out {
 				out[i].Name = "self"
--- a/process/quota/exchange.go
+++ b/process/quota/exchange.go
@@ -12,19 +12,19 @@
 		return
 	}
 	now := q.Now()
-	q.noteInstances(now)
-	q.noteOwners(now)
+	q.updateInstances(now)
+	q.updateOwners(now)
 	var due []*account
 	for h, a := range q.accounts {
-		a.equal = q.equalShare(a.limit)
-		if a.due(now) {
+		a.equalShare = q.equalShare(a.limit)
+		if a.requestDue(now) {
 			due = append(due, a)
 		}
-		if a.idle(now) > forgetAfter {
+		if a.idleTime(now) > evictAfter {
 			delete(q.accounts, h)
 		}
 	}
-	out := append(q.ask(due, now), q.tryAgain(now)...)
+	out := append(q.requestTokens(due, now), q.probeUnresponsive(now)...)
 	for h, b := range q.buckets {
 		if b.idle(now) {
 			delete(q.buckets, h)
@@ -37,9 +37,9 @@
 // noteInstances notes how many instances there are: the most that there were lately,
 // since one that is cut off takes few for alive, and each of those behind a cut would
 // take the share of all others for its own. The caller holds the lock.
-func (q *Quota) noteInstances(now time.Duration) {
+func (q *Quota) updateInstances(now time.Duration) {
 	n := q.Instances()
-	if n >= q.instances || now-q.countedAt > sharedFor {
+	if n >= q.instances || now-q.countedAt > shareCapTime {
 		q.instances = n
 		q.countedAt = now
 	}
@@ -47,17 +47,17 @@
 
 // noteOwners notes who owns each group, and since when this instance owns some. The
 // caller holds the lock.
-func (q *Quota) noteOwners(now time.Duration) {
+func (q *Quota) updateOwners(now time.Duration) {
 	q.owners = q.Owners()
 	for i, o := range q.owners {
 		shard := uint64(i)
-		_, before := q.owned[shard]
+		_, before := q.ownedSince[shard]
 		switch mine := o.Name != "" && o.Address == ""; {
 		case before && !mine:
-			delete(q.owned, shard)
+			delete(q.ownedSince, shard)
 			q.handOver(shard, now)
 		case mine && !before:
-			q.owned[shard] = now
+			q.ownedSince[shard] = now
 			q.dropBuckets(shard)
 		}
 	}
@@ -86,15 +86,15 @@
 // since it owns it, or that it does not own. What the owner before has given is not known,
 // so the bucket fills from nearly nothing since then. The caller holds the lock.
 func (q *Quota) newBucket(hash uint64, l limit, now time.Duration) *bucket {
-	b := &bucket{at: now, since: now, tokens: min(l.depth, l.spare), askers: make(map[string]*asker)}
-	if since, ok := q.owned[hash%Shards]; ok {
-		b.at = since
-		b.since = since
+	b := &bucket{refilledAt: now, ownedSince: now, tokens: min(l.depth, l.slack), requesters: make(map[string]*requester)}
+	if since, ok := q.ownedSince[hash%Shards]; ok {
+		b.refilledAt = since
+		b.ownedSince = since
 		b.owned = true
 	}
-	if q.First && now-q.began < bootTime {
+	if q.FirstStart && now-q.startedAt < firstStartTime {
 		b.tokens = l.depth
-		b.since = now - l.window
+		b.ownedSince = now - l.window
 	}
 	return b
 }
@@ -102,30 +102,30 @@
 // message is a message and where it goes.
 type message struct {
 	address string
-	text    []byte
+	payload []byte
 }
 
 func (q *Quota) send(out []message) {
 	for _, m := range out {
-		q.Send(m.address, m.text)
+		q.Send(m.address, m.payload)
 	}
 }
 
 // ask makes the asks of some accounts: those whose owner is this instance are
 // answered at once, the others are gathered by owner. The caller holds the lock.
-func (q *Quota) ask(due []*account, now time.Duration) []message {
-	asks := make(map[string][]ask) // by address
+func (q *Quota) requestTokens(due []*account, now time.Duration) []message {
+	asks := make(map[string][]tokenRequest) // by address
 	for _, a := range due {
 		o := q.owners[a.hash%Shards]
-		if a.turnTo(o, now) {
-			q.noteSilent(o, now)
+		if a.setOwner(o, now) {
+			q.markUnresponsive(o, now)
 		}
 		if o.Name == "" {
 			continue
 		}
-		x := a.ask(now)
+		x := a.nextRequest(now)
 		if o.Address == "" {
-			a.hear(q.answer(o.Name, x, now), now)
+			a.handleResponse(q.handleRequest(o.Name, x, now), now)
 			continue
 		}
 		asks[o.Address] = append(asks[o.Address], x)
@@ -133,8 +133,8 @@
 	var out []message
 	for address, list := range asks {
 		for len(list) > 0 {
-			n := min(len(list), mostEntries)
-			out = append(out, message{address, encodeAsks(list[:n])})
+			n := min(len(list), maxEntries)
+			out = append(out, message{address, encodeRequests(list[:n])})
 			list = list[n:]
 		}
 	}
@@ -142,82 +142,82 @@
 }
 
 // silence is that of an owner that does not answer.
-type silence struct {
+type unresponsiveOwner struct {
 	name  string
 	since time.Duration
 }
 
 // noteSilent notes an owner that does not answer. The caller holds the lock.
-func (q *Quota) noteSilent(o Owner, now time.Duration) {
-	if _, known := q.silent[o.Address]; known || q.Answers == nil {
+func (q *Quota) markUnresponsive(o Owner, now time.Duration) {
+	if _, known := q.unresponsive[o.Address]; known || q.OnOwnerResponsive == nil {
 		return
 	}
-	q.silent[o.Address] = silence{name: o.Name, since: now}
-	q.Answers(o.Name, false)
+	q.unresponsive[o.Address] = unresponsiveOwner{name: o.Name, since: now}
+	q.OnOwnerResponsive(o.Name, false)
 }
 
 // tryAgain returns messages to the owners that did not answer, if it is time for them:
 // instances that take one for dead while others do not have two owners between them.
 // The caller holds the lock.
-func (q *Quota) tryAgain(now time.Duration) (out []message) {
-	if now-q.triedAt < tryPause {
+func (q *Quota) probeUnresponsive(now time.Duration) (out []message) {
+	if now-q.probedAt < probeInterval {
 		return nil
 	}
-	q.triedAt = now
-	for address, x := range q.silent {
-		if now-x.since > tryFor {
-			delete(q.silent, address)
+	q.probedAt = now
+	for address, x := range q.unresponsive {
+		if now-x.since > probeTime {
+			delete(q.unresponsive, address)
 			continue
 		}
-		out = append(out, message{address, encodeAsks(nil)})
+		out = append(out, message{address, encodeRequests(nil)})
 	}
 	return out
 }
 
 // heard notes that an owner answers again. The caller holds the lock.
-func (q *Quota) heard(from string) {
-	if x, known := q.silent[from]; known {
-		delete(q.silent, from)
-		q.Answers(x.name, true)
+func (q *Quota) markResponsive(from string) {
+	if x, known := q.unresponsive[from]; known {
+		delete(q.unresponsive, from)
+		q.OnOwnerResponsive(x.name, true)
 	}
 }
 
 // Hear takes up a message from an address.
-func (q *Quota) Hear(from string, text []byte) {
+func (q *Quota) Receive(from string, text []byte) {
 	asks, answers, err := decode(text)
 	if err != nil {
 		return // it is of no instance of this version
 	}
 	q.mu.Lock()
 	now := q.Now()
-	q.heard(from)
+	q.markResponsive(from)
 	for _, x := range answers {
 		if a := q.accounts[x.hash]; a != nil {
-			a.hear(x, now)
+			a.handleResponse(x, now)
 		}
 	}
-	var out []answer
+	var out []tokenResponse
 	for _, x := range asks {
-		out = append(out, q.answer(from, x, now))
+		out = append(out, q.handleRequest(from, x, now))
 	}
 	q.mu.Unlock()
-	if text[0] == kindAsk {
-		q.Send(from, encodeAnswers(out))
+	if text[0] == kindRequest {
+		q.Send(from, encodeResponses(out))
 	}
 }
 
 // answer answers an ask as the owner. A workspace that is not known here, since the
 // version is on its way, gets nothing yet. The caller holds the lock.
-func (q *Quota) answer(from string, x ask, now time.Duration) answer {
+func (q *Quota) handleRequest(from string, x tokenRequest, now time.Duration) tokenResponse {
 	l, ok := q.limits[x.hash]
 	if !ok {
-		return answer{hash: x.hash, seq: x.seq, scarce: true}
+		return tokenResponse{hash: x.hash, seq: x.seq, scarce: true}
 	}
 	b := q.buckets[x.hash]
 	if b == nil {
 		b = q.newBucket(x.hash, l, now)
 		q.buckets[x.hash] = b
 	}
-	b.alone = q.aloneRate(l)
-	return b.answer(from, x, l, now)
+	b.fallbackRate = q.fallbackRate(l)
+	return b.handleRequest(from, x, l, now)
 }
--- a/process/quota/limit_test.go
+++ b/process/quota/limit_test.go
@@ -15,44 +15,44 @@
 
 // TestNothingIsRefusedBelowTheLimit checks that at nine tenths of it, and that what
 // instances tell each other for it does not grow with the fleet.
-func TestNothingIsRefusedBelowTheLimit(t *testing.T) {
+func TestNoRefusalsBelowLimit(t *testing.T) {
 	for _, x := range []struct {
 		size, entries int
 		rate          float64
 	}{{12, 12, 60}, {75, 12, 400}, {75, 75, 400}, {75, 12, 5}, {75, 12, 20}, {295, 100, 800}, {620, 200, 2000}} {
-		m := newModel(1, x.size, x.rate, x.rate, leases)
+		m := newModel(1, x.size, x.rate, x.rate, newLeasedTokens)
 		m.loss = 0.01
 		m.run(8 * time.Second)
 		m.demand(0.9*x.rate, x.entries)
 		m.run(20 * time.Second)
-		refused := len(m.came) - len(m.entered)
+		refused := len(m.arrivals) - len(m.admitted)
 		perSecond := float64(m.bytes) / 20 / float64(x.size)
-		one := m.oneBucket()
-		t.Logf("%d instances, %d take requests, %.0f a second: %d of %d refused, %d by one bucket, %.0f bytes/s an instance, longest wait %s", x.size, x.entries, x.rate, refused, len(m.came), one, perSecond, m.waited)
-		assert.Check(t, refused <= one+1+len(m.came)/500)
+		one := m.refusedBySingleBucket()
+		t.Logf("%d instances, %d take requests, %.0f a second: %d of %d refused, %d by one bucket, %.0f bytes/s an instance, longest wait %s", x.size, x.entries, x.rate, refused, len(m.arrivals), one, perSecond, m.longestWait)
+		assert.Check(t, refused <= one+1+len(m.arrivals)/500)
 		assert.Check(t, perSecond < 400)
 	}
 }
 
 // TestFloodGetsTheLimitAndNoMore checks a workspace that sends ten times its limit at
 // once.
-func TestFloodGetsTheLimitAndNoMore(t *testing.T) {
+func TestFloodIsHeldToLimit(t *testing.T) {
 	for _, size := range []int{12, 75, 620} {
 		for _, rate := range []float64{3, 400} {
-			m := newModel(2, size, rate, rate, leases)
+			m := newModel(2, size, rate, rate, newLeasedTokens)
 			m.demand(rate*0.6, min(size, 75))
 			m.run(5 * time.Second)
 			m.demand(rate*10, min(size, 75))
 			m.run(3 * time.Second)
-			before := len(m.entered)
+			before := len(m.admitted)
 			lasts := 10 * time.Second
 			if rate < 10 {
 				lasts = 40 * time.Second // so that chance does not decide
 			}
 			m.run(lasts)
-			got := float64(len(m.entered)-before) / lasts.Seconds() / rate
-			t.Logf("%d instances, %.0f a second: %.2f of the limit, most in a window %.2f of what is tolerated", size, rate, got, m.most())
-			assert.Check(t, m.most() <= 1)
+			got := float64(len(m.admitted)-before) / lasts.Seconds() / rate
+			t.Logf("%d instances, %.0f a second: %.2f of the limit, most in a window %.2f of what is tolerated", size, rate, got, m.peak())
+			assert.Check(t, m.peak() <= 1)
 			assert.Check(t, got >= 0.95)
 		}
 	}
@@ -61,26 +61,26 @@
 // TestLimitHoldsWhateverFails plays kills, cuts and restarts of all while a workspace is
 // below its limit; and a workspace far over it, with traffic that moves. Datagrams are
 // lost in both.
-func TestLimitHoldsWhateverFails(t *testing.T) {
+func TestLimitHoldsDuringFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawModel(t)
 		steps := []string{"flood", "calm", "move"}
 		if rapid.Bool().Draw(t, "failures") {
 			steps = []string{"calm", "cut", "kill", "killAll"}
 		}
-		m.fail(t, steps)
-		assert.Assert(t, m.most() <= 1, "%.2f of what is tolerated", m.most())
+		m.playSteps(t, steps)
+		assert.Assert(t, m.peak() <= 1, "%.2f of what is tolerated", m.peak())
 	})
 }
 
 // TestFloodThatMeetsAFailure checks a workspace that begins to send many times its limit
 // while instances die, are cut off or all start anew: what was saved up is spent, and for
 // a second or two not all ask the same owner.
-func TestFloodThatMeetsAFailure(t *testing.T) {
+func TestFloodDuringFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawModel(t)
-		m.fail(t, []string{"flood", "calm", "cut", "kill", "killAll", "move"})
-		assert.Assert(t, m.most() <= 1, "%.2f of what is tolerated", m.most())
+		m.playSteps(t, []string{"flood", "calm", "cut", "kill", "killAll", "move"})
+		assert.Assert(t, m.peak() <= 1, "%.2f of what is tolerated", m.peak())
 	})
 }
 
@@ -88,7 +88,7 @@
 func drawModel(t *rapid.T) *model {
 	size := rapid.SampledFrom([]int{6, 12, 30}).Draw(t, "size")
 	rate := rapid.SampledFrom([]float64{3, 20, 100, 400}).Draw(t, "rate")
-	m := newModel(rapid.Uint64().Draw(t, "seed"), size, rate, rate, leases)
+	m := newModel(rapid.Uint64().Draw(t, "seed"), size, rate, rate, newLeasedTokens)
 	m.loss = rapid.SampledFrom([]float64{0, 0.02, 0.05}).Draw(t, "loss")
 	m.demand(0.6*rate, size)
 	m.run(3 * time.Second)
@@ -96,25 +96,25 @@
 }
 
 // cutTime is how long a cut lasts, and then up to the next step.
-const cutTime = 8 * time.Second
+const randomPartitionTime = 8 * time.Second
 
 // fail plays steps that are drawn, for a while each.
-func (m *model) fail(t *rapid.T, steps []string) {
+func (m *model) playSteps(t *rapid.T, steps []string) {
 	healAt := time.Duration(0)
 	for range rapid.IntRange(1, 5).Draw(t, "steps") {
 		step := rapid.SampledFrom(steps).Draw(t, "step")
 		if step == "cut" {
-			healAt = cmp.Or(healAt, m.now+cutTime)
+			healAt = cmp.Or(healAt, m.now+randomPartitionTime)
 		}
-		m.step(t, step)
+		m.playStep(t, step)
 		m.run(time.Duration(rapid.IntRange(200, 4000).Draw(t, "ms")) * time.Millisecond)
 		for _, x := range m.nodes {
 			if x.dead && m.random.IntN(2) == 0 {
-				x.restart(leases)
+				x.restart(newLeasedTokens)
 			}
 			if healAt != 0 && m.now >= healAt {
 				x.group = 0
-				m.turnedAt = m.now
+				m.partitionChangedAt = m.now
 			}
 		}
 		if m.now >= healAt {
@@ -124,9 +124,9 @@
 	m.run(6 * time.Second)
 }
 
-func (m *model) step(t *rapid.T, step string) {
+func (m *model) playStep(t *rapid.T, playStep string) {
 	size, rate := len(m.nodes), m.workspace.Rate
-	switch step {
+	switch playStep {
 	case "flood":
 		m.demand(rate*rapid.SampledFrom([]float64{5, 20}).Draw(t, "x"), size)
 	case "calm":
@@ -137,7 +137,7 @@
 		for _, x := range m.nodes[:max(1, size/6)] {
 			x.group = 1
 		}
-		m.turnedAt = m.now
+		m.partitionChangedAt = m.now
 	case "kill":
 		m.nodes[m.random.IntN(size)].die()
 	case "killAll":
@@ -146,69 +146,69 @@
 		}
 		m.run(600 * time.Millisecond)
 		for _, x := range m.nodes {
-			x.restart(leases)
+			x.restart(newLeasedTokens)
 		}
 	}
 }
 
 // equal is the way that gives each instance the same part of the limit.
-type equal struct {
-	x *node
-	p pace
+type equalShares struct {
+	x       *node
+	limiter rateLimiter
 }
 
-func (e *equal) try(*version.WorkspaceView, bool) (in, wait bool) {
+func (e *equalShares) decide(*version.WorkspaceView, bool) (in, wait bool) {
 	m, n := e.x.m, float64(len(e.x.m.nodes))
-	return e.p.take(m.workspace.Rate/n, m.workspace.Burst/n, m.now), false
+	return e.limiter.take(m.workspace.Rate/n, m.workspace.Burst/n, m.now), false
 }
 
-func (p *pace) take(rate, depth float64, now time.Duration) bool {
-	if !p.has(rate, depth, now) {
+func (p *rateLimiter) take(rate, depth float64, now time.Duration) bool {
+	if !p.allows(rate, depth, now) {
 		return false
 	}
-	p.used++
+	p.deficit++
 	return true
 }
 
-func (e *equal) tick() {}
+func (e *equalShares) tick() {}
 
 // proportional is the way that gives each instance a part by its demand, which all
 // tell each other with a delay: flow proportional share (Raghavan, Vishwanath, Ramabhadran,
 // Yocum, Snoeren, "Cloud Control with Distributed Rate Limiting", SIGCOMM 2007).
-type proportional struct {
-	x      *node
-	p      pace
-	demand meter
-	told   float64 // demand as the others know it
-	share  float64
+type flowProportional struct {
+	x         *node
+	limiter   rateLimiter
+	demand    meter
+	announced float64 // demand as the others know it
+	share     float64
 }
 
-func (f *proportional) try(*version.WorkspaceView, bool) (in, wait bool) {
+func (f *flowProportional) decide(*version.WorkspaceView, bool) (in, wait bool) {
 	m := f.x.m
 	f.demand.add(1, m.now)
-	return f.p.take(f.share*m.workspace.Rate, f.share*m.workspace.Burst, m.now), false
+	return f.limiter.take(f.share*m.workspace.Rate, f.share*m.workspace.Burst, m.now), false
 }
 
-func (f *proportional) tick() {
+func (f *flowProportional) tick() {
 	sum := 0.0
 	for _, o := range f.x.m.nodes {
-		if p, ok := o.limiter.(*proportional); ok && !o.dead && o.group == f.x.group {
-			sum += p.told
+		if p, ok := o.strategy.(*flowProportional); ok && !o.dead && o.group == f.x.group {
+			sum += p.announced
 		}
 	}
 	if sum > 0 {
-		f.share = f.told / sum
+		f.share = f.announced / sum
 	}
-	f.told = f.demand.now(f.x.m.now)
+	f.announced = f.demand.rateAt(f.x.m.now)
 }
 
 // TestWaysCompared logs what the ways do in the same cases; docs/design has the
 // figures. Only the way in use is held to them.
-func TestWaysCompared(t *testing.T) {
-	ways := map[string]func(*node) limiter{
-		"leased tokens":     leases,
-		"equal shares":      func(x *node) limiter { return &equal{x: x} },
-		"flow proportional": func(x *node) limiter { return &proportional{x: x} },
+func TestCompareStrategies(t *testing.T) {
+	ways := map[string]func(*node) strategy{
+		"leased tokens":     newLeasedTokens,
+		"equal shares":      func(x *node) strategy { return &equalShares{x: x} },
+		"flow proportional": func(x *node) strategy { return &flowProportional{x: x} },
 	}
 	names := []string{"equal shares", "flow proportional", "leased tokens"}
 	for _, c := range []struct {
@@ -230,7 +230,7 @@
 			for _, x := range m.nodes[:22] {
 				x.group = 1
 			}
-			m.turnedAt = m.now
+			m.partitionChangedAt = m.now
 			m.run(10 * time.Second)
 		}},
 	} {
@@ -238,9 +238,9 @@
 			m := newModel(3, 75, 60, 60, ways[name])
 			m.run(time.Second)
 			c.play(m)
-			kept := cmp.Or(float64(len(m.entered))/float64(max(1, len(m.came))), 0)
-			t.Logf("%-42s %-18s let in %.3f, most in a window %.2f of what is tolerated", c.name, name, kept, m.most())
-			assert.Check(t, name != "leased tokens" || m.most() <= 1)
+			kept := cmp.Or(float64(len(m.admitted))/float64(max(1, len(m.arrivals))), 0)
+			t.Logf("%-42s %-18s let in %.3f, most in a window %.2f of what is tolerated", c.name, name, kept, m.peak())
+			assert.Check(t, name != "leased tokens" || m.peak() <= 1)
 		}
 	}
 }
--- a/process/quota/model_test.go
+++ b/process/quota/model_test.go
@@ -14,79 +14,79 @@
 )
 
 // limiter is a way to keep a workspace within its limit at one instance.
-type limiter interface {
+type strategy interface {
 	// try decides on a request of a workspace; first is set unless it has waited
 	// already. With wait it wants to be asked again.
-	try(w *version.WorkspaceView, first bool) (in, wait bool)
+	decide(w *version.WorkspaceView, first bool) (in, wait bool)
 	tick()
 }
 
 // model is a fleet of instances on one clock that share the limits of workspaces.
 type model struct {
-	*load
-	loads    []*load // of each workspace; that of the first is embedded
-	all      *version.Workspaces
-	now      time.Duration
-	random   *rand.Rand
-	loss     float64
-	nodes    []*node
-	underWay []parcel
-	bytes    int
-	turnedAt time.Duration // when a cut began or ended last
+	*demandLog
+	logs               []*demandLog // of each workspace; that of the first is embedded
+	all                *version.Workspaces
+	now                time.Duration
+	random             *rand.Rand
+	loss               float64
+	nodes              []*node
+	inFlight           []datagram
+	bytes              int
+	partitionChangedAt time.Duration // when a cut began or ended last
 }
 
 // load is what comes of a workspace, and what is let in.
-type load struct {
-	workspace *version.WorkspaceView
-	came      []time.Duration
-	entered   []time.Duration // when requests were let in
-	by        []source        // of each of entered, what let it in
-	waited    time.Duration   // the longest wait of a request that was let in
+type demandLog struct {
+	workspace   *version.WorkspaceView
+	arrivals    []time.Duration
+	admitted    []time.Duration // when requests were let in
+	sources     []source        // of each of entered, what let it in
+	longestWait time.Duration   // the longest wait of a request that was let in
 }
 
 // source is what let a request in, and on which side of a cut.
 type source struct {
-	cut  bool
-	kind string
+	partitioned bool
+	kind        string
 }
 
 // node is one instance of a model.
 type node struct {
-	m       *model
-	index   int
-	limiter limiter
-	dead    bool
-	frozen  bool
-	endedAt time.Duration // when it died or froze
-	group   int           // instances of different groups do not reach each other
-	began   time.Duration
-	doubts  []bool        // others that count as dead here
-	nextAt  time.Duration // tick
-	streams []stream      // of each workspace
+	m            *model
+	index        int
+	strategy     strategy
+	dead         bool
+	frozen       bool
+	stoppedAt    time.Duration // when it died or froze
+	group        int           // instances of different groups do not reach each other
+	startedAt    time.Duration
+	unresponsive []bool        // others that count as dead here
+	nextAt       time.Duration // tick
+	streams      []stream      // of each workspace
 }
 
 // stream is the requests of a workspace that come to an instance.
 type stream struct {
-	demand  float64         // requests a second
-	missing float64         // part of a request that has not come yet
-	waiting []time.Duration // when requests came that wait for a token
+	demand   float64         // requests a second
+	fraction float64         // part of a request that has not come yet
+	waiting  []time.Duration // when requests came that wait for a token
 }
 
-type parcel struct {
+type datagram struct {
 	at       time.Duration
 	from, to int
-	text     []byte
+	payload  []byte
 }
 
 const (
 	headerBytes = 28 // of a datagram by IP and UDP
-	step        = 5 * time.Millisecond
+	modelStep   = 5 * time.Millisecond
 	// settled is how old a start must be for its instance to be an owner.
-	settled = 4 * time.Second
+	minOwnerAge = 4 * time.Second
 	// missedAfter is how long after the last sign of life an instance of the same
 	// region no longer counts as alive.
-	missedAfter = 1500 * time.Millisecond
-	regions     = 3
+	downAfter = 1500 * time.Millisecond
+	regions   = 3
 )
 
 var tolerance = Tolerance{Window: 5 * time.Second, Over: 0.1, Slack: 20}
@@ -100,10 +100,10 @@
 }
 
 func workspaceWith(rate, burst float64) *version.Workspaces {
-	return workspaces(limited("w", rate, burst))
+	return workspaces(workspaceResource("w", rate, burst))
 }
 
-func limited(name string, rate, burst float64) version.Resource {
+func workspaceResource(name string, rate, burst float64) version.Resource {
 	return version.Resource{
 		Key:       version.Key{Kind: version.KindWorkspace, Name: name},
 		Workspace: &version.Workspace{Keys: []version.KeyHash{version.HashKey(name)}, Rate: rate, Burst: burst},
@@ -111,78 +111,78 @@
 }
 
 // newModel returns a fleet that keeps the limit of one workspace in a way.
-func newModel(seed uint64, size int, rate, burst float64, way func(*node) limiter) *model {
-	return newModelOf(seed, size, way, limited("w", rate, burst))
+func newModel(seed uint64, size int, rate, burst float64, way func(*node) strategy) *model {
+	return newModelOf(seed, size, way, workspaceResource("w", rate, burst))
 }
 
 // newModelOf returns a fleet that keeps the limits of several.
-func newModelOf(seed uint64, size int, way func(*node) limiter, list ...version.Resource) *model {
+func newModelOf(seed uint64, size int, way func(*node) strategy, list ...version.Resource) *model {
 	m := &model{now: time.Hour, random: rand.New(rand.NewPCG(seed, 1)), all: workspaces(list...)}
 	for _, r := range list {
-		m.loads = append(m.loads, &load{workspace: m.all.Find(r.Key.Name)})
+		m.logs = append(m.logs, &demandLog{workspace: m.all.Find(r.Key.Name)})
 	}
-	m.load = m.loads[0]
+	m.demandLog = m.logs[0]
 	for i := range size {
-		x := &node{m: m, index: i, doubts: make([]bool, size), began: m.now - time.Hour/2, streams: make([]stream, len(list))}
-		x.nextAt = m.now + time.Duration(m.random.Int64N(int64(TickTime)))
-		x.limiter = way(x)
+		x := &node{m: m, index: i, unresponsive: make([]bool, size), startedAt: m.now - time.Hour/2, streams: make([]stream, len(list))}
+		x.nextAt = m.now + time.Duration(m.random.Int64N(int64(TickInterval)))
+		x.strategy = way(x)
 		m.nodes = append(m.nodes, x)
 	}
 	return m
 }
 
 // leased is the way in use.
-type leased struct {
+type leasedTokens struct {
 	*Quota
 	x *node
 }
 
-func (l leased) try(w *version.WorkspaceView, first bool) (in, wait bool) {
-	v := l.Quota.try(w, first)
-	return v.in, v.answer != nil
+func (l leasedTokens) decide(w *version.WorkspaceView, first bool) (in, wait bool) {
+	v := l.Quota.decide(w, first)
+	return v.admitted, v.response != nil
 }
 
-func (l leased) tick() { l.Tick() }
+func (l leasedTokens) tick() { l.Tick() }
 
-func leases(x *node) limiter {
+func newLeasedTokens(x *node) strategy {
 	m := x.m
 	q := &Quota{
 		Now: func() time.Duration { return m.now }, Tolerance: tolerance, Owners: x.owners,
-		Instances: x.seen, Send: x.send,
-		Answers: func(name string, ok bool) {
+		Instances: x.liveInstances, Send: x.send,
+		OnOwnerResponsive: func(name string, ok bool) {
 			var i int
 			_, _ = fmt.Sscanf(name, "n%d", &i)
-			x.doubts[i] = !ok
+			x.unresponsive[i] = !ok
 		},
 	}
 	q.Install(m.all)
-	return leased{q, x}
+	return leasedTokens{q, x}
 }
 
 // sees reports whether an instance takes another one for alive: one that has not
 // answered it counts as dead, and one of the same region that is not heard, too, some
 // time later.
-func (x *node) sees(o *node) bool {
-	if x.doubts[o.index] {
+func (x *node) considersLive(o *node) bool {
+	if x.unresponsive[o.index] {
 		return false
 	}
 	if o.group == x.group && !o.dead && !o.frozen || x.index%regions != o.index%regions {
 		return true
 	}
-	since := x.began
+	since := x.startedAt
 	if o.dead || o.frozen {
-		since = max(since, o.endedAt)
+		since = max(since, o.stoppedAt)
 	} else {
-		since = max(since, x.m.turnedAt)
+		since = max(since, x.m.partitionChangedAt)
 	}
-	return x.m.now-since <= missedAfter
+	return x.m.now-since <= downAfter
 }
 
 // seen returns how many instances one takes for alive.
-func (x *node) seen() int {
+func (x *node) liveInstances() int {
 	n := 0
 	for _, o := range x.m.nodes {
-		if x.sees(o) {
+		if x.considersLive(o) {
 			n++
 		}
 	}
@@ -190,7 +190,7 @@
 }
 
 // hashOfPair ranks instances as owners of a shard.
-var hashOfPair = func() (out [Shards][1000]uint64) {
+var ownerRanks = func() (out [Shards][1000]uint64) {
 	for shard := range out {
 		for i := range out[shard] {
 			out[shard][i] = xxhash.Sum64String(fmt.Sprint(shard, " ", i))
@@ -210,7 +210,7 @@
 func (x *node) owners() (out [Shards]Owner) {
 	alive := make([]int, 0, len(x.m.nodes))
 	for _, o := range x.m.nodes {
-		if x.sees(o) && x.m.now-o.began >= settled {
+		if x.considersLive(o) && x.m.now-o.startedAt >= minOwnerAge {
 			alive = append(alive, o.index)
 		}
 	}
@@ -225,7 +225,7 @@
 		}
 		best := alive[0]
 		for _, i := range alive {
-			if hashOfPair[shard][i] < hashOfPair[shard][best] {
+			if ownerRanks[shard][i] < ownerRanks[shard][best] {
 				best = i
 			}
 		}
@@ -246,74 +246,74 @@
 	var to int
 	_, _ = fmt.Sscanf(address, "n%d", &to)
 	delay := time.Millisecond + time.Duration(m.random.Int64N(int64(24*time.Millisecond)))
-	m.underWay = append(m.underWay, parcel{m.now + delay, x.index, to, text})
+	m.inFlight = append(m.inFlight, datagram{m.now + delay, x.index, to, text})
 }
 
 // run moves the clock on.
 func (m *model) run(d time.Duration) {
-	for end := m.now + d; m.now < end; m.now += step {
+	for end := m.now + d; m.now < end; m.now += modelStep {
 		m.deliver()
 		for _, x := range m.nodes {
 			if x.dead || x.frozen {
 				continue
 			}
-			x.come()
+			x.arrive()
 			if m.now >= x.nextAt {
-				x.nextAt += TickTime
-				x.limiter.tick()
+				x.nextAt += TickInterval
+				x.strategy.tick()
 			}
 		}
 	}
 }
 
 func (m *model) deliver() {
-	arrived := slices.Clone(m.underWay)
-	m.underWay = slices.DeleteFunc(m.underWay, func(p parcel) bool { return p.at <= m.now && !m.nodes[p.to].frozen })
+	arrived := slices.Clone(m.inFlight)
+	m.inFlight = slices.DeleteFunc(m.inFlight, func(p datagram) bool { return p.at <= m.now && !m.nodes[p.to].frozen })
 	for _, p := range arrived {
 		to := m.nodes[p.to]
-		l, ok := to.limiter.(leased)
+		l, ok := to.strategy.(leasedTokens)
 		if p.at <= m.now && ok && !to.dead && !to.frozen && to.group == m.nodes[p.from].group {
-			l.Hear(nodeNames[p.from], p.text)
+			l.Receive(nodeNames[p.from], p.payload)
 		}
 	}
 }
 
 // come lets the requests of a step come, and asks again for those that wait.
-func (x *node) come() {
+func (x *node) arrive() {
 	for i := range x.streams {
-		s, l := &x.streams[i], x.m.loads[i]
+		s, l := &x.streams[i], x.m.logs[i]
 		waiting := s.waiting
 		s.waiting = nil
 		for _, since := range waiting {
 			x.request(s, l, since, false)
 		}
-		s.missing += s.demand * step.Seconds()
-		for s.missing >= 1 {
-			s.missing -= 2 * x.m.random.Float64() // as by chance, and 1 on the average
-			l.came = append(l.came, x.m.now)
+		s.fraction += s.demand * modelStep.Seconds()
+		for s.fraction >= 1 {
+			s.fraction -= 2 * x.m.random.Float64() // as by chance, and 1 on the average
+			l.arrivals = append(l.arrivals, x.m.now)
 			x.request(s, l, x.m.now, true)
 		}
 	}
 }
 
-func (x *node) request(s *stream, l *load, since time.Duration, first bool) {
-	in, wait := x.limiter.try(l.workspace, first)
+func (x *node) request(s *stream, l *demandLog, since time.Duration, first bool) {
+	in, wait := x.strategy.decide(l.workspace, first)
 	switch {
 	case in:
-		l.entered = append(l.entered, x.m.now)
-		l.by = append(l.by, source{x.group != 0, x.kind(l)})
-		l.waited = max(l.waited, x.m.now-since)
-	case wait && x.m.now-since < waitMost:
+		l.admitted = append(l.admitted, x.m.now)
+		l.sources = append(l.sources, source{x.group != 0, x.admittedBy(l)})
+		l.longestWait = max(l.longestWait, x.m.now-since)
+	case wait && x.m.now-since < maxWait:
 		s.waiting = append(s.waiting, since)
 	}
 }
 
 // restart starts an instance anew, without what it knew.
-func (x *node) restart(way func(*node) limiter) {
+func (x *node) restart(way func(*node) strategy) {
 	x.dead = false
-	x.began = x.m.now
-	clear(x.doubts)
-	x.limiter = way(x)
+	x.startedAt = x.m.now
+	clear(x.unresponsive)
+	x.strategy = way(x)
 	for i := range x.streams {
 		x.streams[i].waiting = nil
 	}
@@ -322,13 +322,13 @@
 // die ends an instance.
 func (x *node) die() {
 	x.dead = true
-	x.endedAt = x.m.now
+	x.stoppedAt = x.m.now
 }
 
 // freeze stops an instance for a while; what is sent to it waits.
 func (x *node) freeze() {
 	x.frozen = true
-	x.endedAt = x.m.now
+	x.stoppedAt = x.m.now
 }
 
 // demand sets the demand of the first workspace at some instances, which is uneven.
@@ -351,10 +351,10 @@
 
 // oneBucket returns how many of the requests that came a single bucket with the
 // limit would have refused.
-func (m *model) oneBucket() int {
-	var p pace
+func (m *model) refusedBySingleBucket() int {
+	var p rateLimiter
 	refused := 0
-	for _, at := range m.came {
+	for _, at := range m.arrivals {
 		if !p.take(m.workspace.Rate, m.workspace.Burst, at) {
 			refused++
 		}
@@ -363,23 +363,23 @@
 }
 
 // allowed is the number of requests that are tolerated within a window.
-func (l *load) allowed() float64 {
+func (l *demandLog) tolerated() float64 {
 	w := l.workspace
 	return (w.Rate*tolerance.Window.Seconds()+w.Burst)*(1+tolerance.Over) + tolerance.Slack
 }
 
 // most returns the most requests that came in within a window, relative to what is
 // tolerated.
-func (l *load) most() float64 {
-	from, to := l.worst()
-	return float64(to-from) / l.allowed()
+func (l *demandLog) peak() float64 {
+	from, to := l.busiestWindow()
+	return float64(to-from) / l.tolerated()
 }
 
 // worst returns the window in which the most came in: entered[from:to].
-func (l *load) worst() (from, to int) {
+func (l *demandLog) busiestWindow() (from, to int) {
 	first := 0
-	for i, at := range l.entered {
-		for at-l.entered[first] >= tolerance.Window {
+	for i, at := range l.admitted {
+		for at-l.admitted[first] >= tolerance.Window {
 			first++
 		}
 		if i+1-first > to-from {
@@ -390,16 +390,16 @@
 }
 
 // kind returns what let the last request of a workspace in at an instance.
-func (x *node) kind(l *load) string {
-	q, ok := x.limiter.(leased)
+func (x *node) admittedBy(l *demandLog) string {
+	q, ok := x.strategy.(leasedTokens)
 	if !ok {
 		return ""
 	}
 	a := q.accounts[hashOf(l.workspace.Name)]
 	switch {
-	case a.onItsOwn():
+	case a.inFallback():
 		return "share"
-	case a.spent > 0:
+	case a.unreported > 0:
 		return "trust"
 	}
 	return "token"
--- a/process/quota/cut_test.go
+++ b/process/quota/partition_test.go
@@ -16,25 +16,25 @@
 
 // flood is a workspace that sends many times its usual, and a cut that comes beside.
 type flood struct {
-	size, entries int
-	rate, burst   float64
-	times         float64       // the usual, which is usualPart of the limit
-	cut           float64       // part of the instances that is cut off
-	cutAfter      time.Duration // after the flood's begin; may be before
-	ownerCut      bool          // the owner is among those cut off
-	apart         bool          // those cut off do not reach each other either
-	beside        string        // another failure at the time of the cut
+	size, receivers int
+	rate, burst     float64
+	factor          float64       // the usual, which is usualPart of the limit
+	fraction        float64       // part of the instances that is cut off
+	partitionAfter  time.Duration // after the flood's begin; may be before
+	ownerIncluded   bool          // the owner is among those cut off
+	isolated        bool          // those cut off do not reach each other either
+	failure         string        // another failure at the time of the cut
 }
 
 const (
-	usualPart  = 0.6
-	floodLasts = 7 * time.Second
-	cutLasts   = 6 * time.Second
+	usualLoad     = 0.6
+	floodTime     = 7 * time.Second
+	partitionTime = 6 * time.Second
 )
 
 func (c flood) String() string {
 	return fmt.Sprintf("%d instances, %d take requests, %.0f a second, burst %.0f, flood of %.0f, %.1f cut off after %s, owner cut %t, apart %t, beside %q",
-		c.size, c.entries, c.rate, c.burst, c.times, c.cut, c.cutAfter, c.ownerCut, c.apart, c.beside)
+		c.size, c.receivers, c.rate, c.burst, c.factor, c.fraction, c.partitionAfter, c.ownerIncluded, c.isolated, c.failure)
 }
 
 // event is what happens at a moment of a play.
@@ -46,17 +46,17 @@
 // play plays a flood, for the workspaces of a model, and what comes beside.
 func (c flood) play(m *model) {
 	const lead = 5 * time.Second // before the flood, or before a cut that comes first
-	start := lead + max(0, -c.cutAfter)
-	cutAt := start + c.cutAfter
+	start := lead + max(0, -c.partitionAfter)
+	cutAt := start + c.partitionAfter
 	events := []event{
-		{start, func() { c.each(m, c.times) }},
-		{start + floodLasts, func() { c.each(m, 1) }},
-		{cutAt, func() { c.cutOff(m) }},
-		{cutAt + cutLasts, m.heal},
+		{start, func() { c.setDemand(m, c.factor) }},
+		{start + floodTime, func() { c.setDemand(m, 1) }},
+		{cutAt, func() { c.partition(m) }},
+		{cutAt + partitionTime, m.heal},
 	}
-	events = append(events, c.others(m, cutAt)...)
+	events = append(events, c.failureEvents(m, cutAt)...)
 	slices.SortStableFunc(events, func(a, b event) int { return int(a.at - b.at) })
-	c.each(m, 1)
+	c.setDemand(m, 1)
 	began := m.now
 	for _, e := range events {
 		m.run(began + e.at - m.now)
@@ -66,48 +66,48 @@
 }
 
 // each sets the demand of all workspaces.
-func (c flood) each(m *model, times float64) {
-	for i, l := range m.loads {
-		m.demandOf(i, times*usualPart*l.workspace.Rate, c.entries)
+func (c flood) setDemand(m *model, times float64) {
+	for i, l := range m.logs {
+		m.demandOf(i, times*usualLoad*l.workspace.Rate, c.receivers)
 	}
 }
 
 // cutOff cuts a part of those that take requests off, and of the others, with the
 // owner of the first workspace or without.
-func (c flood) cutOff(m *model) {
+func (c flood) partition(m *model) {
 	owner := m.owner()
 	cut := 0
 	take := func(list []*node) {
-		n := int(math.Round(c.cut * float64(len(list))))
+		n := int(math.Round(c.fraction * float64(len(list))))
 		for _, x := range list {
 			if x != owner && n > 0 {
 				cut++
 				n--
 				x.group = 1
-				if c.apart {
+				if c.isolated {
 					x.group = cut
 				}
 			}
 		}
 	}
-	take(m.nodes[:c.entries])
-	take(m.nodes[c.entries:])
-	if c.ownerCut {
+	take(m.nodes[:c.receivers])
+	take(m.nodes[c.receivers:])
+	if c.ownerIncluded {
 		owner.group = 1
 	}
-	m.turnedAt = m.now
+	m.partitionChangedAt = m.now
 }
 
 func (m *model) heal() {
 	for _, x := range m.nodes {
 		x.group = 0
 	}
-	m.turnedAt = m.now
+	m.partitionChangedAt = m.now
 }
 
 // owner is the instance that owns the first workspace while all live.
 func (m *model) owner() *node {
-	ranks := hashOfPair[hashOf(m.workspace.Name)%Shards]
+	ranks := ownerRanks[hashOf(m.workspace.Name)%Shards]
 	return slices.MinFunc(m.nodes, func(a, b *node) int {
 		if ranks[a.index] < ranks[b.index] {
 			return -1
@@ -117,29 +117,29 @@
 }
 
 // others are the other failures.
-func (c flood) others(m *model, cutAt time.Duration) []event {
-	switch c.beside {
+func (c flood) failureEvents(m *model, cutAt time.Duration) []event {
+	switch c.failure {
 	case "owner dies":
 		return []event{
 			{cutAt + 300*time.Millisecond, func() { m.owner().die() }},
-			{cutAt + 3*time.Second, func() { m.owner().restart(leases) }},
+			{cutAt + 3*time.Second, func() { m.owner().restart(newLeasedTokens) }},
 		}
 	case "herd kill":
 		return []event{
-			{cutAt + 500*time.Millisecond, func() { m.some(0.4, (*node).die) }},
-			{cutAt + 2*time.Second, func() { m.thaw(leases) }},
+			{cutAt + 500*time.Millisecond, func() { m.forSome(0.4, (*node).die) }},
+			{cutAt + 2*time.Second, func() { m.resumeAll(newLeasedTokens) }},
 		}
 	case "freeze":
 		return []event{
-			{cutAt + 200*time.Millisecond, func() { m.some(0.3, (*node).freeze) }},
-			{cutAt + 3200*time.Millisecond, func() { m.thaw(leases) }},
+			{cutAt + 200*time.Millisecond, func() { m.forSome(0.3, (*node).freeze) }},
+			{cutAt + 3200*time.Millisecond, func() { m.resumeAll(newLeasedTokens) }},
 		}
 	}
 	return nil
 }
 
 // some does something to a part of the instances.
-func (m *model) some(part float64, do func(*node)) {
+func (m *model) forSome(part float64, do func(*node)) {
 	for _, x := range m.nodes {
 		if m.random.Float64() < part {
 			do(x)
@@ -148,7 +148,7 @@
 }
 
 // thaw starts those that died anew, and lets those go on that froze.
-func (m *model) thaw(way func(*node) limiter) {
+func (m *model) resumeAll(way func(*node) strategy) {
 	for _, x := range m.nodes {
 		x.frozen = false
 		if x.dead {
@@ -158,7 +158,7 @@
 }
 
 // besides are the failures beside a cut; without one twice.
-var besides = []string{"", "", "owner dies", "herd kill", "freeze"}
+var failures = []string{"", "", "owner dies", "herd kill", "freeze"}
 
 // floods lists the cases of a fleet.
 func floods(size, entries int, rate, burst float64) (out []flood) {
@@ -166,9 +166,9 @@
 		for _, cut := range []float64{0.2, 0.3, 0.4, 0.5} {
 			for _, ms := range []time.Duration{-3000, -500, 0, 250, 500, 1000, 2000, 3000, 5000, 6500} {
 				for side := range 4 {
-					out = append(out, flood{size: size, entries: entries, rate: rate, burst: burst, times: times, cut: cut,
-						cutAfter: ms * time.Millisecond, ownerCut: side%2 == 1, apart: side/2 == 1,
-						beside: besides[len(out)*7%len(besides)]})
+					out = append(out, flood{size: size, receivers: entries, rate: rate, burst: burst, factor: times, fraction: cut,
+						partitionAfter: ms * time.Millisecond, ownerIncluded: side%2 == 1, isolated: side/2 == 1,
+						failure: failures[len(out)*7%len(failures)]})
 				}
 			}
 		}
@@ -182,7 +182,7 @@
 // TestFloodThatMeetsACut checks that what was let in before a cut, what those cut off
 // go on with, and what is granted on the other side stay within what is tolerated
 // together, of each of two workspaces that flood at once.
-func TestFloodThatMeetsACut(t *testing.T) {
+func TestFloodDuringPartition(t *testing.T) {
 	for _, f := range []struct {
 		size, entries, every int
 		rate, burst          float64
@@ -199,12 +199,12 @@
 			t.Parallel()
 			worst, played := 0.0, 0
 			for i := 0; i < len(cases); i += every {
-				m := newModelOf(uint64(i), f.size, leases, limited("w", f.rate, f.burst), limited("v", f.rate/10, f.burst/10))
+				m := newModelOf(uint64(i), f.size, newLeasedTokens, workspaceResource("w", f.rate, f.burst), workspaceResource("v", f.rate/10, f.burst/10))
 				cases[i].play(m)
 				played++
-				for _, l := range m.loads {
-					assert.Check(t, l.most() <= 1, "%.3f of what is tolerated: %s: %s", l.most(), cases[i], l.account())
-					worst = max(worst, l.most())
+				for _, l := range m.logs {
+					assert.Check(t, l.peak() <= 1, "%.3f of what is tolerated: %s: %s", l.peak(), cases[i], l.breakdown())
+					worst = max(worst, l.peak())
 				}
 			}
 			t.Logf("%d floods, at most %.3f of what is tolerated", played, worst)
@@ -213,15 +213,15 @@
 }
 
 // account tells what let the requests of the worst window in.
-func (l *load) account() string {
-	from, to := l.worst()
+func (l *demandLog) breakdown() string {
+	from, to := l.busiestWindow()
 	n := make(map[source]int)
-	for _, s := range l.by[from:to] {
+	for _, s := range l.sources[from:to] {
 		n[s]++
 	}
 	var parts []string
 	for s, k := range n {
-		parts = append(parts, fmt.Sprintf("%s(cut %t) %.3f", s.kind, s.cut, float64(k)/l.allowed()))
+		parts = append(parts, fmt.Sprintf("%s(cut %t) %.3f", s.kind, s.partitioned, float64(k)/l.tolerated()))
 	}
 	slices.Sort(parts)
 	return strings.Join(parts, ", ")
--- a/process/quota/quota.go
+++ b/process/quota/quota.go
@@ -15,7 +15,7 @@
 
 // TickTime is the pause between two calls of Tick. Origin: the model; at twice that
 // an owner learns of a flood a burst too late.
-const TickTime = 250 * time.Millisecond
+const TickInterval = 250 * time.Millisecond
 
 const (
 	// Shards is the number of groups of workspaces that have an owner in common, so
@@ -23,11 +23,11 @@
 	Shards = 16
 	// tryPause is the pause between two messages to an owner that does not answer, and
 	// tryFor how long it gets some: by then it is gone, or has started anew and said so.
-	tryPause = time.Second
-	tryFor   = 2 * time.Minute
+	probeInterval = time.Second
+	probeTime     = 2 * time.Minute
 	// bootTime is how long after the first start of all instances an owner takes
 	// it that nothing was used before.
-	bootTime = 20 * time.Second
+	firstStartTime = 20 * time.Second
 )
 
 // Tolerance is how far above a limit operators let a workspace come: in each Window,
@@ -59,33 +59,33 @@
 	Send func(address string, message []byte)
 	// Answers, if set, is told that an instance does not answer, and when it does
 	// again. It must not call the quota.
-	Answers func(name string, ok bool)
+	OnOwnerResponsive func(name string, ok bool)
 	// First says that all instances start for the first time, so that nothing was
 	// used before.
-	First bool
+	FirstStart bool
 
-	mu         sync.Mutex
-	began      time.Duration // of the first call; zero: none yet
-	workspaces *version.Workspaces
-	limits     map[uint64]limit // by hash of the name; those without a bound are not there
-	owners     [Shards]Owner
-	instances  int                      // the most that there were lately
-	countedAt  time.Duration            // when there were so many last
-	owned      map[uint64]time.Duration // since when this instance owns a group
-	accounts   map[uint64]*account
-	silent     map[string]silence // owners that did not answer, by address
-	triedAt    time.Duration      // when those were tried again last
-	buckets    map[uint64]*bucket // of the workspaces that this instance owns
+	mu           sync.Mutex
+	startedAt    time.Duration // of the first call; zero: none yet
+	workspaces   *version.Workspaces
+	limits       map[uint64]limit // by hash of the name; those without a bound are not there
+	owners       [Shards]Owner
+	instances    int                      // the most that there were lately
+	countedAt    time.Duration            // when there were so many last
+	ownedSince   map[uint64]time.Duration // since when this instance owns a group
+	accounts     map[uint64]*account
+	unresponsive map[string]unresponsiveOwner // owners that did not answer, by address
+	probedAt     time.Duration                // when those were tried again last
+	buckets      map[uint64]*bucket           // of the workspaces that this instance owns
 }
 
 // limit is what a workspace may use.
 type limit struct {
-	rate   float64 // requests a second
-	depth  float64 // of the bucket: what may come at once
-	spare  float64 // the part of that beyond the burst
-	inHand float64 // tokens that instances may have beside a full bucket
-	alone  float64 // the part of its share that an instance uses while no owner answers
-	window time.Duration
+	rate       float64 // requests a second
+	depth      float64 // of the bucket: what may come at once
+	slack      float64 // the part of that beyond the burst
+	prefetched float64 // tokens that instances may have beside a full bucket
+	fallback   float64 // the part of its share that an instance uses while no owner answers
+	window     time.Duration
 }
 
 // Install puts the limits of a version in force.
@@ -104,12 +104,12 @@
 	})
 	if q.accounts == nil {
 		q.accounts = make(map[uint64]*account)
-		q.silent = make(map[string]silence)
+		q.unresponsive = make(map[string]unresponsiveOwner)
 		q.buckets = make(map[uint64]*bucket)
-		q.owned = make(map[uint64]time.Duration)
-		q.began = q.Now()
-		q.noteInstances(q.began)
-		q.noteOwners(q.began)
+		q.ownedSince = make(map[uint64]time.Duration)
+		q.startedAt = q.Now()
+		q.updateInstances(q.startedAt)
+		q.updateOwners(q.startedAt)
 	}
 	for h := range q.accounts {
 		if _, ok := q.limits[h]; !ok {
@@ -125,27 +125,27 @@
 
 // limit returns what a workspace may use.
 func (t Tolerance) limit(v *version.WorkspaceView) limit {
-	l := limit{rate: v.Rate, depth: max(1, v.Burst+t.spare()), spare: t.spare(), window: t.Window}
-	l.inHand = t.above(l) / 4
-	l.alone = t.alone(l)
+	l := limit{rate: v.Rate, depth: max(1, v.Burst+t.bucketSlack()), slack: t.bucketSlack(), window: t.Window}
+	l.prefetched = t.excess(l) / 4
+	l.fallback = t.fallback(l)
 	return l
 }
 
 // alone is the part of its share that an instance uses while no owner answers.
-func (t Tolerance) alone(l limit) float64 {
-	usual := usualAbove * l.rate * t.Window.Seconds()
+func (t Tolerance) fallback(l limit) float64 {
+	usual := usualExcess * l.rate * t.Window.Seconds()
 	if usual == 0 {
-		return aloneShare
+		return fallbackFraction
 	}
-	return min(mostAlone, aloneShare*t.above(l)/usual)
+	return min(maxFallbackFraction, fallbackFraction*t.excess(l)/usual)
 }
 
 // spare is what a bucket holds beyond the burst.
-func (t Tolerance) spare() float64 { return t.Slack / 4 }
+func (t Tolerance) bucketSlack() float64 { return t.Slack / 4 }
 
 // above is the number of requests by which a limit may be passed in a window.
-func (t Tolerance) above(l limit) float64 {
-	return t.Over*(l.rate*t.Window.Seconds()+l.depth-t.spare()) + t.Slack
+func (t Tolerance) excess(l limit) float64 {
+	return t.Over*(l.rate*t.Window.Seconds()+l.depth-t.bucketSlack()) + t.Slack
 }
 
 func hashOf(workspace string) uint64 { return xxhash.Sum64String(workspace) }
@@ -159,55 +159,55 @@
 	}
 	var deadline <-chan time.Time
 	for first := true; ; first = false {
-		v := q.try(w, first)
-		if v.answer == nil {
-			return v.in, v.why
+		v := q.decide(w, first)
+		if v.response == nil {
+			return v.admitted, v.refusal
 		}
 		if deadline == nil {
-			t := time.NewTimer(waitMost)
+			t := time.NewTimer(maxWait)
 			defer t.Stop()
 			deadline = t.C
 		}
 		select {
-		case <-v.answer:
+		case <-v.response:
 		case <-deadline:
-			v = q.try(w, false) // an owner that does not answer leaves its part to this instance meanwhile
-			return v.in, v.why
+			v = q.decide(w, false) // an owner that does not answer leaves its part to this instance meanwhile
+			return v.admitted, v.refusal
 		case <-ctx.Done():
-			return false, v.why
+			return false, v.refusal
 		}
 	}
 }
 
 // verdict says whether a request may come in.
-type verdict struct {
-	in     bool
-	why    Refusal         // if it may not
-	answer <-chan struct{} // if set, an answer is worth waiting for; it is closed then
+type decision struct {
+	admitted bool
+	refusal  Refusal         // if it may not
+	response <-chan struct{} // if set, an answer is worth waiting for; it is closed then
 }
 
 // try decides on a request once. First is set unless it has waited already.
-func (q *Quota) try(w *version.WorkspaceView, first bool) verdict {
+func (q *Quota) decide(w *version.WorkspaceView, first bool) decision {
 	q.mu.Lock()
 	a := q.account(hashOf(w.Name))
 	if a == nil {
 		q.mu.Unlock()
-		return verdict{in: true}
+		return decision{admitted: true}
 	}
 	now := q.Now()
 	if first {
-		a.come(now)
+		a.noteRequest(now)
 	}
-	in := a.admits(now)
+	in := a.admit(now)
 	var out []message
-	if a.short(now) {
-		out = q.ask([]*account{a}, now)
-		in = in || a.admits(now) // this instance may be the owner
+	if a.needsTokens(now) {
+		out = q.requestTokens([]*account{a}, now)
+		in = in || a.admit(now) // this instance may be the owner
 	}
-	v := verdict{in: in}
+	v := decision{admitted: in}
 	if !in {
-		v.why = a.why(now)
-		v.answer = a.worthWaiting(now)
+		v.refusal = a.refusal(now)
+		v.response = a.awaitResponse(now)
 	}
 	q.mu.Unlock()
 	q.send(out)
@@ -222,19 +222,19 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if a := q.account(hashOf(w.Name)); a != nil {
-		a.giveBack()
+		a.refund()
 	}
 }
 
 // Again counts a request that was let in and runs once more.
-func (q *Quota) Again(w *version.WorkspaceView) {
+func (q *Quota) CountRetry(w *version.WorkspaceView) {
 	if w == nil || w.Rate == 0 {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if a := q.account(hashOf(w.Name)); a != nil {
-		a.spent++
+		a.unreported++
 	}
 }
 
@@ -248,13 +248,13 @@
 	a := q.accounts[hash]
 	if a == nil {
 		a = &account{hash: hash, rand: rand.Float64, seq: byte(rand.Uint32())}
-		a.equal = q.equalShare(l)
+		a.equalShare = q.equalShare(l)
 		q.accounts[hash] = a
 	}
 	a.limit = l
-	above := q.Tolerance.above(l) / float64(max(1, q.instances))
-	a.trusted = q.instances > 0 && above/2 >= leastCredit
-	a.mostCredit = max(leastCredit, above/4)
+	above := q.Tolerance.excess(l) / float64(max(1, q.instances))
+	a.creditAllowed = q.instances > 0 && above/2 >= minCredit
+	a.maxCredit = max(minCredit, above/4)
 	return a
 }
 
@@ -268,4 +268,4 @@
 }
 
 // aloneRate is the rate of an instance without an owner if all use equally much.
-func (q *Quota) aloneRate(l limit) float64 { return l.alone * q.equalShare(l) }
+func (q *Quota) fallbackRate(l limit) float64 { return l.fallback * q.equalShare(l) }
--- a/process/quota/rate_test.go
+++ b/process/quota/rate_test.go
@@ -14,12 +14,12 @@
 // found the others, so that its share shrank. What was to be used up first was as of the larger
 // share. What proved it: refusals at 20 a second within a share of 130, the owner's last answer
 // 60 ms old and its bucket full; none with what is missing bounded.
-func TestPaceOfASmallerShareGoesOn(t *testing.T) {
+func TestLimiterDeficitIsBoundedAfterShareShrinks(t *testing.T) {
 	const before, after = 266.0, 133.0
 	now := time.Minute
-	p := emptyPace(before, now)
+	p := emptyLimiter(before, now)
 	now += time.Second / 50
-	assert.Assert(t, p.has(after, depthOf(after), now))
-	p.used++
-	assert.Assert(t, p.used <= depthOf(after))
+	assert.Assert(t, p.allows(after, depthFor(after), now))
+	p.deficit++
+	assert.Assert(t, p.deficit <= depthFor(after))
 }
--- a/process/quota/refusal.go
+++ b/process/quota/refusal.go
@@ -10,7 +10,7 @@
 
 // Refusal says why a request was not let in, and what this instance knew then.
 type Refusal struct {
-	Retry time.Duration // when to come back
+	RetryAfter time.Duration // when to come back
 	// Rate is the limit of the workspace and Wanted what came here lately, both in
 	// requests a second.
 	Rate, Wanted float64
@@ -27,10 +27,10 @@
 }
 
 // why returns what is known at a refusal.
-func (a *account) why(now time.Duration) Refusal {
+func (a *account) refusal(now time.Duration) Refusal {
 	return Refusal{
-		Retry: a.comeBack(now), Rate: a.limit.rate, Wanted: a.wanted.now(now), Share: a.shareNow(), Capped: now < a.sharedUntil,
-		Owner: a.owner, Age: now - a.heardAt, Unanswered: a.unanswered, Scarce: a.scarce,
+		RetryAfter: a.retryAfter(now), Rate: a.limit.rate, Wanted: a.demand.rateAt(now), Share: a.currentShare(), Capped: now < a.cappedUntil,
+		Owner: a.owner, Age: now - a.respondedAt, Unanswered: a.unanswered, Scarce: a.scarce,
 	}
 }
 
--- a/process/quota/wire.go
+++ b/process/quota/wire.go
@@ -11,18 +11,18 @@
 
 // The first byte of a message says what its entries are.
 const (
-	kindAsk    = 1
-	kindAnswer = 2
+	kindRequest  = 1
+	kindResponse = 2
 )
 
 const (
 	// askBytes and answerBytes are the sizes of an entry.
-	askBytes    = 8 + 1 + 1 + 2 + 2 + 2
-	answerBytes = 8 + 1 + 1 + 2 + 2
+	requestBytes  = 8 + 1 + 1 + 2 + 2 + 2
+	responseBytes = 8 + 1 + 1 + 2 + 2
 	// mostEntries bounds the entries of a message, so that it fits in a datagram.
-	mostEntries = 60
+	maxEntries = 60
 	// usedUnit is the unit of answer.used on the wire.
-	usedUnit = 1.0 / 1024
+	usageUnit = 1.0 / 1024
 )
 
 // Flags of entries.
@@ -32,78 +32,78 @@
 )
 
 // ask is what an instance tells the owner of a workspace.
-type ask struct {
-	hash    uint64 // of the workspace's name
-	seq     byte   // rises with each ask of the instance for the workspace
-	spent   uint16 // requests that came in without a token
-	want    uint16 // tokens wanted
-	back    uint16 // tokens given back
-	release bool   // no more requests come
+type tokenRequest struct {
+	hash       uint64 // of the workspace's name
+	seq        byte   // rises with each ask of the instance for the workspace
+	unreported uint16 // requests that came in without a token
+	wanted     uint16 // tokens wanted
+	returned   uint16 // tokens given back
+	release    bool   // no more requests come
 }
 
 // answer is what the owner says.
-type answer struct {
+type tokenResponse struct {
 	hash    uint64
 	seq     byte // of the ask
 	granted uint16
 	scarce  bool    // the bucket is less than half full
-	used    float64 // what all instances use, relative to the rate
+	usage   float64 // what all instances use, relative to the rate
 }
 
 // whole returns the whole number of a count.
-func whole(n float64) uint16 { return uint16(min(math.MaxUint16, max(0, math.Ceil(n)))) }
+func toCount(n float64) uint16 { return uint16(min(math.MaxUint16, max(0, math.Ceil(n)))) }
 
-func flag(set bool, bit byte) byte {
+func flagByte(set bool, bit byte) byte {
 	if set {
 		return bit
 	}
 	return 0
 }
 
-func encodeAsks(list []ask) []byte {
-	out := []byte{kindAsk}
+func encodeRequests(list []tokenRequest) []byte {
+	out := []byte{kindRequest}
 	for _, x := range list {
 		out = binary.LittleEndian.AppendUint64(out, x.hash)
-		out = append(out, x.seq, flag(x.release, flagRelease))
-		out = binary.LittleEndian.AppendUint16(out, x.spent)
-		out = binary.LittleEndian.AppendUint16(out, x.want)
-		out = binary.LittleEndian.AppendUint16(out, x.back)
+		out = append(out, x.seq, flagByte(x.release, flagRelease))
+		out = binary.LittleEndian.AppendUint16(out, x.unreported)
+		out = binary.LittleEndian.AppendUint16(out, x.wanted)
+		out = binary.LittleEndian.AppendUint16(out, x.returned)
 	}
 	return out
 }
 
-func encodeAnswers(list []answer) []byte {
-	out := []byte{kindAnswer}
+func encodeResponses(list []tokenResponse) []byte {
+	out := []byte{kindResponse}
 	for _, x := range list {
 		out = binary.LittleEndian.AppendUint64(out, x.hash)
-		out = append(out, x.seq, flag(x.scarce, flagScarce))
+		out = append(out, x.seq, flagByte(x.scarce, flagScarce))
 		out = binary.LittleEndian.AppendUint16(out, x.granted)
-		out = binary.LittleEndian.AppendUint16(out, uint16(min(math.MaxUint16, x.used/usedUnit)))
+		out = binary.LittleEndian.AppendUint16(out, uint16(min(math.MaxUint16, x.usage/usageUnit)))
 	}
 	return out
 }
 
 // decode reads a message: asks or answers.
-func decode(text []byte) (asks []ask, answers []answer, err error) {
+func decode(text []byte) (asks []tokenRequest, answers []tokenResponse, err error) {
 	if len(text) == 0 {
 		return nil, nil, errors.New("empty message")
 	}
 	entries := text[1:]
 	switch kind := text[0]; {
-	case kind == kindAsk && len(entries)%askBytes == 0 && len(entries) <= mostEntries*askBytes:
-		for ; len(entries) > 0; entries = entries[askBytes:] {
-			asks = append(asks, ask{
+	case kind == kindRequest && len(entries)%requestBytes == 0 && len(entries) <= maxEntries*requestBytes:
+		for ; len(entries) > 0; entries = entries[requestBytes:] {
+			asks = append(asks, tokenRequest{
 				hash: binary.LittleEndian.Uint64(entries), seq: entries[8], release: entries[9]&flagRelease != 0,
-				spent: binary.LittleEndian.Uint16(entries[10:]), want: binary.LittleEndian.Uint16(entries[12:]),
-				back: binary.LittleEndian.Uint16(entries[14:]),
+				unreported: binary.LittleEndian.Uint16(entries[10:]), wanted: binary.LittleEndian.Uint16(entries[12:]),
+				returned: binary.LittleEndian.Uint16(entries[14:]),
 			})
 		}
-	case kind == kindAnswer && len(entries)%answerBytes == 0 && len(entries) <= mostEntries*answerBytes:
-		for ; len(entries) > 0; entries = entries[answerBytes:] {
-			answers = append(answers, answer{
+	case kind == kindResponse && len(entries)%responseBytes == 0 && len(entries) <= maxEntries*responseBytes:
+		for ; len(entries) > 0; entries = entries[responseBytes:] {
+			answers = append(answers, tokenResponse{
 				hash: binary.LittleEndian.Uint64(entries), seq: entries[8], scarce: entries[9]&flagScarce != 0,
 				granted: binary.LittleEndian.Uint16(entries[10:]),
-				used:    float64(binary.LittleEndian.Uint16(entries[12:])) * usedUnit,
+				usage:   float64(binary.LittleEndian.Uint16(entries[12:])) * usageUnit,
 			})
 		}
 	default:
