--- a/process/quota/account.go
+++ b/process/quota/account.go
@@ -7,64 +7,65 @@
 	"time"
 )
 
-// account is what an instance holds for a workspace and knows of it.
+// account is the state of a workspace at an instance that admits its requests.
 type account struct {
 	hash       uint64
 	limit      limit
-	equalShare float64 // rate of this instance if all used equally much
+	equalShare float64 // rate of this instance if all instances had the same usage
 	rand       func() float64
 
-	tokens     float64       // in hand
-	grantedAt  time.Duration // when the last of them were granted
-	unreported float64       // requests let in that the owner does not know of
+	tokens     float64       // available
+	grantedAt  time.Duration // time of the last grant
+	unreported float64       // requests admitted without a token and not yet reported to the owner
 	scarce     bool          // the owner's bucket is less than half full
 
-	// trusted is set where each instance may let a request in before the owner is told:
-	// all together stay within half of what a limit may be passed by. mostCredit
-	// bounds what it may let in, within a quarter of that if it is more than one.
+	// creditAllowed is set if each instance may admit a request before it reports it to
+	// the owner, because all instances together stay within half of the tolerated excess.
+	// maxCredit limits these requests to the instance's part of a quarter of the excess,
+	// but to no less than minCredit.
 	creditAllowed  bool
 	maxCredit      float64
-	exhaustedUntil time.Duration // until when the owner is not expected to have a token
+	exhaustedUntil time.Duration // requests do not wait for tokens until then
 
-	demand        meter // requests that came
-	admitted      meter // requests that were let in
+	demand        meter // requests received
+	admitted      meter // requests admitted
 	lastRequestAt time.Duration
 
 	owner            string
-	ownerLocal       bool          // the owner is this instance
+	ownerLocal       bool          // this instance is the owner
 	pending          *tokenRequest // sent and not answered
-	seq              byte          // of the last ask; the first is any, since owners remember that of an earlier start
+	seq              byte          // of the last token request; starts at random, since owners remember that of a previous start
 	requestedAt      time.Duration
 	unanswered       int
-	responded        bool          // some owner has answered
-	respondedAt      time.Duration // when it did last
-	responseReceived chan struct{} // closed with the next answer; nil: nobody waits
+	responded        bool          // an owner has responded
+	respondedAt      time.Duration // time of the last response
+	responseReceived chan struct{} // closed on the next response; nil if nothing waits for it
 	waiters          int           // requests that have waited for it
-	released         bool          // nothing was used since the tokens were given back
+	released         bool          // no request since the tokens were returned
 
-	share          float64       // part of the rate that falls to this instance; zero: not known
-	shareUpdatedAt time.Duration // when it was worked out last
-	capFraction    float64       // the part of that within which it stays until sharedUntil
+	share          float64       // part of the workspace's rate, in requests per second; 0 if unknown
+	shareUpdatedAt time.Duration // when share was last computed
+	capFraction    float64       // usage is limited to this fraction of the share until cappedUntil
 	cappedUntil    time.Duration
 	shareCap       rateLimiter
-	fallback       rateLimiter // the zero value while the owner answers
+	fallback       rateLimiter // zero while the owner responds
 }
 
-// come notes that a request has come.
+// noteRequest records that a request was received.
 func (a *account) noteRequest(now time.Duration) {
 	a.demand.add(1, now)
 	a.lastRequestAt = now
 	a.released = false
 }
 
-// admits lets a request in, if there is a token for it, or the owner has plenty.
+// admit admits a request if a token or an allowance is available and the share cap permits.
 func (a *account) admit(now time.Duration) bool {
 	if now-a.grantedAt > tokenLifetime {
 		a.tokens = 0
 	}
 	if now < a.cappedUntil {
-		within := a.capFraction * a.currentShare()
-		if !a.shareCap.allows(within, depthFor(within), now) {
+		rate := a.capFraction * a.currentShare()
+		if !a.shareCap.allows(rate, depthFor(rate), now) {
 			return false
 		}
 	}
@@ -78,7 +79,8 @@
 	return true
 }
 
-// covered reports whether there is a token, or something in its place, and uses it.
+// takeAllowance takes a token, credit or part of the fallback share, and reports whether
+// one was available.
 func (a *account) takeAllowance(now time.Duration) bool {
 	switch {
 	case a.tokens >= 1:
@@ -95,7 +97,7 @@
 	return false
 }
 
-// coveredAlone lets a request in while no owner answers, within a part of the share.
+// takeFallback takes one request of the fallback share, which applies while no owner responds.
 func (a *account) takeFallback(now time.Duration) bool {
 	rate := a.limit.fallback * a.currentShare()
 	if a.fallback.updatedAt == 0 {
@@ -109,18 +111,19 @@
 	return true
 }
 
-// depthOf is what may come at once where an instance stays within a rate.
+// depthFor returns the bucket depth of an instance that is limited to a rate.
 func depthFor(rate float64) float64 { return rate*prefetchTime.Seconds() + minCredit }
 
-// emptyPace returns a pace that lets little through at first: when an instance loses
-// its owner, the tokens that it had just got are in the same window. What comes while an
-// answer is awaited gets in, or the first requests after each loss would be refused.
+// emptyLimiter returns a nearly empty limiter, because the last tokens from the owner that
+// an instance has just lost count towards the same window. It holds the demand of one
+// responseTimeout, since the first requests after each loss would otherwise be refused.
 func emptyLimiter(rate float64, now time.Duration) rateLimiter {
 	return rateLimiter{deficit: depthFor(rate) - rate*responseTimeout.Seconds(), updatedAt: now}
 }
 
-// worthWaiting returns what is closed with the next answer of the owner, if that may
-// bring a token: one was asked for, and the answer before was not that there is none.
+// awaitResponse returns a channel that is closed on the owner's next response, or nil if
+// that can't be expected to bring a token: none was requested, the owner does not respond,
+// or its bucket was just empty.
 func (a *account) awaitResponse(now time.Duration) <-chan struct{} {
 	if a.pending == nil || a.inFallback() || now < a.exhaustedUntil {
 		return nil
@@ -132,18 +135,18 @@
 	return a.responseReceived
 }
 
-// onItsOwn reports whether there is no owner that answers.
+// inFallback reports whether no owner responds.
 func (a *account) inFallback() bool { return a.owner == "" || a.unanswered >= fallbackAfter }
 
-// credit is the number of requests that may come in before the owner is told.
+// credit returns the number of requests that may be admitted before they are reported.
 func (a *account) credit(now time.Duration) float64 {
 	return min(a.maxCredit, minCredit+a.demand.rateAt(now)*creditTime.Seconds())
 }
 
-// noteShare works out the part of the workspace's rate that falls to this instance:
-// what it uses, relative to what all use, smoothed since at the start of a flood the
-// first is known before the second. While it has to stay within a share, that
-// is kept: the owner that it has turned to does not know yet what all use.
+// updateShare computes the part of the workspace's rate that this instance may use: its
+// own usage relative to that of all instances. The result is smoothed, since at the start
+// of a flood the own usage is known before the total. While the instance is capped to its
+// share, the share is kept: the new owner does not know the total usage yet.
 func (a *account) updateShare(used float64, now time.Duration) {
 	if now < a.cappedUntil {
 		return
@@ -156,10 +159,10 @@
 	a.shareUpdatedAt = now
 }
 
-// shareNow is that part as of the last answer, or an equal one.
+// currentShare returns the share as of the last response, and no less than an equal share.
 func (a *account) currentShare() float64 { return max(a.share, a.equalShare) }
 
-// giveBack takes back the token of a request that has not run.
+// refund takes back the token of a request that has not run.
 func (a *account) refund() {
 	if a.unreported >= 1 {
 		a.unreported--
@@ -168,8 +171,8 @@
 	a.tokens++
 }
 
-// short reports whether the owner should be asked at once: no more can come in, or
-// soon none.
+// needsTokens reports whether the owner should be queried at once, because no more requests
+// can be admitted, or soon none.
 func (a *account) needsTokens(now time.Duration) bool {
 	if a.pending != nil {
 		return now-a.requestedAt >= responseTimeout
@@ -180,7 +183,7 @@
 	return a.scarce || !a.creditAllowed || !a.responded || a.unreported+minCredit >= a.credit(now)
 }
 
-// due reports whether the owner should be asked or told something at a tick.
+// requestDue reports whether a tick should send a token request or a report to the owner.
 func (a *account) requestDue(now time.Duration) bool {
 	switch {
 	case a.pending != nil:
@@ -190,37 +193,37 @@
 	case a.idleTime(now) > releaseAfter:
 		return !a.released
 	case !a.released && now-a.requestedAt >= maxReportInterval:
-		return true // so that the owner knows that this instance still reaches it
+		return true // shows the owner that this instance is reachable
 	}
 	return a.tokensWanted(now) > 0 || a.hasUnusedTokens(now)
 }
 
 func (a *account) idleTime(now time.Duration) time.Duration { return now - a.lastRequestAt }
 
-// want is the number of tokens that are lacking for the demand to come: one at least,
-// so that the next request does not have to wait.
+// tokensWanted returns the number of tokens missing for the expected demand. It is usually
+// at least one, so that the next request does not have to wait.
 func (a *account) tokensWanted(now time.Duration) float64 {
-	of := prefetchTime
+	horizon := prefetchTime
 	if a.scarce {
-		of = prefetchTimeScarce
+		horizon = prefetchTimeScarce
 	}
-	have := a.tokens
+	available := a.tokens
 	if now-a.grantedAt > tokenLifetime {
-		have = 0
+		available = 0
 	}
-	want := a.demand.rateAt(now) * of.Seconds()
+	wanted := a.demand.rateAt(now) * horizon.Seconds()
 	if !a.scarce || a.idleTime(now) < minRequestInterval {
-		want = max(want, 1, float64(a.waiters))
+		wanted = max(wanted, 1, float64(a.waiters))
 	}
-	return max(0, want-have)
+	return max(0, wanted-available)
 }
 
-// stranded reports whether there are tokens that others need more.
+// hasUnusedTokens reports whether there are tokens that other instances need more.
 func (a *account) hasUnusedTokens(now time.Duration) bool {
 	return a.scarce && a.tokens >= 1 && now-a.grantedAt > returnUnusedAfter && a.idleTime(now) > returnUnusedAfter
 }
 
-// ask returns what the owner is asked: the same as before, if that was not answered.
+// nextRequest returns the token request to send: the pending one again if it is unanswered.
 func (a *account) nextRequest(now time.Duration) tokenRequest {
 	a.requestedAt = now
 	if a.pending != nil {
@@ -228,31 +231,31 @@
 		return *a.pending
 	}
 	a.seq++
-	x := &tokenRequest{hash: a.hash, seq: a.seq, unreported: toCount(a.unreported)}
+	r := &tokenRequest{hash: a.hash, seq: a.seq, unreported: toCount(a.unreported)}
 	if a.idleTime(now) > releaseAfter {
-		x.returned = toCount(a.tokens)
+		r.returned = toCount(a.tokens)
 		a.tokens = 0
 		a.released = true
-		x.release = true
+		r.release = true
 	} else if a.hasUnusedTokens(now) {
-		x.returned = toCount(a.tokens)
+		r.returned = toCount(a.tokens)
 		a.tokens = 0
 	} else {
-		x.wanted = toCount(a.tokensWanted(now))
+		r.wanted = toCount(a.tokensWanted(now))
 	}
-	a.unreported -= float64(x.unreported)
-	a.pending = x
-	return *x
+	a.unreported -= float64(r.unreported)
+	a.pending = r
+	return *r
 }
 
-// turnTo notes who the owner is. It reports whether that has not answered for long.
-func (a *account) setOwner(o Owner, now time.Duration) (silent bool) {
+// setOwner sets the current owner. It reports whether that owner is considered down.
+func (a *account) setOwner(o Owner, now time.Duration) (down bool) {
 	if a.owner == o.Name {
 		return a.unanswered >= ownerDownAfter
 	}
 	a.capShare(now)
 	if a.pending != nil {
-		a.unreported += float64(a.pending.unreported) // the owner before may know of them; the new one does not
+		a.unreported += float64(a.pending.unreported) // the new owner does not know of them, even if the previous one does
 		a.pending = nil
 	}
 	a.owner = o.Name
@@ -261,10 +264,10 @@
 	return false
 }
 
-// stayWithinShare holds the instance to its share for a while after it has turned to
-// another owner: to a part of it if the one before did not answer, and else to the
-// whole of what it has learned, since not all instances turn at the same moment. One
-// that has learned nothing yet has just started, and so used little.
+// capShare limits the instance to its share for a while after a change of owner: to the
+// fallback fraction if the previous owner did not respond, otherwise to the whole share,
+// since instances do not switch at the same moment. An instance without a share has just
+// started, and has used little.
 func (a *account) capShare(now time.Duration) {
 	switch {
 	case a.unanswered > 0:
@@ -277,25 +280,25 @@
 	}
 }
 
-// hear takes up an answer of the owner.
-func (a *account) handleResponse(x tokenResponse, now time.Duration) {
-	if a.pending == nil || a.pending.seq != x.seq {
-		return // of an ask before
+// handleResponse processes a response of the owner.
+func (a *account) handleResponse(r tokenResponse, now time.Duration) {
+	if a.pending == nil || a.pending.seq != r.seq {
+		return // to an earlier request
 	}
-	lacking := x.granted < a.pending.wanted
+	incomplete := r.granted < a.pending.wanted
 	a.pending = nil
 	a.unanswered = 0
 	a.fallback = rateLimiter{}
 	a.responded = true
 	a.respondedAt = now
 	a.waiters = 0
-	a.scarce = x.scarce
-	a.updateShare(x.usage, now)
-	if x.granted > 0 {
-		a.tokens += float64(x.granted)
+	a.scarce = r.scarce
+	a.updateShare(r.usage, now)
+	if r.granted > 0 {
+		a.tokens += float64(r.granted)
 		a.grantedAt = now
 	}
-	if lacking {
+	if incomplete {
 		a.exhaustedUntil = now + exhaustedTime
 	}
 	if a.responseReceived != nil {
@@ -304,9 +307,9 @@
 	}
 }
 
-// comeBack returns when a request over the limit should come back: the later, the
-// more come for each one that is let in, and spread, so that those refused together
-// do not return together.
+// retryAfter returns when a caller over the limit should retry. The delay grows with the
+// ratio of demand to share, and is jittered so that callers refused together do not return
+// together.
 func (a *account) retryAfter(now time.Duration) time.Duration {
 	over := 1.0
 	if share := a.currentShare(); share > 0 {
--- a/process/quota/bucket.go
+++ b/process/quota/bucket.go
@@ -4,125 +4,128 @@
 
 import "time"
 
-// leastRefill is the least part of a rate at which a bucket fills, whatever is kept for
-// others.
+// minRefillFraction is the minimum rate at which a bucket fills, as a fraction of the
+// workspace's rate, whatever is reserved for missing instances.
 const minRefillFraction = 0.1
 
-// bucket is what the owner of a workspace knows of it, or an instance that was asked for
-// tokens without being the owner.
+// bucket is the token bucket of a workspace at its owner, or at an instance that received
+// token requests without being the owner.
 type bucket struct {
 	owned         bool
-	handedOver    bool    // it was owned
-	tokens        float64 // below zero: more came in than there was
-	depth         float64 // the most that it holds now
+	handedOver    bool    // this instance was the owner
+	tokens        float64 // negative if more requests were admitted than there were tokens
+	depth         float64 // current capacity
 	refilledAt    time.Duration
-	ownedSince    time.Duration // since when this instance owns the workspace
-	fallbackRate  float64       // requests a second that an instance without an owner lets in
+	ownedSince    time.Duration // when this instance became the owner
+	fallbackRate  float64       // requests per second that an instance without an owner admits
 	granted       meter
 	requesters    map[string]*requester // by address
 	lastRequestAt time.Duration
 }
 
-// asker is an instance that asks for tokens of a workspace.
+// requester is an instance that requests tokens of a workspace.
 type requester struct {
 	seq         byte
 	response    tokenResponse
 	usage       meter
-	usageBefore float64       // what it used as the bucket was handed over
-	lastSeen    time.Duration // of its last ask
+	usageBefore float64       // at the time of the handover
+	lastSeen    time.Duration // time of its last token request
 }
 
-// refill adds the tokens that have come since.
+// refill adds the tokens accumulated since the last call.
 func (b *bucket) refill(l limit, now time.Duration) {
-	kept, inHand := 0.0, 0.0
-	for name, x := range b.requesters {
-		inHand += max(1, x.usage.rate*prefetchTime.Seconds())
-		switch silence := now - x.lastSeen; {
+	reserved, held := 0.0, 0.0
+	for name, r := range b.requesters {
+		held += max(1, r.usage.rate*prefetchTime.Seconds())
+		switch silence := now - r.lastSeen; {
 		case silence > reserveTime:
 			delete(b.requesters, name)
 		case silence > requesterTimeout:
-			kept += max(reserveFraction, l.fallback) * x.usage.rate // as of when it was heard last
+			reserved += max(reserveFraction, l.fallback) * r.usage.rate // as of its last token request
 		}
 	}
-	rate := max(minRefillFraction*l.rate, l.rate-kept)
+	rate := max(minRefillFraction*l.rate, l.rate-reserved)
 	if !b.owned {
 		rate = min(rate, b.nonOwnerRate(l, now))
 	}
-	b.depth = b.currentDepth(l, inHand, kept, now)
+	b.depth = b.currentDepth(l, held, reserved, now)
 	b.tokens = min(b.depth, b.tokens+rate*(now-b.refilledAt).Seconds())
 	b.refilledAt = now
 }
 
-// stale is the rate for those who have not learned yet who the owner is: what those of
-// them that still ask used before another instance became it, since that gives all others
-// the whole rate. Filled at the rate, the bucket let 1.08 of what is tolerated in after a
-// cut had healed. Who was never the owner may be about to learn that it is, so it gives
-// the part that those who lost their owner go on with; with nothing 0.52 in place of 0.43
-// are refused in the 10 s after an owner's death (12 of 75 take requests, 0.6 of the rate).
+// nonOwnerRate returns the refill rate of a bucket that this instance does not own, for
+// requesters that have not learned of the owner yet. A former owner refills at the rate that
+// the requesters still seen used before the handover, since the new owner grants the full
+// rate to the others: refilled at the full rate, the bucket admitted 1.08 of the tolerated
+// requests after a partition had healed. An instance that never was the owner may be about
+// to learn that it is, so it refills at the fallback rate: with none, 0.52 of the requests
+// instead of 0.43 were refused in the 10 s after the death of an owner (12 of 75 instances
+// receive requests, demand 0.6 of the rate).
 func (b *bucket) nonOwnerRate(l limit, now time.Duration) float64 {
 	if !b.handedOver {
 		return l.fallback * l.rate
 	}
 	sum := 0.0
-	for _, x := range b.requesters {
-		if now-x.lastSeen <= requesterTimeout {
-			sum += max(b.fallbackRate, x.usageBefore)
+	for _, r := range b.requesters {
+		if now-r.lastSeen <= requesterTimeout {
+			sum += max(b.fallbackRate, r.usageBefore)
 		}
 	}
 	return sum
 }
 
-// handOver notes that another instance is the owner now.
+// handOver marks the bucket as owned by another instance.
 func (b *bucket) handOver(l limit, now time.Duration) {
 	b.refill(l, now)
 	b.owned, b.handedOver = false, true
 	b.tokens = min(b.tokens, l.slack)
-	for _, x := range b.requesters {
-		x.usageBefore = x.usage.rateAt(now)
+	for _, r := range b.requesters {
+		r.usageBefore = r.usage.rateAt(now)
 	}
 }
 
-// depthNow returns the most that the bucket holds. What instances have in hand beside
-// a full bucket comes in on top of the burst: of that only so much is left out of
-// account as is tolerated. The burst shrinks with the rate that is kept for instances that
-// are missed, as they go on beside it: with the whole of it 1.09 of what is tolerated came in.
-func (b *bucket) currentDepth(l limit, inHand, kept float64, now time.Duration) float64 {
-	depth := l.depth - min(l.depth/2, max(0, inHand-l.prefetched))
-	depth = max(min(depth, l.slack), depth*(1-min(1, kept/l.rate)))
+// currentDepth returns the bucket capacity. Tokens that instances hold are admitted on top
+// of a full bucket; as much of them is left out of account as is tolerated, and the rest
+// reduces the capacity. The burst also shrinks with the rate reserved for missing instances,
+// since they use their part of it: with the full burst, 1.09 of the tolerated requests were
+// admitted.
+func (b *bucket) currentDepth(l limit, held, reserved float64, now time.Duration) float64 {
+	depth := l.depth - min(l.depth/2, max(0, held-l.prefetched))
+	depth = max(min(depth, l.slack), depth*(1-min(1, reserved/l.rate)))
 	if !b.owned || now-b.ownedSince < l.window {
 		depth = min(depth, max(l.slack, l.rate*newOwnerDepth.Seconds()))
 	}
 	return depth
 }
 
-// answer answers an ask. An ask that comes twice counts once.
-func (b *bucket) handleRequest(name string, x tokenRequest, l limit, now time.Duration) tokenResponse {
+// handleRequest answers a token request. A duplicate is counted once.
+func (b *bucket) handleRequest(name string, req tokenRequest, l limit, now time.Duration) tokenResponse {
 	b.lastRequestAt = now
 	b.refill(l, now)
-	k := b.requesters[name]
-	if k == nil {
-		k = &requester{seq: x.seq - 1}
-		b.requesters[name] = k
+	r := b.requesters[name]
+	if r == nil {
+		r = &requester{seq: req.seq - 1}
+		b.requesters[name] = r
 	}
-	k.lastSeen = now
-	if k.seq == x.seq {
-		return k.response
+	r.lastSeen = now
+	if r.seq == req.seq {
+		return r.response
 	}
-	k.seq = x.seq
-	b.tokens = min(b.depth, b.tokens-float64(x.unreported)+float64(x.returned))
-	grant := min(float64(x.wanted), max(0, float64(int(b.tokens))))
+	r.seq = req.seq
+	b.tokens = min(b.depth, b.tokens-float64(req.unreported)+float64(req.returned))
+	grant := min(float64(req.wanted), max(0, float64(int(b.tokens))))
 	b.tokens -= grant
-	b.granted.add(grant+float64(x.unreported)-float64(x.returned), now)
-	k.usage.add(grant+float64(x.unreported)-float64(x.returned), now)
-	k.response = tokenResponse{
-		hash: x.hash, seq: x.seq, granted: uint16(grant), scarce: b.tokens < b.depth/2,
+	b.granted.add(grant+float64(req.unreported)-float64(req.returned), now)
+	r.usage.add(grant+float64(req.unreported)-float64(req.returned), now)
+	r.response = tokenResponse{
+		hash: req.hash, seq: req.seq, granted: uint16(grant), scarce: b.tokens < b.depth/2,
 		usage: max(0, b.granted.rateAt(now)) / l.rate,
 	}
-	if x.release {
+	if req.release {
 		delete(b.requesters, name)
 	}
-	return k.response
+	return r.response
 }
 
-// idle reports whether nobody has asked for so long that the bucket is full again.
+// idle reports whether no tokens were requested for so long that the bucket is full again.
 func (b *bucket) idle(now time.Duration) bool { return now-b.lastRequestAt > evictAfter }
--- a/process/quota/exchange.go
+++ b/process/quota/exchange.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// Tick asks the owners for tokens where they run short, and tells them what was used.
+// Tick requests tokens where they run short, and reports usage to the owners.
 func (q *Quota) Tick() {
 	q.mu.Lock()
 	if len(q.limits) == 0 {
@@ -34,9 +34,9 @@
 	q.send(out)
 }
 
-// noteInstances notes how many instances there are: the most that there were lately,
-// since one that is cut off takes few for alive, and each of those behind a cut would
-// take the share of all others for its own. The caller holds the lock.
+// updateInstances updates the number of instances to its recent maximum: a partitioned
+// instance considers few others live, and each instance of a partition would take the
+// share of all others. The caller must hold q.mu.
 func (q *Quota) updateInstances(now time.Duration) {
 	n := q.Instances()
 	if n >= q.instances || now-q.countedAt > shareCapTime {
@@ -45,25 +45,26 @@
 	}
 }
 
-// noteOwners notes who owns each group, and since when this instance owns some. The
-// caller holds the lock.
+// updateOwners updates the owner of each shard, and since when this instance owns some.
+// The caller must hold q.mu.
 func (q *Quota) updateOwners(now time.Duration) {
 	q.owners = q.Owners()
 	for i, o := range q.owners {
 		shard := uint64(i)
-		_, before := q.ownedSince[shard]
-		switch mine := o.Name != "" && o.Address == ""; {
-		case before && !mine:
+		_, owned := q.ownedSince[shard]
+		switch local := o.Name != "" && o.Address == ""; {
+		case owned && !local:
 			delete(q.ownedSince, shard)
 			q.handOver(shard, now)
-		case mine && !before:
+		case local && !owned:
 			q.ownedSince[shard] = now
 			q.dropBuckets(shard)
 		}
 	}
 }
 
-// handOver notes that another instance owns a group now. The caller holds the lock.
+// handOver marks the buckets of a shard as owned by another instance. The caller must
+// hold q.mu.
 func (q *Quota) handOver(shard uint64, now time.Duration) {
 	for h, b := range q.buckets {
 		if h%Shards == shard {
@@ -72,8 +73,8 @@
 	}
 }
 
-// dropBuckets forgets the buckets of a group that this instance did not own until now:
-// they may be full, whatever the owner before has given. The caller holds the lock.
+// dropBuckets drops the buckets of a shard that this instance did not own until now: they
+// may be full, whatever the previous owner has granted. The caller must hold q.mu.
 func (q *Quota) dropBuckets(shard uint64) {
 	for h := range q.buckets {
 		if h%Shards == shard {
@@ -82,9 +83,10 @@
 	}
 }
 
-// newBucket returns the bucket of a workspace that nobody asked this instance for
-// since it owns it, or that it does not own. What the owner before has given is not known,
-// so the bucket fills from nearly nothing since then. The caller holds the lock.
+// newBucket returns the bucket of a workspace that no instance has requested tokens for
+// since this instance became its owner, or that it does not own. The grants of a previous
+// owner are unknown, so the bucket starts nearly empty at the change of owner. The caller
+// must hold q.mu.
 func (q *Quota) newBucket(hash uint64, l limit, now time.Duration) *bucket {
 	b := &bucket{refilledAt: now, ownedSince: now, tokens: min(l.depth, l.slack), requesters: make(map[string]*requester)}
 	if since, ok := q.ownedSince[hash%Shards]; ok {
@@ -99,7 +101,7 @@
 	return b
 }
 
-// message is a message and where it goes.
+// message is a datagram to send once q.mu is released.
 type message struct {
 	address string
 	payload []byte
@@ -111,10 +113,11 @@
 	}
 }
 
-// ask makes the asks of some accounts: those whose owner is this instance are
-// answered at once, the others are gathered by owner. The caller holds the lock.
+// requestTokens sends a token request for each account. Those owned by this instance are
+// answered at once; the others are grouped by owner, and the messages returned. The caller
+// must hold q.mu.
 func (q *Quota) requestTokens(due []*account, now time.Duration) []message {
-	asks := make(map[string][]tokenRequest) // by address
+	requests := make(map[string][]tokenRequest) // by address
 	for _, a := range due {
 		o := q.owners[a.hash%Shards]
 		if a.setOwner(o, now) {
@@ -123,15 +126,15 @@
 		if o.Name == "" {
 			continue
 		}
-		x := a.nextRequest(now)
+		r := a.nextRequest(now)
 		if o.Address == "" {
-			a.handleResponse(q.handleRequest(o.Name, x, now), now)
+			a.handleResponse(q.handleRequest(o.Name, r, now), now)
 			continue
 		}
-		asks[o.Address] = append(asks[o.Address], x)
+		requests[o.Address] = append(requests[o.Address], r)
 	}
 	var out []message
-	for address, list := range asks {
+	for address, list := range requests {
 		for len(list) > 0 {
 			n := min(len(list), maxEntries)
 			out = append(out, message{address, encodeRequests(list[:n])})
@@ -141,13 +144,13 @@
 	return out
 }
 
-// silence is that of an owner that does not answer.
+// unresponsiveOwner is an owner that does not respond.
 type unresponsiveOwner struct {
 	name  string
 	since time.Duration
 }
 
-// noteSilent notes an owner that does not answer. The caller holds the lock.
+// markUnresponsive records that an owner does not respond. The caller must hold q.mu.
 func (q *Quota) markUnresponsive(o Owner, now time.Duration) {
 	if _, known := q.unresponsive[o.Address]; known || q.OnOwnerResponsive == nil {
 		return
@@ -156,9 +159,9 @@
 	q.OnOwnerResponsive(o.Name, false)
 }
 
-// tryAgain returns messages to the owners that did not answer, if it is time for them:
-// instances that take one for dead while others do not have two owners between them.
-// The caller holds the lock.
+// probeUnresponsive returns probes for the unresponsive owners, if they are due. A shard has
+// two owners if some instances consider an owner down and others do not. The caller must
+// hold q.mu.
 func (q *Quota) probeUnresponsive(now time.Duration) (out []message) {
 	if now-q.probedAt < probeInterval {
 		return nil
@@ -174,7 +177,7 @@
 	return out
 }
 
-// heard notes that an owner answers again. The caller holds the lock.
+// markResponsive records that an owner responds again. The caller must hold q.mu.
 func (q *Quota) markResponsive(from string) {
 	if x, known := q.unresponsive[from]; known {
 		delete(q.unresponsive, from)
@@ -182,42 +185,42 @@
 	}
 }
 
-// Hear takes up a message from an address.
-func (q *Quota) Receive(from string, text []byte) {
-	asks, answers, err := decode(text)
+// Receive processes a message from an address.
+func (q *Quota) Receive(from string, payload []byte) {
+	requests, responses, err := decode(payload)
 	if err != nil {
-		return // it is of no instance of this version
+		return // not a message of this version
 	}
 	q.mu.Lock()
 	now := q.Now()
 	q.markResponsive(from)
-	for _, x := range answers {
-		if a := q.accounts[x.hash]; a != nil {
-			a.handleResponse(x, now)
+	for _, r := range responses {
+		if a := q.accounts[r.hash]; a != nil {
+			a.handleResponse(r, now)
 		}
 	}
 	var out []tokenResponse
-	for _, x := range asks {
-		out = append(out, q.handleRequest(from, x, now))
+	for _, r := range requests {
+		out = append(out, q.handleRequest(from, r, now))
 	}
 	q.mu.Unlock()
-	if text[0] == kindRequest {
+	if payload[0] == kindRequest {
 		q.Send(from, encodeResponses(out))
 	}
 }
 
-// answer answers an ask as the owner. A workspace that is not known here, since the
-// version is on its way, gets nothing yet. The caller holds the lock.
-func (q *Quota) handleRequest(from string, x tokenRequest, now time.Duration) tokenResponse {
-	l, ok := q.limits[x.hash]
+// handleRequest answers a token request as the owner. A workspace that is not known here,
+// since its version has not arrived yet, is granted nothing. The caller must hold q.mu.
+func (q *Quota) handleRequest(from string, r tokenRequest, now time.Duration) tokenResponse {
+	l, ok := q.limits[r.hash]
 	if !ok {
-		return tokenResponse{hash: x.hash, seq: x.seq, scarce: true}
+		return tokenResponse{hash: r.hash, seq: r.seq, scarce: true}
 	}
-	b := q.buckets[x.hash]
+	b := q.buckets[r.hash]
 	if b == nil {
-		b = q.newBucket(x.hash, l, now)
-		q.buckets[x.hash] = b
+		b = q.newBucket(r.hash, l, now)
+		q.buckets[r.hash] = b
 	}
 	b.fallbackRate = q.fallbackRate(l)
-	return b.handleRequest(from, x, l, now)
+	return b.handleRequest(from, r, l, now)
 }
--- a/process/quota/quota.go
+++ b/process/quota/quota.go
@@ -13,26 +13,26 @@
 	"shalewick/version"
 )
 
-// TickTime is the pause between two calls of Tick. Origin: the model; at twice that
-// an owner learns of a flood a burst too late.
+// TickInterval is the interval at which Tick is called. In the simulation an owner learned
+// of a flood one burst too late at twice the interval.
 const TickInterval = 250 * time.Millisecond
 
 const (
-	// Shards is the number of groups of workspaces that have an owner in common, so
-	// that an instance asks for many workspaces in few datagrams.
+	// Shards is the number of groups of workspaces. The workspaces of a shard have the same
+	// owner, so that an instance needs few datagrams for many workspaces.
 	Shards = 16
-	// tryPause is the pause between two messages to an owner that does not answer, and
-	// tryFor how long it gets some: by then it is gone, or has started anew and said so.
+	// probeInterval is the interval at which unresponsive owners are probed, for probeTime.
+	// After that an owner is gone, or has restarted and announced it.
 	probeInterval = time.Second
 	probeTime     = 2 * time.Minute
-	// bootTime is how long after the first start of all instances an owner takes
-	// it that nothing was used before.
+	// firstStartTime is the time after the first start of all instances during which an
+	// owner assumes that no tokens were granted before.
 	firstStartTime = 20 * time.Second
 )
 
-// Tolerance is how far above a limit operators let a workspace come: in each Window,
-// a part Over of what the limit allows and Slack requests. It is used for what is
-// under way, a quarter of it at most, not to let more in.
+// Tolerance is the excess over a limit that operators accept: in each Window, Over as a
+// fraction of what the limit allows, plus Slack requests. It covers prefetched tokens, up
+// to a quarter of it, and is not used to admit more.
 type Tolerance struct {
 	Window time.Duration
 	Over   float64
@@ -42,53 +42,53 @@
 // Owner is an instance that grants tokens.
 type Owner struct {
 	Name    string
-	Address string // where it takes messages; "": it is this instance
+	Address string // of its peer socket; "" is this instance
 }
 
-// Quota is the limits of all workspaces at one instance. The fields are set before
-// use.
+// Quota enforces the rate limits of all workspaces at one instance. The exported fields
+// must be set before use.
 type Quota struct {
 	Now       func() time.Duration
 	Tolerance Tolerance
-	// Owners returns who owns each group of workspaces; one without a name while
-	// nobody is known. It is asked at each tick.
+	// Owners returns the owner of each shard, without a name while none is known. It is
+	// called on each tick.
 	Owners func() [Shards]Owner
-	// Instances returns how many instances callers are sent to; zero: not known yet.
+	// Instances returns the number of instances that receive requests; 0 if not yet known.
 	Instances func() int
 	// Send sends a message to an address. Messages may be lost.
 	Send func(address string, message []byte)
-	// Answers, if set, is told that an instance does not answer, and when it does
-	// again. It must not call the quota.
+	// OnOwnerResponsive, if set, is called when an owner stops responding and when it
+	// responds again. It must not call the Quota.
 	OnOwnerResponsive func(name string, ok bool)
-	// First says that all instances start for the first time, so that nothing was
-	// used before.
+	// FirstStart is set if all instances start for the first time, so that no tokens were
+	// granted before.
 	FirstStart bool
 
 	mu           sync.Mutex
-	startedAt    time.Duration // of the first call; zero: none yet
+	startedAt    time.Duration // time of the first Install; 0 before it
 	workspaces   *version.Workspaces
-	limits       map[uint64]limit // by hash of the name; those without a bound are not there
+	limits       map[uint64]limit // by hash of the workspace name; only workspaces with a rate
 	owners       [Shards]Owner
-	instances    int                      // the most that there were lately
-	countedAt    time.Duration            // when there were so many last
-	ownedSince   map[uint64]time.Duration // since when this instance owns a group
+	instances    int                      // recent maximum, see updateInstances
+	countedAt    time.Duration            // when instances was last reached
+	ownedSince   map[uint64]time.Duration // shards owned by this instance
 	accounts     map[uint64]*account
-	unresponsive map[string]unresponsiveOwner // owners that did not answer, by address
-	probedAt     time.Duration                // when those were tried again last
-	buckets      map[uint64]*bucket           // of the workspaces that this instance owns
+	unresponsive map[string]unresponsiveOwner // owners that do not respond, by address
+	probedAt     time.Duration                // when unresponsive owners were last probed
+	buckets      map[uint64]*bucket           // of workspaces for which this instance received token requests
 }
 
-// limit is what a workspace may use.
+// limit is the rate limit of a workspace.
 type limit struct {
-	rate       float64 // requests a second
-	depth      float64 // of the bucket: what may come at once
-	slack      float64 // the part of that beyond the burst
-	prefetched float64 // tokens that instances may have beside a full bucket
-	fallback   float64 // the part of its share that an instance uses while no owner answers
+	rate       float64 // requests per second
+	depth      float64 // bucket capacity
+	slack      float64 // part of depth beyond the burst
+	prefetched float64 // tokens that instances may hold in addition to a full bucket
+	fallback   float64 // fraction of its share that an instance uses while no owner responds
 	window     time.Duration
 }
 
-// Install puts the limits of a version in force.
+// Install applies the limits of a configuration version.
 func (q *Quota) Install(w *version.Workspaces) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -123,7 +123,7 @@
 	}
 }
 
-// limit returns what a workspace may use.
+// limit returns the rate limit of a workspace.
 func (t Tolerance) limit(v *version.WorkspaceView) limit {
 	l := limit{rate: v.Rate, depth: max(1, v.Burst+t.bucketSlack()), slack: t.bucketSlack(), window: t.Window}
 	l.prefetched = t.excess(l) / 4
@@ -131,37 +131,37 @@
 	return l
 }
 
-// alone is the part of its share that an instance uses while no owner answers.
+// fallback returns the fraction of its share that an instance uses while no owner responds.
 func (t Tolerance) fallback(l limit) float64 {
-	usual := usualExcess * l.rate * t.Window.Seconds()
-	if usual == 0 {
+	usualRequests := usualExcess * l.rate * t.Window.Seconds()
+	if usualRequests == 0 {
 		return fallbackFraction
 	}
-	return min(maxFallbackFraction, fallbackFraction*t.excess(l)/usual)
+	return min(maxFallbackFraction, fallbackFraction*t.excess(l)/usualRequests)
 }
 
-// spare is what a bucket holds beyond the burst.
+// bucketSlack returns the bucket capacity beyond the burst.
 func (t Tolerance) bucketSlack() float64 { return t.Slack / 4 }
 
-// above is the number of requests by which a limit may be passed in a window.
+// excess returns the number of requests by which a limit may be exceeded per window.
 func (t Tolerance) excess(l limit) float64 {
 	return t.Over*(l.rate*t.Window.Seconds()+l.depth-t.bucketSlack()) + t.Slack
 }
 
 func hashOf(workspace string) uint64 { return xxhash.Sum64String(workspace) }
 
-// Take lets a request of a workspace in, or says why not. It waits for the answer of
-// the owner, for waitMost at most, where that may bring a token. A nil workspace has
-// no limit.
-func (q *Quota) Take(ctx context.Context, w *version.WorkspaceView) (ok bool, why Refusal) {
+// Take admits a request of a workspace, or returns why it is refused. If a pending token
+// request may bring a token, it waits for the response for up to maxWait. A nil workspace
+// has no limit.
+func (q *Quota) Take(ctx context.Context, w *version.WorkspaceView) (ok bool, refusal Refusal) {
 	if w == nil || w.Rate == 0 {
 		return true, Refusal{}
 	}
 	var deadline <-chan time.Time
 	for first := true; ; first = false {
-		v := q.decide(w, first)
-		if v.response == nil {
-			return v.admitted, v.refusal
+		d := q.decide(w, first)
+		if d.response == nil {
+			return d.admitted, d.refusal
 		}
 		if deadline == nil {
 			t := time.NewTimer(maxWait)
@@ -169,24 +169,24 @@
 			deadline = t.C
 		}
 		select {
-		case <-v.response:
+		case <-d.response:
 		case <-deadline:
-			v = q.decide(w, false) // an owner that does not answer leaves its part to this instance meanwhile
-			return v.admitted, v.refusal
+			d = q.decide(w, false) // the fallback share applies if the owner has not responded
+			return d.admitted, d.refusal
 		case <-ctx.Done():
-			return false, v.refusal
+			return false, d.refusal
 		}
 	}
 }
 
-// verdict says whether a request may come in.
+// decision is the result of trying to admit a request.
 type decision struct {
 	admitted bool
-	refusal  Refusal         // if it may not
-	response <-chan struct{} // if set, an answer is worth waiting for; it is closed then
+	refusal  Refusal         // valid unless admitted
+	response <-chan struct{} // closed with the next response, if it is worth waiting for
 }
 
-// try decides on a request once. First is set unless it has waited already.
+// decide tries to admit a request. First is false if the request has already waited.
 func (q *Quota) decide(w *version.WorkspaceView, first bool) decision {
 	q.mu.Lock()
 	a := q.account(hashOf(w.Name))
@@ -198,23 +198,23 @@
 	if first {
 		a.noteRequest(now)
 	}
-	in := a.admit(now)
+	admitted := a.admit(now)
 	var out []message
 	if a.needsTokens(now) {
 		out = q.requestTokens([]*account{a}, now)
-		in = in || a.admit(now) // this instance may be the owner
+		admitted = admitted || a.admit(now) // this instance may be the owner
 	}
-	v := decision{admitted: in}
-	if !in {
-		v.refusal = a.refusal(now)
-		v.response = a.awaitResponse(now)
+	d := decision{admitted: admitted}
+	if !admitted {
+		d.refusal = a.refusal(now)
+		d.response = a.awaitResponse(now)
 	}
 	q.mu.Unlock()
 	q.send(out)
-	return v
+	return d
 }
 
-// Return gives the token of a request back that was let in and has not run.
+// Return returns the token of a request that was admitted and has not run.
 func (q *Quota) Return(w *version.WorkspaceView) {
 	if w == nil || w.Rate == 0 {
 		return
@@ -226,7 +226,7 @@
 	}
 }
 
-// Again counts a request that was let in and runs once more.
+// CountRetry counts another run of a request that was admitted.
 func (q *Quota) CountRetry(w *version.WorkspaceView) {
 	if w == nil || w.Rate == 0 {
 		return
@@ -238,8 +238,8 @@
 	}
 }
 
-// account returns that of a workspace, or nil if it has no limit. The caller holds
-// the lock.
+// account returns the account of a workspace, or nil if it has no limit. The caller must
+// hold q.mu.
 func (q *Quota) account(hash uint64) *account {
 	l, ok := q.limits[hash]
 	if !ok {
@@ -252,13 +252,13 @@
 		q.accounts[hash] = a
 	}
 	a.limit = l
-	above := q.Tolerance.excess(l) / float64(max(1, q.instances))
-	a.creditAllowed = q.instances > 0 && above/2 >= minCredit
-	a.maxCredit = max(minCredit, above/4)
+	excess := q.Tolerance.excess(l) / float64(max(1, q.instances))
+	a.creditAllowed = q.instances > 0 && excess/2 >= minCredit
+	a.maxCredit = max(minCredit, excess/4)
 	return a
 }
 
-// equalShare is the rate of an instance if all use equally much.
+// equalShare returns the rate of an instance if all instances had the same usage.
 func (q *Quota) equalShare(l limit) float64 {
 	n := q.instances
 	if n == 0 {
@@ -267,5 +267,6 @@
 	return l.rate / float64(n)
 }
 
-// aloneRate is the rate of an instance without an owner if all use equally much.
+// fallbackRate returns the rate of an instance without an owner if all instances had the
+// same usage.
 func (q *Quota) fallbackRate(l limit) float64 { return l.fallback * q.equalShare(l) }
--- a/process/quota/rate.go
+++ b/process/quota/rate.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// meter measures how often something happens, by an average that forgets. The zero
-// value has measured nothing.
+// meter measures an event rate as an exponentially decaying average. The zero value has
+// measured no events.
 type meter struct {
-	rate      float64 // a second, as of at
+	rate      float64 // events per second at updatedAt
 	updatedAt time.Duration
 }
 
-// meterTime is the time over which a meter forgets. Origin: long enough to see the
-// rate of a workspace with one request a second, short enough to follow a burst.
+// meterTimeConstant is long enough to measure a workspace with one request per second, and
+// short enough to follow a burst.
 const meterTimeConstant = 1500 * time.Millisecond
 
 // add counts n events.
@@ -24,20 +24,20 @@
 	m.updatedAt = now
 }
 
-// now returns the rate.
+// rateAt returns the rate at a time.
 func (m *meter) rateAt(rateAt time.Duration) float64 {
 	return m.rate * math.Exp(-float64(rateAt-m.updatedAt)/float64(meterTimeConstant))
 }
 
-// pace lets events through at a rate. The zero value is full.
+// rateLimiter is a token bucket that counts the missing tokens. The zero value is full.
 type rateLimiter struct {
-	deficit   float64 // tokens that are missing, as of at
+	deficit   float64 // missing tokens at updatedAt
 	updatedAt time.Duration
 }
 
-// has reports whether one more event may come through, if no more than rate a second
-// come and depth at once. The caller adds it to used. No more than the depth is missing, also
-// where that was larger before.
+// allows reports whether a bucket of this rate and depth has a token left. The caller adds
+// the token to the deficit if it takes it. The deficit is limited to the depth, also if that
+// was larger before.
 func (p *rateLimiter) allows(rate, depth float64, now time.Duration) bool {
 	p.deficit = max(0, min(p.deficit, depth)-rate*(now-p.updatedAt).Seconds())
 	p.updatedAt = now
--- a/process/quota/refusal.go
+++ b/process/quota/refusal.go
@@ -8,25 +8,25 @@
 	"github.com/rs/zerolog"
 )
 
-// Refusal says why a request was not let in, and what this instance knew then.
+// Refusal says why a request was refused, with the state of this instance at that time.
 type Refusal struct {
-	RetryAfter time.Duration // when to come back
-	// Rate is the limit of the workspace and Wanted what came here lately, both in
-	// requests a second.
+	RetryAfter time.Duration // suggested delay before a retry
+	// Rate is the limit of the workspace and Wanted its recent demand at this instance,
+	// both in requests per second.
 	Rate, Wanted float64
-	// Share is the part of the rate that falls to this instance, and Capped is set
-	// while it stays within that, since it has turned to another owner.
+	// Share is the part of the rate that this instance may use. Capped is set while it is
+	// limited to that after a change of owner.
 	Share  float64
 	Capped bool
-	// Owner is the instance that grants tokens, Age how long ago it answered, and
-	// Unanswered the number of asks since.
+	// Owner is the instance that grants tokens, Age the time since its last response, and
+	// Unanswered the number of token requests since.
 	Owner      string
 	Age        time.Duration
 	Unanswered int
-	Scarce     bool // less than half of the burst is left, by the owner
+	Scarce     bool // the owner reported that its bucket is less than half full
 }
 
-// why returns what is known at a refusal.
+// refusal returns the state to report with a refusal.
 func (a *account) refusal(now time.Duration) Refusal {
 	return Refusal{
 		RetryAfter: a.retryAfter(now), Rate: a.limit.rate, Wanted: a.demand.rateAt(now), Share: a.currentShare(), Capped: now < a.cappedUntil,
