--- a/process/quota/limit_test.go
+++ b/process/quota/limit_test.go
@@ -13,29 +13,28 @@
 	"shalewick/version"
 )
 
-// TestNothingIsRefusedBelowTheLimit checks that at nine tenths of it, and that what
-// instances tell each other for it does not grow with the fleet.
+// TestNoRefusalsBelowLimit checks that nothing is refused at 0.9 of the limit, and that the
+// traffic between instances does not grow with the fleet.
 func TestNoRefusalsBelowLimit(t *testing.T) {
 	for _, x := range []struct {
-		size, entries int
-		rate          float64
+		size, receivers int
+		rate            float64
 	}{{12, 12, 60}, {75, 12, 400}, {75, 75, 400}, {75, 12, 5}, {75, 12, 20}, {295, 100, 800}, {620, 200, 2000}} {
 		m := newModel(1, x.size, x.rate, x.rate, newLeasedTokens)
 		m.loss = 0.01
 		m.run(8 * time.Second)
-		m.demand(0.9*x.rate, x.entries)
+		m.demand(0.9*x.rate, x.receivers)
 		m.run(20 * time.Second)
 		refused := len(m.arrivals) - len(m.admitted)
 		perSecond := float64(m.bytes) / 20 / float64(x.size)
-		one := m.refusedBySingleBucket()
-		t.Logf("%d instances, %d take requests, %.0f a second: %d of %d refused, %d by one bucket, %.0f bytes/s an instance, longest wait %s", x.size, x.entries, x.rate, refused, len(m.arrivals), one, perSecond, m.longestWait)
-		assert.Check(t, refused <= one+1+len(m.arrivals)/500)
+		single := m.refusedBySingleBucket()
+		t.Logf("%d instances, %d receive requests, %.0f per second: %d of %d refused, %d by a single bucket, %.0f bytes/s per instance, longest wait %s", x.size, x.receivers, x.rate, refused, len(m.arrivals), single, perSecond, m.longestWait)
+		assert.Check(t, refused <= single+1+len(m.arrivals)/500)
 		assert.Check(t, perSecond < 400)
 	}
 }
 
-// TestFloodGetsTheLimitAndNoMore checks a workspace that sends ten times its limit at
-// once.
+// TestFloodIsHeldToLimit checks a workspace that sends ten times its limit at once.
 func TestFloodIsHeldToLimit(t *testing.T) {
 	for _, size := range []int{12, 75, 620} {
 		for _, rate := range []float64{3, 400} {
@@ -45,46 +44,46 @@
 			m.demand(rate*10, min(size, 75))
 			m.run(3 * time.Second)
 			before := len(m.admitted)
-			lasts := 10 * time.Second
+			duration := 10 * time.Second
 			if rate < 10 {
-				lasts = 40 * time.Second // so that chance does not decide
+				duration = 40 * time.Second // reduces the influence of chance
 			}
-			m.run(lasts)
-			got := float64(len(m.admitted)-before) / lasts.Seconds() / rate
-			t.Logf("%d instances, %.0f a second: %.2f of the limit, most in a window %.2f of what is tolerated", size, rate, got, m.peak())
+			m.run(duration)
+			got := float64(len(m.admitted)-before) / duration.Seconds() / rate
+			t.Logf("%d instances, %.0f per second: %.2f of the limit, maximum in a window %.2f of the tolerated requests", size, rate, got, m.peak())
 			assert.Check(t, m.peak() <= 1)
 			assert.Check(t, got >= 0.95)
 		}
 	}
 }
 
-// TestLimitHoldsWhateverFails plays kills, cuts and restarts of all while a workspace is
-// below its limit; and a workspace far over it, with traffic that moves. Datagrams are
-// lost in both.
+// TestLimitHoldsDuringFailures simulates kills, network partitions and restarts of all
+// instances while a workspace is below its limit, or a workspace far over its limit whose
+// traffic moves between instances. Datagrams are lost in both cases.
 func TestLimitHoldsDuringFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawModel(t)
-		steps := []string{"flood", "calm", "move"}
+		steps := []string{"flood", "normal", "move"}
 		if rapid.Bool().Draw(t, "failures") {
-			steps = []string{"calm", "cut", "kill", "killAll"}
+			steps = []string{"normal", "partition", "kill", "killAll"}
 		}
 		m.playSteps(t, steps)
-		assert.Assert(t, m.peak() <= 1, "%.2f of what is tolerated", m.peak())
+		assert.Assert(t, m.peak() <= 1, "%.2f of the tolerated requests", m.peak())
 	})
 }
 
-// TestFloodThatMeetsAFailure checks a workspace that begins to send many times its limit
-// while instances die, are cut off or all start anew: what was saved up is spent, and for
-// a second or two not all ask the same owner.
+// TestFloodDuringFailures checks a workspace that begins to send many times its limit while
+// instances die, are partitioned or all restart: the accumulated tokens are spent, and for a
+// second or two instances disagree about the owner.
 func TestFloodDuringFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawModel(t)
-		m.playSteps(t, []string{"flood", "calm", "cut", "kill", "killAll", "move"})
-		assert.Assert(t, m.peak() <= 1, "%.2f of what is tolerated", m.peak())
+		m.playSteps(t, []string{"flood", "normal", "partition", "kill", "killAll", "move"})
+		assert.Assert(t, m.peak() <= 1, "%.2f of the tolerated requests", m.peak())
 	})
 }
 
-// drawModel draws a fleet whose workspace sends 0.6 of its limit.
+// drawModel returns a random fleet whose workspace sends 0.6 of its limit.
 func drawModel(t *rapid.T) *model {
 	size := rapid.SampledFrom([]int{6, 12, 30}).Draw(t, "size")
 	rate := rapid.SampledFrom([]float64{3, 20, 100, 400}).Draw(t, "rate")
@@ -95,15 +94,15 @@
 	return m
 }
 
-// cutTime is how long a cut lasts, and then up to the next step.
+// randomPartitionTime is the minimum time until a partition heals, at the next step.
 const randomPartitionTime = 8 * time.Second
 
-// fail plays steps that are drawn, for a while each.
+// playSteps simulates random steps, for a random time each.
 func (m *model) playSteps(t *rapid.T, steps []string) {
 	healAt := time.Duration(0)
 	for range rapid.IntRange(1, 5).Draw(t, "steps") {
 		step := rapid.SampledFrom(steps).Draw(t, "step")
-		if step == "cut" {
+		if step == "partition" {
 			healAt = cmp.Or(healAt, m.now+randomPartitionTime)
 		}
 		m.playStep(t, step)
@@ -128,12 +127,12 @@
 	size, rate := len(m.nodes), m.workspace.Rate
 	switch playStep {
 	case "flood":
-		m.demand(rate*rapid.SampledFrom([]float64{5, 20}).Draw(t, "x"), size)
-	case "calm":
+		m.demand(rate*rapid.SampledFrom([]float64{5, 20}).Draw(t, "factor"), size)
+	case "normal":
 		m.demand(0.6*rate, size)
 	case "move":
 		m.demand(rate*2, 1+size/3)
-	case "cut":
+	case "partition":
 		for _, x := range m.nodes[:max(1, size/6)] {
 			x.group = 1
 		}
@@ -151,7 +150,7 @@
 	}
 }
 
-// equal is the way that gives each instance the same part of the limit.
+// equalShares is the strategy that gives each instance an equal part of the limit.
 type equalShares struct {
 	x       *node
 	limiter rateLimiter
@@ -172,14 +171,15 @@
 
 func (e *equalShares) tick() {}
 
-// proportional is the way that gives each instance a part by its demand, which all
-// tell each other with a delay: flow proportional share (Raghavan, Vishwanath, Ramabhadran,
-// Yocum, Snoeren, "Cloud Control with Distributed Rate Limiting", SIGCOMM 2007).
+// flowProportional is the strategy that gives each instance a part in proportion to its
+// demand, which instances report to each other with a delay: flow proportional share
+// (Raghavan, Vishwanath, Ramabhadran, Yocum, Snoeren, "Cloud Control with Distributed Rate
+// Limiting", SIGCOMM 2007).
 type flowProportional struct {
 	x         *node
 	limiter   rateLimiter
 	demand    meter
-	announced float64 // demand as the others know it
+	announced float64 // demand as last reported to the others
 	share     float64
 }
 
@@ -202,10 +202,10 @@
 	f.announced = f.demand.rateAt(f.x.m.now)
 }
 
-// TestWaysCompared logs what the ways do in the same cases; docs/design has the
-// figures. Only the way in use is held to them.
+// TestCompareStrategies logs the results of the strategies in the same cases; docs/design has
+// the figures. Only the strategy in use is held to the tolerance.
 func TestCompareStrategies(t *testing.T) {
-	ways := map[string]func(*node) strategy{
+	strategies := map[string]func(*node) strategy{
 		"leased tokens":     newLeasedTokens,
 		"equal shares":      func(x *node) strategy { return &equalShares{x: x} },
 		"flow proportional": func(x *node) strategy { return &flowProportional{x: x} },
@@ -215,16 +215,16 @@
 		name string
 		play func(m *model)
 	}{
-		{"0.6 of the limit, 12 of 75 take requests", func(m *model) { m.demand(36, 12); m.run(15 * time.Second) }},
-		{"0.9 of the limit, all take requests", func(m *model) { m.demand(54, 75); m.run(15 * time.Second) }},
-		{"0.6, moves each 3 s", func(m *model) {
+		{"0.6 of the limit, 12 of 75 receive requests", func(m *model) { m.demand(36, 12); m.run(15 * time.Second) }},
+		{"0.9 of the limit, all receive requests", func(m *model) { m.demand(54, 75); m.run(15 * time.Second) }},
+		{"0.6, moves every 3 s", func(m *model) {
 			for i := range 5 {
 				m.demand(36, 6+6*i)
 				m.run(3 * time.Second)
 			}
 		}},
 		{"ten times the limit", func(m *model) { m.demand(36, 12); m.run(5 * time.Second); m.demand(600, 12); m.run(10 * time.Second) }},
-		{"the same, 3 of 10 cut off", func(m *model) {
+		{"the same, 3 of 10 partitioned", func(m *model) {
 			m.demand(600, 75)
 			m.run(5 * time.Second)
 			for _, x := range m.nodes[:22] {
@@ -235,11 +235,11 @@
 		}},
 	} {
 		for _, name := range names {
-			m := newModel(3, 75, 60, 60, ways[name])
+			m := newModel(3, 75, 60, 60, strategies[name])
 			m.run(time.Second)
 			c.play(m)
-			kept := cmp.Or(float64(len(m.admitted))/float64(max(1, len(m.arrivals))), 0)
-			t.Logf("%-42s %-18s let in %.3f, most in a window %.2f of what is tolerated", c.name, name, kept, m.peak())
+			fraction := cmp.Or(float64(len(m.admitted))/float64(max(1, len(m.arrivals))), 0)
+			t.Logf("%-42s %-18s admitted %.3f, maximum in a window %.2f of the tolerated requests", c.name, name, fraction, m.peak())
 			assert.Check(t, name != "leased tokens" || m.peak() <= 1)
 		}
 	}
--- a/process/quota/model_test.go
+++ b/process/quota/model_test.go
@@ -13,18 +13,18 @@
 	"shalewick/version"
 )
 
-// limiter is a way to keep a workspace within its limit at one instance.
+// strategy is a way to enforce the limit of a workspace at one instance.
 type strategy interface {
-	// try decides on a request of a workspace; first is set unless it has waited
-	// already. With wait it wants to be asked again.
-	decide(w *version.WorkspaceView, first bool) (in, wait bool)
+	// decide tries to admit a request. First is false if it has waited already. If wait is
+	// set, the request is to be tried again.
+	decide(w *version.WorkspaceView, first bool) (admitted, wait bool)
 	tick()
 }
 
-// model is a fleet of instances on one clock that share the limits of workspaces.
+// model simulates a fleet of instances with one clock that enforce the limits of workspaces.
 type model struct {
 	*demandLog
-	logs               []*demandLog // of each workspace; that of the first is embedded
+	logs               []*demandLog // one per workspace; the first one is embedded
 	all                *version.Workspaces
 	now                time.Duration
 	random             *rand.Rand
@@ -32,44 +32,44 @@
 	nodes              []*node
 	inFlight           []datagram
 	bytes              int
-	partitionChangedAt time.Duration // when a cut began or ended last
+	partitionChangedAt time.Duration // when a partition last began or healed
 }
 
-// load is what comes of a workspace, and what is let in.
+// demandLog records the requests of a workspace, and those admitted.
 type demandLog struct {
 	workspace   *version.WorkspaceView
 	arrivals    []time.Duration
-	admitted    []time.Duration // when requests were let in
-	sources     []source        // of each of entered, what let it in
-	longestWait time.Duration   // the longest wait of a request that was let in
+	admitted    []time.Duration // times of admission
+	sources     []source        // for each of admitted
+	longestWait time.Duration   // of an admitted request
 }
 
-// source is what let a request in, and on which side of a cut.
+// source is the means by which a request was admitted, and the side of the partition.
 type source struct {
 	partitioned bool
 	kind        string
 }
 
-// node is one instance of a model.
+// node is an instance of a model.
 type node struct {
 	m            *model
 	index        int
 	strategy     strategy
 	dead         bool
 	frozen       bool
-	stoppedAt    time.Duration // when it died or froze
+	stoppedAt    time.Duration // when it died or was frozen
 	group        int           // instances of different groups do not reach each other
 	startedAt    time.Duration
-	unresponsive []bool        // others that count as dead here
-	nextAt       time.Duration // tick
-	streams      []stream      // of each workspace
+	unresponsive []bool        // instances that this one considers unresponsive, by index
+	nextAt       time.Duration // of the next tick
+	streams      []stream      // one per workspace
 }
 
-// stream is the requests of a workspace that come to an instance.
+// stream is the requests of a workspace that arrive at an instance.
 type stream struct {
-	demand   float64         // requests a second
-	fraction float64         // part of a request that has not come yet
-	waiting  []time.Duration // when requests came that wait for a token
+	demand   float64         // requests per second
+	fraction float64         // accumulated part of the next request
+	waiting  []time.Duration // arrival times of requests that wait for a token
 }
 
 type datagram struct {
@@ -79,12 +79,12 @@
 }
 
 const (
-	headerBytes = 28 // of a datagram by IP and UDP
+	headerBytes = 28 // of IP and UDP
 	modelStep   = 5 * time.Millisecond
-	// settled is how old a start must be for its instance to be an owner.
+	// minOwnerAge is the time after its start from which an instance may be an owner.
 	minOwnerAge = 4 * time.Second
-	// missedAfter is how long after the last sign of life an instance of the same
-	// region no longer counts as alive.
+	// downAfter is the time after which an unreachable instance of the same region is no
+	// longer considered live.
 	downAfter = 1500 * time.Millisecond
 	regions   = 3
 )
@@ -110,13 +110,13 @@
 	}
 }
 
-// newModel returns a fleet that keeps the limit of one workspace in a way.
-func newModel(seed uint64, size int, rate, burst float64, way func(*node) strategy) *model {
-	return newModelOf(seed, size, way, workspaceResource("w", rate, burst))
+// newModel returns a fleet that enforces the limit of one workspace.
+func newModel(seed uint64, size int, rate, burst float64, newStrategy func(*node) strategy) *model {
+	return newModelOf(seed, size, newStrategy, workspaceResource("w", rate, burst))
 }
 
-// newModelOf returns a fleet that keeps the limits of several.
-func newModelOf(seed uint64, size int, way func(*node) strategy, list ...version.Resource) *model {
+// newModelOf returns a fleet that enforces the limits of several workspaces.
+func newModelOf(seed uint64, size int, newStrategy func(*node) strategy, list ...version.Resource) *model {
 	m := &model{now: time.Hour, random: rand.New(rand.NewPCG(seed, 1)), all: workspaces(list...)}
 	for _, r := range list {
 		m.logs = append(m.logs, &demandLog{workspace: m.all.Find(r.Key.Name)})
@@ -125,21 +125,21 @@
 	for i := range size {
 		x := &node{m: m, index: i, unresponsive: make([]bool, size), startedAt: m.now - time.Hour/2, streams: make([]stream, len(list))}
 		x.nextAt = m.now + time.Duration(m.random.Int64N(int64(TickInterval)))
-		x.strategy = way(x)
+		x.strategy = newStrategy(x)
 		m.nodes = append(m.nodes, x)
 	}
 	return m
 }
 
-// leased is the way in use.
+// leasedTokens is the strategy in use.
 type leasedTokens struct {
 	*Quota
 	x *node
 }
 
-func (l leasedTokens) decide(w *version.WorkspaceView, first bool) (in, wait bool) {
-	v := l.Quota.decide(w, first)
-	return v.admitted, v.response != nil
+func (l leasedTokens) decide(w *version.WorkspaceView, first bool) (admitted, wait bool) {
+	d := l.Quota.decide(w, first)
+	return d.admitted, d.response != nil
 }
 
 func (l leasedTokens) tick() { l.Tick() }
@@ -159,9 +159,9 @@
 	return leasedTokens{q, x}
 }
 
-// sees reports whether an instance takes another one for alive: one that has not
-// answered it counts as dead, and one of the same region that is not heard, too, some
-// time later.
+// considersLive reports whether an instance considers another one live. One that does not
+// respond to token requests counts as down, and so does, after downAfter, an unreachable one
+// of the same region.
 func (x *node) considersLive(o *node) bool {
 	if x.unresponsive[o.index] {
 		return false
@@ -178,7 +178,7 @@
 	return x.m.now-since <= downAfter
 }
 
-// seen returns how many instances one takes for alive.
+// liveInstances returns the number of instances that this one considers live.
 func (x *node) liveInstances() int {
 	n := 0
 	for _, o := range x.m.nodes {
@@ -189,7 +189,7 @@
 	return n
 }
 
-// hashOfPair ranks instances as owners of a shard.
+// ownerRanks holds the ranks of the instances as owners of a shard.
 var ownerRanks = func() (out [Shards][1000]uint64) {
 	for shard := range out {
 		for i := range out[shard] {
@@ -206,25 +206,25 @@
 	return out
 }()
 
-// owners is who owns the shards, as an instance sees it.
+// owners returns the owners of the shards as seen by an instance.
 func (x *node) owners() (out [Shards]Owner) {
-	alive := make([]int, 0, len(x.m.nodes))
+	live := make([]int, 0, len(x.m.nodes))
 	for _, o := range x.m.nodes {
 		if x.considersLive(o) && x.m.now-o.startedAt >= minOwnerAge {
-			alive = append(alive, o.index)
+			live = append(live, o.index)
 		}
 	}
-	if len(alive) == 0 { // all have just started
+	if len(live) == 0 { // all have just started
 		for i := range x.m.nodes {
-			alive = append(alive, i)
+			live = append(live, i)
 		}
 	}
 	for shard := range out {
-		if len(alive) == 0 {
+		if len(live) == 0 {
 			continue
 		}
-		best := alive[0]
-		for _, i := range alive {
+		best := live[0]
+		for _, i := range live {
 			if ownerRanks[shard][i] < ownerRanks[shard][best] {
 				best = i
 			}
@@ -237,19 +237,19 @@
 	return out
 }
 
-func (x *node) send(address string, text []byte) {
+func (x *node) send(address string, payload []byte) {
 	m := x.m
-	m.bytes += len(text) + headerBytes
+	m.bytes += len(payload) + headerBytes
 	if m.random.Float64() < m.loss {
 		return
 	}
 	var to int
 	_, _ = fmt.Sscanf(address, "n%d", &to)
 	delay := time.Millisecond + time.Duration(m.random.Int64N(int64(24*time.Millisecond)))
-	m.inFlight = append(m.inFlight, datagram{m.now + delay, x.index, to, text})
+	m.inFlight = append(m.inFlight, datagram{m.now + delay, x.index, to, payload})
 }
 
-// run moves the clock on.
+// run advances the clock.
 func (m *model) run(d time.Duration) {
 	for end := m.now + d; m.now < end; m.now += modelStep {
 		m.deliver()
@@ -278,7 +278,7 @@
 	}
 }
 
-// come lets the requests of a step come, and asks again for those that wait.
+// arrive creates the requests of a simulation step, and tries the waiting ones again.
 func (x *node) arrive() {
 	for i := range x.streams {
 		s, l := &x.streams[i], x.m.logs[i]
@@ -289,7 +289,7 @@
 		}
 		s.fraction += s.demand * modelStep.Seconds()
 		for s.fraction >= 1 {
-			s.fraction -= 2 * x.m.random.Float64() // as by chance, and 1 on the average
+			s.fraction -= 2 * x.m.random.Float64() // random, 1 on average
 			l.arrivals = append(l.arrivals, x.m.now)
 			x.request(s, l, x.m.now, true)
 		}
@@ -297,9 +297,9 @@
 }
 
 func (x *node) request(s *stream, l *demandLog, since time.Duration, first bool) {
-	in, wait := x.strategy.decide(l.workspace, first)
+	admitted, wait := x.strategy.decide(l.workspace, first)
 	switch {
-	case in:
+	case admitted:
 		l.admitted = append(l.admitted, x.m.now)
 		l.sources = append(l.sources, source{x.group != 0, x.admittedBy(l)})
 		l.longestWait = max(l.longestWait, x.m.now-since)
@@ -308,49 +308,49 @@
 	}
 }
 
-// restart starts an instance anew, without what it knew.
-func (x *node) restart(way func(*node) strategy) {
+// restart restarts an instance, without its state.
+func (x *node) restart(newStrategy func(*node) strategy) {
 	x.dead = false
 	x.startedAt = x.m.now
 	clear(x.unresponsive)
-	x.strategy = way(x)
+	x.strategy = newStrategy(x)
 	for i := range x.streams {
 		x.streams[i].waiting = nil
 	}
 }
 
-// die ends an instance.
+// die stops an instance.
 func (x *node) die() {
 	x.dead = true
 	x.stoppedAt = x.m.now
 }
 
-// freeze stops an instance for a while; what is sent to it waits.
+// freeze suspends an instance; messages to it are delayed.
 func (x *node) freeze() {
 	x.frozen = true
 	x.stoppedAt = x.m.now
 }
 
-// demand sets the demand of the first workspace at some instances, which is uneven.
-func (m *model) demand(total float64, entries int) { m.demandOf(0, total, entries) }
+// demand sets the demand of the first workspace, spread unevenly over some instances.
+func (m *model) demand(total float64, receivers int) { m.demandOf(0, total, receivers) }
 
-// demandOf sets that of any workspace.
-func (m *model) demandOf(i int, total float64, entries int) {
+// demandOf sets the demand of any workspace.
+func (m *model) demandOf(i int, total float64, receivers int) {
 	sum := 0.0
 	for _, x := range m.nodes {
 		x.streams[i].demand = 0
 	}
-	for _, x := range m.nodes[:entries] {
+	for _, x := range m.nodes[:receivers] {
 		x.streams[i].demand = 0.2 + m.random.Float64()
 		sum += x.streams[i].demand
 	}
-	for _, x := range m.nodes[:entries] {
+	for _, x := range m.nodes[:receivers] {
 		x.streams[i].demand *= total / sum
 	}
 }
 
-// oneBucket returns how many of the requests that came a single bucket with the
-// limit would have refused.
+// refusedBySingleBucket returns how many of the requests a single bucket with the limit would
+// have refused.
 func (m *model) refusedBySingleBucket() int {
 	var p rateLimiter
 	refused := 0
@@ -362,20 +362,20 @@
 	return refused
 }
 
-// allowed is the number of requests that are tolerated within a window.
+// tolerated returns the number of requests that are tolerated within a window.
 func (l *demandLog) tolerated() float64 {
 	w := l.workspace
 	return (w.Rate*tolerance.Window.Seconds()+w.Burst)*(1+tolerance.Over) + tolerance.Slack
 }
 
-// most returns the most requests that came in within a window, relative to what is
-// tolerated.
+// peak returns the maximum number of requests admitted within a window, relative to the
+// tolerated number.
 func (l *demandLog) peak() float64 {
 	from, to := l.busiestWindow()
 	return float64(to-from) / l.tolerated()
 }
 
-// worst returns the window in which the most came in: entered[from:to].
+// busiestWindow returns the window with the most admitted requests: admitted[from:to].
 func (l *demandLog) busiestWindow() (from, to int) {
 	first := 0
 	for i, at := range l.admitted {
@@ -389,7 +389,7 @@
 	return from, to
 }
 
-// kind returns what let the last request of a workspace in at an instance.
+// admittedBy returns by which means an instance admitted its last request of a workspace.
 func (x *node) admittedBy(l *demandLog) string {
 	q, ok := x.strategy.(leasedTokens)
 	if !ok {
@@ -400,7 +400,7 @@
 	case a.inFallback():
 		return "share"
 	case a.unreported > 0:
-		return "trust"
+		return "credit"
 	}
 	return "token"
 }
--- a/process/quota/partition_test.go
+++ b/process/quota/partition_test.go
@@ -14,16 +14,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// flood is a workspace that sends many times its usual, and a cut that comes beside.
+// flood is a test case: a workspace sends a multiple of its usual demand while the network
+// is partitioned.
 type flood struct {
 	size, receivers int
 	rate, burst     float64
-	factor          float64       // the usual, which is usualPart of the limit
-	fraction        float64       // part of the instances that is cut off
-	partitionAfter  time.Duration // after the flood's begin; may be before
-	ownerIncluded   bool          // the owner is among those cut off
-	isolated        bool          // those cut off do not reach each other either
-	failure         string        // another failure at the time of the cut
+	factor          float64       // of the usual demand, which is usualLoad of the limit
+	fraction        float64       // fraction of the instances that is partitioned
+	partitionAfter  time.Duration // relative to the start of the flood; may be negative
+	ownerIncluded   bool          // the owner is among the partitioned instances
+	isolated        bool          // the partitioned instances do not reach each other either
+	failure         string        // additional failure at the time of the partition
 }
 
 const (
@@ -33,65 +34,65 @@
 )
 
 func (c flood) String() string {
-	return fmt.Sprintf("%d instances, %d take requests, %.0f a second, burst %.0f, flood of %.0f, %.1f cut off after %s, owner cut %t, apart %t, beside %q",
+	return fmt.Sprintf("%d instances, %d receive requests, %.0f per second, burst %.0f, flood of %.0f, %.1f partitioned after %s, owner partitioned %t, isolated %t, failure %q",
 		c.size, c.receivers, c.rate, c.burst, c.factor, c.fraction, c.partitionAfter, c.ownerIncluded, c.isolated, c.failure)
 }
 
-// event is what happens at a moment of a play.
+// event is an action at a point in time of a simulation.
 type event struct {
 	at time.Duration
 	do func()
 }
 
-// play plays a flood, for the workspaces of a model, and what comes beside.
+// play simulates the flood and its failures for the workspaces of a model.
 func (c flood) play(m *model) {
-	const lead = 5 * time.Second // before the flood, or before a cut that comes first
+	const lead = 5 * time.Second // before the flood, or before a partition that precedes it
 	start := lead + max(0, -c.partitionAfter)
-	cutAt := start + c.partitionAfter
+	partitionAt := start + c.partitionAfter
 	events := []event{
 		{start, func() { c.setDemand(m, c.factor) }},
 		{start + floodTime, func() { c.setDemand(m, 1) }},
-		{cutAt, func() { c.partition(m) }},
-		{cutAt + partitionTime, m.heal},
+		{partitionAt, func() { c.partition(m) }},
+		{partitionAt + partitionTime, m.heal},
 	}
-	events = append(events, c.failureEvents(m, cutAt)...)
+	events = append(events, c.failureEvents(m, partitionAt)...)
 	slices.SortStableFunc(events, func(a, b event) int { return int(a.at - b.at) })
 	c.setDemand(m, 1)
-	began := m.now
+	startedAt := m.now
 	for _, e := range events {
-		m.run(began + e.at - m.now)
+		m.run(startedAt + e.at - m.now)
 		e.do()
 	}
 	m.run(6 * time.Second)
 }
 
-// each sets the demand of all workspaces.
-func (c flood) setDemand(m *model, times float64) {
+// setDemand sets the demand of all workspaces.
+func (c flood) setDemand(m *model, factor float64) {
 	for i, l := range m.logs {
-		m.demandOf(i, times*usualLoad*l.workspace.Rate, c.receivers)
+		m.demandOf(i, factor*usualLoad*l.workspace.Rate, c.receivers)
 	}
 }
 
-// cutOff cuts a part of those that take requests off, and of the others, with the
-// owner of the first workspace or without.
+// partition partitions a fraction of the instances that receive requests, and of the
+// others, with or without the owner of the first workspace.
 func (c flood) partition(m *model) {
 	owner := m.owner()
-	cut := 0
-	take := func(list []*node) {
+	partitioned := 0
+	partitionSome := func(list []*node) {
 		n := int(math.Round(c.fraction * float64(len(list))))
 		for _, x := range list {
 			if x != owner && n > 0 {
-				cut++
+				partitioned++
 				n--
 				x.group = 1
 				if c.isolated {
-					x.group = cut
+					x.group = partitioned
 				}
 			}
 		}
 	}
-	take(m.nodes[:c.receivers])
-	take(m.nodes[c.receivers:])
+	partitionSome(m.nodes[:c.receivers])
+	partitionSome(m.nodes[c.receivers:])
 	if c.ownerIncluded {
 		owner.group = 1
 	}
@@ -105,7 +106,7 @@
 	m.partitionChangedAt = m.now
 }
 
-// owner is the instance that owns the first workspace while all live.
+// owner returns the instance that owns the first workspace while all instances are live.
 func (m *model) owner() *node {
 	ranks := ownerRanks[hashOf(m.workspace.Name)%Shards]
 	return slices.MinFunc(m.nodes, func(a, b *node) int {
@@ -116,57 +117,57 @@
 	})
 }
 
-// others are the other failures.
-func (c flood) failureEvents(m *model, cutAt time.Duration) []event {
+// failureEvents returns the events of the additional failure.
+func (c flood) failureEvents(m *model, partitionAt time.Duration) []event {
 	switch c.failure {
 	case "owner dies":
 		return []event{
-			{cutAt + 300*time.Millisecond, func() { m.owner().die() }},
-			{cutAt + 3*time.Second, func() { m.owner().restart(newLeasedTokens) }},
+			{partitionAt + 300*time.Millisecond, func() { m.owner().die() }},
+			{partitionAt + 3*time.Second, func() { m.owner().restart(newLeasedTokens) }},
 		}
-	case "herd kill":
+	case "mass kill":
 		return []event{
-			{cutAt + 500*time.Millisecond, func() { m.forSome(0.4, (*node).die) }},
-			{cutAt + 2*time.Second, func() { m.resumeAll(newLeasedTokens) }},
+			{partitionAt + 500*time.Millisecond, func() { m.forSome(0.4, (*node).die) }},
+			{partitionAt + 2*time.Second, func() { m.resumeAll(newLeasedTokens) }},
 		}
 	case "freeze":
 		return []event{
-			{cutAt + 200*time.Millisecond, func() { m.forSome(0.3, (*node).freeze) }},
-			{cutAt + 3200*time.Millisecond, func() { m.resumeAll(newLeasedTokens) }},
+			{partitionAt + 200*time.Millisecond, func() { m.forSome(0.3, (*node).freeze) }},
+			{partitionAt + 3200*time.Millisecond, func() { m.resumeAll(newLeasedTokens) }},
 		}
 	}
 	return nil
 }
 
-// some does something to a part of the instances.
-func (m *model) forSome(part float64, do func(*node)) {
+// forSome calls do for a random fraction of the instances.
+func (m *model) forSome(fraction float64, do func(*node)) {
 	for _, x := range m.nodes {
-		if m.random.Float64() < part {
+		if m.random.Float64() < fraction {
 			do(x)
 		}
 	}
 }
 
-// thaw starts those that died anew, and lets those go on that froze.
-func (m *model) resumeAll(way func(*node) strategy) {
+// resumeAll restarts the instances that died, and resumes those that were frozen.
+func (m *model) resumeAll(newStrategy func(*node) strategy) {
 	for _, x := range m.nodes {
 		x.frozen = false
 		if x.dead {
-			x.restart(way)
+			x.restart(newStrategy)
 		}
 	}
 }
 
-// besides are the failures beside a cut; without one twice.
-var failures = []string{"", "", "owner dies", "herd kill", "freeze"}
+// failures are the additional failures; no failure is twice as frequent.
+var failures = []string{"", "", "owner dies", "mass kill", "freeze"}
 
-// floods lists the cases of a fleet.
-func floods(size, entries int, rate, burst float64) (out []flood) {
-	for _, times := range []float64{12, 20} {
-		for _, cut := range []float64{0.2, 0.3, 0.4, 0.5} {
+// floods returns the test cases for a fleet.
+func floods(size, receivers int, rate, burst float64) (out []flood) {
+	for _, factor := range []float64{12, 20} {
+		for _, fraction := range []float64{0.2, 0.3, 0.4, 0.5} {
 			for _, ms := range []time.Duration{-3000, -500, 0, 250, 500, 1000, 2000, 3000, 5000, 6500} {
 				for side := range 4 {
-					out = append(out, flood{size: size, receivers: entries, rate: rate, burst: burst, factor: times, fraction: cut,
+					out = append(out, flood{size: size, receivers: receivers, rate: rate, burst: burst, factor: factor, fraction: fraction,
 						partitionAfter: ms * time.Millisecond, ownerIncluded: side%2 == 1, isolated: side/2 == 1,
 						failure: failures[len(out)*7%len(failures)]})
 				}
@@ -176,43 +177,43 @@
 	return out
 }
 
-// everyFlood plays all cases of TestFloodThatMeetsACut, in place of some of each fleet.
-var everyFlood = cmdline.Bool("every-flood", false, "play all floods that meet a cut")
+// everyFlood runs all cases of TestFloodDuringPartition instead of a sample for each fleet.
+var everyFlood = cmdline.Bool("every-flood", false, "run all floods during a partition")
 
-// TestFloodThatMeetsACut checks that what was let in before a cut, what those cut off
-// go on with, and what is granted on the other side stay within what is tolerated
-// together, of each of two workspaces that flood at once.
+// TestFloodDuringPartition checks that what was admitted before a partition, what the
+// partitioned instances admit on their own, and what is granted on the other side stay
+// within the tolerance together, for each of two workspaces that flood at once.
 func TestFloodDuringPartition(t *testing.T) {
 	for _, f := range []struct {
-		size, entries, every int
-		rate, burst          float64
+		size, receivers, every int
+		rate, burst            float64
 	}{
 		{12, 12, 9, 500, 500}, {12, 12, 9, 50, 50}, {75, 12, 29, 500, 1000}, {75, 12, 29, 100, 50},
 		{75, 75, 79, 500, 500}, {75, 75, 79, 200, 200}, {77, 12, 29, 60, 60}, {295, 48, 161, 1500, 1500},
 	} {
-		cases := floods(f.size, f.entries, f.rate, f.burst)
+		cases := floods(f.size, f.receivers, f.rate, f.burst)
 		every := f.every
 		if *everyFlood {
 			every = 1
 		}
-		t.Run(fmt.Sprintf("%d instances, %d take requests, %.0f a second", f.size, f.entries, f.rate), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d instances, %d receive requests, %.0f per second", f.size, f.receivers, f.rate), func(t *testing.T) {
 			t.Parallel()
-			worst, played := 0.0, 0
+			worst, runs := 0.0, 0
 			for i := 0; i < len(cases); i += every {
 				m := newModelOf(uint64(i), f.size, newLeasedTokens, workspaceResource("w", f.rate, f.burst), workspaceResource("v", f.rate/10, f.burst/10))
 				cases[i].play(m)
-				played++
+				runs++
 				for _, l := range m.logs {
-					assert.Check(t, l.peak() <= 1, "%.3f of what is tolerated: %s: %s", l.peak(), cases[i], l.breakdown())
+					assert.Check(t, l.peak() <= 1, "%.3f of the tolerated requests: %s: %s", l.peak(), cases[i], l.breakdown())
 					worst = max(worst, l.peak())
 				}
 			}
-			t.Logf("%d floods, at most %.3f of what is tolerated", played, worst)
+			t.Logf("%d floods, at most %.3f of the tolerated requests", runs, worst)
 		})
 	}
 }
 
-// account tells what let the requests of the worst window in.
+// breakdown lists by which means the requests of the busiest window were admitted.
 func (l *demandLog) breakdown() string {
 	from, to := l.busiestWindow()
 	n := make(map[source]int)
@@ -221,7 +222,7 @@
 	}
 	var parts []string
 	for s, k := range n {
-		parts = append(parts, fmt.Sprintf("%s(cut %t) %.3f", s.kind, s.partitioned, float64(k)/l.tolerated()))
+		parts = append(parts, fmt.Sprintf("%s(partitioned %t) %.3f", s.kind, s.partitioned, float64(k)/l.tolerated()))
 	}
 	slices.Sort(parts)
 	return strings.Join(parts, ", ")
--- a/process/quota/quota_test.go
+++ b/process/quota/quota_test.go
@@ -16,11 +16,11 @@
 	"shalewick/version"
 )
 
-// alone returns the limits of an instance that is the only one, and its clock.
-func singleInstance(w *version.Workspaces, first bool) (*Quota, *time.Duration) {
+// singleInstance returns the limiter of a fleet of one instance, and its clock.
+func singleInstance(w *version.Workspaces, firstStart bool) (*Quota, *time.Duration) {
 	now := time.Hour
 	q := &Quota{
-		Now: func() time.Duration { return now }, Tolerance: tolerance, FirstStart: first,
+		Now: func() time.Duration { return now }, Tolerance: tolerance, FirstStart: firstStart,
 		Owners: func() (out [Shards]Owner) {
 			for i := range out {
 				out[i].Name = "self"
@@ -34,7 +34,7 @@
 	return q, &now
 }
 
-// admitted returns how many of so many requests come in at once.
+// admitted returns how many of a number of requests are admitted at once.
 func admitted(q *Quota, w *version.WorkspaceView, requests int) int {
 	n := 0
 	for range requests {
@@ -49,19 +49,19 @@
 	all := workspaceWith(10, 30)
 	q, now := singleInstance(all, true)
 	w := all.Find("w")
-	most := 30 + int(tolerance.bucketSlack())
+	maxAdmitted := 30 + int(tolerance.bucketSlack())
 	got := admitted(q, w, 200)
-	assert.Assert(t, got >= 30 && got <= most+1, "%d", got)
-	ok, why := q.Take(context.Background(), w)
+	assert.Assert(t, got >= 30 && got <= maxAdmitted+1, "%d", got)
+	ok, refusal := q.Take(context.Background(), w)
 	assert.Assert(t, !ok)
-	assert.Assert(t, why.RetryAfter >= minRetryAfter && why.RetryAfter <= 2*maxRetryAfter)
-	assert.Assert(t, why.Rate == 10 && why.Owner == "self" && why.Scarce)
+	assert.Assert(t, refusal.RetryAfter >= minRetryAfter && refusal.RetryAfter <= 2*maxRetryAfter)
+	assert.Assert(t, refusal.Rate == 10 && refusal.Owner == "self" && refusal.Scarce)
 	*now += time.Second
 	got = admitted(q, w, 200)
 	assert.Assert(t, got >= 9 && got <= 11, "%d", got)
 }
 
-// TestRequestThatDidNotRunCostsNothing checks that its token is used again.
+// TestReturnedTokenIsReused checks that the token of a request that has not run is used again.
 func TestReturnedTokenIsReused(t *testing.T) {
 	all := workspaceWith(1, 5)
 	q, _ := singleInstance(all, true)
@@ -96,8 +96,8 @@
 	assert.Equal(t, admitted(q, nil, 10), 10, "anonymous")
 }
 
-// TestNewOwnerGivesNoBurst checks that an instance that has just become the owner
-// does not give what the one before may have given.
+// TestNewOwnerStartsWithoutBurst checks that a new owner does not grant what the previous
+// owner may have granted already.
 func TestNewOwnerStartsWithoutBurst(t *testing.T) {
 	all := workspaceWith(10, 100)
 	q, now := singleInstance(all, false)
@@ -107,10 +107,10 @@
 	q, now = singleInstance(all, false)
 	*now += 20 * time.Second
 	got = admitted(q, all.Find("w"), 500)
-	assert.Assert(t, got >= 100, "nobody was asked meanwhile: %d", got)
+	assert.Assert(t, got >= 100, "no token requests for 20 s: %d", got)
 }
 
-// TestLowerLimitHoldsAtOnce checks a version that changes limits.
+// TestLoweredLimitAppliesAtOnce checks a configuration version with lower limits.
 func TestLoweredLimitAppliesAtOnce(t *testing.T) {
 	q, now := singleInstance(workspaceWith(1000, 1000), true)
 	admitted(q, workspaceWith(1000, 1000).Find("w"), 10)
@@ -124,19 +124,19 @@
 	assert.Equal(t, len(q.accounts)+len(q.buckets), 0)
 }
 
-// TestNothingHappensBeforeTheFirstVersion checks an instance that hears others and
-// ticks before it has a configuration.
+// TestNoLimitsBeforeFirstVersion checks an instance that receives messages and ticks before it
+// has a configuration.
 func TestNoLimitsBeforeFirstVersion(t *testing.T) {
 	q := &Quota{Now: func() time.Duration { return time.Hour }, Send: func(string, []byte) {}}
 	q.Tick()
 	q.Receive("from", encodeRequests([]tokenRequest{{hash: 1}}))
 	q.Receive("from", encodeResponses([]tokenResponse{{hash: 1}}))
 	ok, _ := q.Take(context.Background(), workspaceWith(1, 1).Find("w"))
-	assert.Assert(t, ok, "the limit is not known here")
+	assert.Assert(t, ok, "the limit is not known yet")
 }
 
-// TestInstanceThatStartsUsesItsShareOnceItKnowsTheOthers checks that turning from one
-// owner to another before the instances are known holds nothing back later.
+// TestStartingInstanceUsesShareOncePeersAreKnown checks that a change of owner before the
+// number of instances is known does not limit the instance later.
 func TestStartingInstanceUsesShareOncePeersAreKnown(t *testing.T) {
 	all := workspaceWith(1000, 1000)
 	now, n, owner := time.Hour, 0, Owner{Name: "x", Address: "x"}
@@ -160,22 +160,22 @@
 	assert.Assert(t, got == 50, "%d", got)
 }
 
-// TestSilentOwnerRefusesNobodyBelowTheLimit tells of requests of a workspace at a seventh of its
-// limit that were refused with OVER_QUOTA, after they had waited 140 ms for an owner that did not
-// answer in a fifth of a second. What proved it: refusals with two or three asks unanswered, and
-// a share of 330 a second of which 20 to 40 were wanted. After the first ask without an answer
-// the instance lets in what it would without an owner.
+// TestUnresponsiveOwnerCausesNoRefusalsBelowLimit guards against refusals (OVER_QUOTA) of a
+// workspace at a seventh of its limit, whose requests had waited 140 ms for an owner that did
+// not respond for a fifth of a second. Two or three token requests were unanswered, and of a
+// share of 330 per second 20 to 40 were wanted. After the first unanswered token request an
+// instance admits what it would without an owner.
 func TestUnresponsiveOwnerCausesNoRefusalsBelowLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
 			rate, instances = 2000, 6
 			pause           = 25 * time.Millisecond
-			lasts           = 300 * time.Millisecond
+			duration        = 300 * time.Millisecond
 		)
-		began := time.Now()
+		startedAt := time.Now()
 		all := workspaceWith(rate, rate)
 		q := &Quota{
-			Now: func() time.Duration { return time.Since(began) + time.Hour }, Tolerance: tolerance,
+			Now: func() time.Duration { return time.Since(startedAt) + time.Hour }, Tolerance: tolerance,
 			Instances: func() int { return instances }, Send: func(string, []byte) {},
 			Owners: func() (out [Shards]Owner) {
 				for i := range out {
@@ -187,9 +187,9 @@
 		q.Install(all)
 		var refused atomic.Int64
 		var callers sync.WaitGroup
-		for range lasts / pause {
+		for range duration / pause {
 			callers.Go(func() {
-				if in, _ := q.Take(t.Context(), all.Find("w")); !in {
+				if admitted, _ := q.Take(t.Context(), all.Find("w")); !admitted {
 					refused.Add(1)
 				}
 			})
@@ -200,49 +200,48 @@
 	})
 }
 
-// TestMessagesAreReadAsWritten checks the wire, and that no message of another kind
-// is taken up.
+// TestMessageRoundTrip checks the encoding of messages.
 func TestMessageRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		asks := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) tokenRequest {
+		requests := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) tokenRequest {
 			return tokenRequest{
-				hash: rapid.Uint64().Draw(t, "hash"), seq: rapid.Byte().Draw(t, "seq"), unreported: rapid.Uint16().Draw(t, "spent"),
-				wanted: rapid.Uint16().Draw(t, "want"), returned: rapid.Uint16().Draw(t, "back"), release: rapid.Bool().Draw(t, "release"),
+				hash: rapid.Uint64().Draw(t, "hash"), seq: rapid.Byte().Draw(t, "seq"), unreported: rapid.Uint16().Draw(t, "unreported"),
+				wanted: rapid.Uint16().Draw(t, "wanted"), returned: rapid.Uint16().Draw(t, "returned"), release: rapid.Bool().Draw(t, "release"),
 			}
-		}), 1, maxEntries).Draw(t, "asks")
-		got, answers, err := decode(encodeRequests(asks))
+		}), 1, maxEntries).Draw(t, "requests")
+		got, responses, err := decode(encodeRequests(requests))
 		assert.NilError(t, err)
-		assert.Equal(t, len(answers), 0)
-		for i := range asks {
-			assert.Equal(t, got[i], asks[i])
+		assert.Equal(t, len(responses), 0)
+		for i := range requests {
+			assert.Equal(t, got[i], requests[i])
 		}
-		x := tokenResponse{hash: 7, seq: 3, granted: rapid.Uint16().Draw(t, "granted"), scarce: rapid.Bool().Draw(t, "scarce"), usage: 0.5}
-		_, answers, err = decode(encodeResponses([]tokenResponse{x}))
+		response := tokenResponse{hash: 7, seq: 3, granted: rapid.Uint16().Draw(t, "granted"), scarce: rapid.Bool().Draw(t, "scarce"), usage: 0.5}
+		_, responses, err = decode(encodeResponses([]tokenResponse{response}))
 		assert.NilError(t, err)
-		assert.Equal(t, answers[0], x)
+		assert.Equal(t, responses[0], response)
 	})
 }
 
-// FuzzMessage checks that whatever comes in a datagram is taken up or refused.
+// FuzzMessage checks that any datagram is processed or ignored.
 func FuzzMessage(f *testing.F) {
 	f.Add(encodeRequests([]tokenRequest{{hash: hashOf("w"), seq: 1, unreported: 2, wanted: 3}}))
 	f.Add(encodeResponses([]tokenResponse{{hash: hashOf("w"), seq: 1, granted: 2}}))
 	f.Add([]byte{})
-	f.Fuzz(func(t *testing.T, text []byte) {
+	f.Fuzz(func(t *testing.T, payload []byte) {
 		q, now := singleInstance(workspaceWith(10, 10), true)
-		q.Receive("from", text)
+		q.Receive("from", payload)
 		*now += TickInterval
 		q.Tick()
 	})
 }
 
-// BenchmarkTake is the cost of the limit to a request that has a token.
+// BenchmarkTake measures the cost for a request that has a token.
 func BenchmarkTake(b *testing.B) {
 	all := workspaceWith(1e9, 1e9)
 	w := all.Find("w")
-	began := time.Now()
+	startedAt := time.Now()
 	q, _ := singleInstance(all, true)
-	q.Now = func() time.Duration { return time.Since(began) + time.Hour }
+	q.Now = func() time.Duration { return time.Since(startedAt) + time.Hour }
 	b.ReportAllocs()
 	for b.Loop() {
 		q.Take(context.Background(), w)
--- a/process/quota/rate_test.go
+++ b/process/quota/rate_test.go
@@ -9,11 +9,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestPaceOfASmallerShareGoesOn tells of requests that were refused with OVER_QUOTA for half a
-// second at a fiftieth of the limit: an instance had turned to another owner just before it
-// found the others, so that its share shrank. What was to be used up first was as of the larger
-// share. What proved it: refusals at 20 a second within a share of 130, the owner's last answer
-// 60 ms old and its bucket full; none with what is missing bounded.
+// TestLimiterDeficitIsBoundedAfterShareShrinks guards against refusals (OVER_QUOTA) for half a
+// second at a fiftieth of the limit. An instance changed its owner just before it learned of
+// the other instances, so that its share shrank, while the deficit remained that of the larger
+// share. Requests at 20 per second were refused within a share of 130, although the owner had
+// responded 60 ms before and its bucket was full.
 func TestLimiterDeficitIsBoundedAfterShareShrinks(t *testing.T) {
 	const before, after = 266.0, 133.0
 	now := time.Minute
