--- a/caller/caller.go
+++ b/caller/caller.go
@@ -119,7 +119,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	c.early.Earn()
+	c.early.Deposit()
 	s := &sending{c: c, req: req, ran: request.RanNo}
 	for ctx.Err() == nil {
 		res, retry, final := s.try(ctx)
@@ -167,7 +167,7 @@
 	res, result, err := s.c.send(tryCtx, entry, s.req, s.ticket)
 	if err != nil {
 		if tryCtx.Err() != nil && ctx.Err() == nil {
-			s.c.early.Spend()
+			s.c.early.TryWithdraw()
 		}
 		s.broken(entry, err)
 		return nil, s.pause(), false
@@ -184,7 +184,7 @@
 // would make it worse.
 func (s *sending) tryContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	limit, ok := ctx.Deadline()
-	if !ok || len(s.req.Body) > tryBody || !s.c.early.Left() {
+	if !ok || len(s.req.Body) > tryBody || !s.c.early.Available() {
 		return ctx, func() {}
 	}
 	return context.WithTimeout(ctx, max(time.Until(limit)/tryParts, lookupTimeout))
--- a/process/crash/watch.go
+++ b/process/crash/detector.go
@@ -16,16 +16,16 @@
 	// gatherTime is how long after the first lost request a connection is opened: a
 	// process that ends closes its connections and its listener one after the other,
 	// and what it had in flight is lost at about the same time.
-	gatherTime = 25 * time.Millisecond
+	gatherDelay = 25 * time.Millisecond
 	// sameCrash is how long after a crash lost requests belong to it. A backend server
 	// that starts again takes longer; what was sent into the end of a connection, or
 	// waited for its own deadline, comes within it.
-	sameCrash = 2 * time.Second
+	crashWindow = 2 * time.Second
 	// MostSuspects bounds the suspects of a crash at one instance. Origin: an
 	// instance seldom has more in flight at one backend server than that has slots.
-	MostSuspects = 24
+	MaxSuspects = 24
 	// mostWatched bounds the backend servers that are watched at a time.
-	mostWatched = 64
+	maxCandidates = 64
 )
 
 // Suspect is a request that was in flight at a backend server that crashed.
@@ -57,40 +57,40 @@
 }
 
 // Watch finds the crashes of backend servers. The fields are set before use.
-type Watch struct {
+type Detector struct {
 	Now func() time.Duration
 	// OnCrash is told of each crash. It is called without locks.
 	OnCrash func(Crash)
 
-	mu      sync.Mutex
-	watched map[string]*watched // by name of the backend server
+	mu         sync.Mutex
+	candidates map[string]*candidate // by name of the backend server
 }
 
 // watched is a backend server that lost a request lately.
-type watched struct {
-	crash   Crash
-	crashed bool          // it has ended; else it is being asked
-	until   time.Duration // for how long lost requests belong to the crash
-	told    int           // suspects that were told, or left out
+type candidate struct {
+	crash     Crash
+	crashed   bool          // it has ended; else it is being asked
+	windowEnd time.Duration // for how long lost requests belong to the crash
+	suspects  int           // suspects that were told, or left out
 }
 
 // Lost takes up a lost request.
-func (w *Watch) Lost(l Loss) {
+func (w *Detector) RecordLoss(l Loss) {
 	w.mu.Lock()
 	now := w.Now()
-	x := w.watched[l.Backend]
-	if x != nil && x.crashed && (now >= x.until || x.crash.Incarnation != l.Incarnation) {
-		delete(w.watched, l.Backend)
+	x := w.candidates[l.Backend]
+	if x != nil && x.crashed && (now >= x.windowEnd || x.crash.Incarnation != l.Incarnation) {
+		delete(w.candidates, l.Backend)
 		x = nil
 	}
 	if x == nil {
-		x = w.begin(l, now)
+		x = w.startProbe(l, now)
 	}
-	if x == nil || x.told >= MostSuspects {
+	if x == nil || x.suspects >= MaxSuspects {
 		w.mu.Unlock()
 		return
 	}
-	x.told++
+	x.suspects++
 	if !x.crashed {
 		x.crash.Suspects = append(x.crash.Suspects, l.Suspect)
 		w.mu.Unlock()
@@ -101,43 +101,43 @@
 }
 
 // begin watches a backend server, unless too many are watched. The caller holds the lock.
-func (w *Watch) begin(l Loss, now time.Duration) *watched {
-	if w.watched == nil {
-		w.watched = make(map[string]*watched)
+func (w *Detector) startProbe(l Loss, now time.Duration) *candidate {
+	if w.candidates == nil {
+		w.candidates = make(map[string]*candidate)
 	}
-	if len(w.watched) >= mostWatched {
-		w.forget(now)
+	if len(w.candidates) >= maxCandidates {
+		w.expire(now)
 	}
-	if len(w.watched) >= mostWatched {
+	if len(w.candidates) >= maxCandidates {
 		return nil
 	}
-	x := &watched{crash: Crash{Backend: l.Backend, Incarnation: l.Incarnation, Service: l.Service}}
-	w.watched[l.Backend] = x
-	go w.ask(l, x)
+	x := &candidate{crash: Crash{Backend: l.Backend, Incarnation: l.Incarnation, Service: l.Service}}
+	w.candidates[l.Backend] = x
+	go w.probe(l, x)
 	return x
 }
 
 // forget drops the crashes that are over. The caller holds the lock.
-func (w *Watch) forget(now time.Duration) {
-	for name, x := range w.watched {
-		if x.crashed && now >= x.until {
-			delete(w.watched, name)
+func (w *Detector) expire(now time.Duration) {
+	for name, x := range w.candidates {
+		if x.crashed && now >= x.windowEnd {
+			delete(w.candidates, name)
 		}
 	}
 }
 
 // ask finds out whether a backend server has ended.
-func (w *Watch) ask(l Loss, x *watched) {
-	time.Sleep(gatherTime)
+func (w *Detector) probe(l Loss, x *candidate) {
+	time.Sleep(gatherDelay)
 	ended := errors.Is(l.Open(), syscall.ECONNREFUSED)
 	w.mu.Lock()
 	if !ended {
-		delete(w.watched, l.Backend) // it lives
+		delete(w.candidates, l.Backend) // it lives
 		w.mu.Unlock()
 		return
 	}
 	x.crashed = true
-	x.until = w.Now() + sameCrash
+	x.windowEnd = w.Now() + crashWindow
 	c := x.crash
 	w.mu.Unlock()
 	w.OnCrash(c)
--- a/process/crash/watch_test.go
+++ b/process/crash/detector_test.go
@@ -20,18 +20,18 @@
 var errRefused = &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 
 // told collects crashes.
-type told struct {
+type crashLog struct {
 	mu   sync.Mutex
 	list []Crash
 }
 
-func (t *told) add(c Crash) {
+func (t *crashLog) add(c Crash) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.list = append(t.list, c)
 }
 
-func (t *told) suspects() (n int) {
+func (t *crashLog) suspects() (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, c := range t.list {
@@ -46,63 +46,63 @@
 
 func refuse() error { return errRefused }
 
-func newWatch() (*Watch, *told, *atomic.Int64) {
+func newDetector() (*Detector, *crashLog, *atomic.Int64) {
 	var now atomic.Int64
-	t := &told{}
-	return &Watch{Now: func() time.Duration { return time.Duration(now.Load()) }, OnCrash: t.add}, t, &now
+	t := &crashLog{}
+	return &Detector{Now: func() time.Duration { return time.Duration(now.Load()) }, OnCrash: t.add}, t, &now
 }
 
 // TestRequestsThatAreLostTogetherAreOneCrash checks that what was in flight at a process
 // that ended is told, with one connection opened for all of it, and late ones as well.
-func TestRequestsThatAreLostTogetherAreOneCrash(t *testing.T) {
-	w, got, _ := newWatch()
+func TestLostRequestsAreOneCrash(t *testing.T) {
+	w, got, _ := newDetector()
 	var opened atomic.Int64
 	open := func() error { opened.Add(1); return errRefused }
 	for i := range 3 {
-		w.Lost(lossAt("u", i, open))
+		w.RecordLoss(lossAt("u", i, open))
 	}
-	time.Sleep(4 * gatherTime)
+	time.Sleep(4 * gatherDelay)
 	assert.Equal(t, got.suspects(), 3)
-	w.Lost(lossAt("u", 3, open))
+	w.RecordLoss(lossAt("u", 3, open))
 	assert.Equal(t, got.suspects(), 4)
 	assert.Equal(t, opened.Load(), int64(1))
 }
 
 // TestBackendThatLivesHasNotCrashed checks that neither one that takes connections nor one
 // that is silent counts.
-func TestBackendThatLivesHasNotCrashed(t *testing.T) {
+func TestLiveBackendHasNotCrashed(t *testing.T) {
 	for _, err := range []error{nil, os.ErrDeadlineExceeded, syscall.EHOSTUNREACH} {
-		w, got, _ := newWatch()
-		w.Lost(lossAt("u", 1, func() error { return err }))
-		time.Sleep(4 * gatherTime)
+		w, got, _ := newDetector()
+		w.RecordLoss(lossAt("u", 1, func() error { return err }))
+		time.Sleep(4 * gatherDelay)
 		assert.Equal(t, got.suspects(), 0, "%v", err)
-		w.Lost(lossAt("u", 1, refuse)) // it is asked anew
-		time.Sleep(4 * gatherTime)
+		w.RecordLoss(lossAt("u", 1, refuse)) // it is asked anew
+		time.Sleep(4 * gatherDelay)
 		assert.Equal(t, got.suspects(), 1)
 	}
 }
 
 // TestBackendThatIsBackCanCrashAgain checks that a second end under the same name is a
 // crash of its own.
-func TestBackendThatIsBackCanCrashAgain(t *testing.T) {
-	w, got, now := newWatch()
+func TestRestartedBackendCanCrashAgain(t *testing.T) {
+	w, got, now := newDetector()
 	for range 2 {
-		w.Lost(lossAt("u", 1, refuse))
-		time.Sleep(4 * gatherTime)
-		now.Add(int64(sameCrash))
+		w.RecordLoss(lossAt("u", 1, refuse))
+		time.Sleep(4 * gatherDelay)
+		now.Add(int64(crashWindow))
 	}
 	assert.Equal(t, got.suspects(), 2)
 }
 
 // TestWatchIsBounded checks that many losses at many backend servers keep little.
-func TestWatchIsBounded(t *testing.T) {
-	w, got, _ := newWatch()
-	for b := range 3 * mostWatched {
-		for i := range 2 * MostSuspects {
-			w.Lost(lossAt(fmt.Sprint("u", b), i, refuse))
+func TestDetectorIsBounded(t *testing.T) {
+	w, got, _ := newDetector()
+	for b := range 3 * maxCandidates {
+		for i := range 2 * MaxSuspects {
+			w.RecordLoss(lossAt(fmt.Sprint("u", b), i, refuse))
 		}
 	}
-	time.Sleep(8 * gatherTime)
-	assert.Assert(t, got.suspects() <= mostWatched*MostSuspects, "%d", got.suspects())
-	assert.Assert(t, len(w.watched) <= mostWatched)
+	time.Sleep(8 * gatherDelay)
+	assert.Assert(t, got.suspects() <= maxCandidates*MaxSuspects, "%d", got.suspects())
+	assert.Assert(t, len(w.candidates) <= maxCandidates)
 }
--- a/process/edge/edge.go
+++ b/process/edge/edge.go
@@ -184,7 +184,7 @@
 	}
 	e.proxy = &proxy.Proxy{
 		Quota: e.quota, Limits: e.limits, Rollouts: e.rollouts, Quarantine: e.quarantine, Held: e.held,
-		Crashes: &crash.Watch{Now: e.now, OnCrash: e.backendCrashed},
+		Crashes: &crash.Detector{Now: e.now, OnCrash: e.backendCrashed},
 		Names:   e.deployment.Headers, Table: e.table, Metrics: e.metrics, Log: e.log, Now: e.now, Age: e.follower.Age,
 		Retries: &retry.Window{
 			Span: e.settings.RetrySpan, Ratio: e.settings.RetryRatio * retryRatioShare,
--- a/process/edge/quarantine.go
+++ b/process/edge/quarantine.go
@@ -57,7 +57,7 @@
 	e.metrics.Counter("backend_crashes_total").Inc(1)
 	e.log.Info().Str("backend", c.Backend).Str("service", c.Service).Strs("requests", few(requests)).
 		Int("lost", len(requests)).Msg("backend-crashed")
-	e.quarantine.Crashed(c)
+	e.quarantine.RecordCrash(c)
 }
 
 // quarantineOwners returns who counts the crashes of a service, over all regions and within
@@ -82,7 +82,7 @@
 		case <-ctx.Done():
 			return
 		}
-		for clock.Sleep(ctx, quarantine.TickTime) && !e.quarantine.Tick() {
+		for clock.Sleep(ctx, quarantine.TickInterval) && !e.quarantine.Tick() {
 		}
 	}
 }
@@ -98,7 +98,7 @@
 	}
 	all.Go(func() { e.learnFrom(ctx, e.askStore) })
 	select {
-	case <-e.quarantine.LearnedAll():
+	case <-e.quarantine.SyncDone():
 		e.recompile() // the start may have waited for it
 	case <-ctx.Done():
 	}
@@ -113,12 +113,12 @@
 // nobody to ask.
 func (e *Edge) learnFrom(ctx context.Context, ask func(context.Context) bool) {
 	pause := learnLeast
-	for !e.quarantine.Learned() && ctx.Err() == nil {
+	for !e.quarantine.Synced() && ctx.Err() == nil {
 		if ask(ctx) {
 			pause = min(2*pause, learnMost)
 		}
 		select {
-		case <-e.quarantine.LearnedAll():
+		case <-e.quarantine.SyncDone():
 		case <-ctx.Done():
 		case <-time.After(pause):
 		}
@@ -146,7 +146,7 @@
 // awaitsQuarantine reports whether an instance that starts has to learn first which requests
 // to refuse. The caller holds compiling.
 func (e *Edge) awaitsQuarantine() bool {
-	if e.settings.First || e.quarantine.Learned() {
+	if e.settings.First || e.quarantine.Synced() {
 		return false
 	}
 	left := learnWait - e.age()
@@ -167,7 +167,7 @@
 	if err != nil {
 		return err
 	}
-	return e.quarantine.TakeReply(text, address)
+	return e.quarantine.MergeReply(text, address)
 }
 
 // asking says whether a list is being asked for.
@@ -191,11 +191,11 @@
 // serveList answers another instance, once this one knows the list itself, or after listHold.
 func (e *Edge) serveList(w http.ResponseWriter, r *http.Request) {
 	select {
-	case <-e.quarantine.LearnedAll():
+	case <-e.quarantine.SyncDone():
 	case <-r.Context().Done():
 	case <-time.After(listHold):
 	}
-	text, err := e.quarantine.Reply()
+	text, err := e.quarantine.EncodeReply()
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
--- a/process/edge/quarantinerow.go
+++ b/process/edge/quarantinerow.go
@@ -89,7 +89,7 @@
 		entries = append(entries, x)
 		e.quarantineRows.set(x.Request, x.Stamp)
 	}
-	e.quarantine.Learn(entries, "store")
+	e.quarantine.LoadEntries(entries, "store")
 	return nil
 }
 
--- a/process/edge/retry_test.go
+++ b/process/edge/retry_test.go
@@ -45,11 +45,11 @@
 			now := time.Hour + time.Duration(at)*step
 			for _, w := range windows {
 				for range rapid.IntRange(0, 8).Draw(r, "requests") {
-					w.Request("s", now)
+					w.RecordRequest("s", now)
 					requests[at]++
 				}
 				for range 6 {
-					if w.Retry("s", now) {
+					if w.TryRetry("s", now) {
 						retries[at]++
 					}
 				}
--- a/process/front/attempt.go
+++ b/process/front/attempt.go
@@ -94,9 +94,9 @@
 	}
 	t := &trial{f: f, c: c, src: src, ask: steer.Ask{Service: c.service, Class: c.route.Class, Deadline: c.deadline}}
 	bud := f.budget(c.service)
-	bud.Earn()
+	bud.Deposit()
 	a, res, again := t.attempt(ctx)
-	for try := 1; again && try < maxAttempts && ctx.Err() == nil && bud.Spend(); try++ {
+	for try := 1; again && try < maxAttempts && ctx.Err() == nil && bud.TryWithdraw(); try++ {
 		f.Metrics.Retry(c.service)
 		var further *request.Result
 		a, further, again = t.attempt(ctx)
--- a/process/proxy/answer.go
+++ b/process/proxy/answer.go
@@ -118,7 +118,7 @@
 		e.Str("request", c.print.String())
 	}
 	if res.Code == request.Quarantined {
-		e.Str("path", c.path()).Int("crashes", p.Quarantine.Crashes(c.print))
+		e.Str("path", c.path()).Int("crashes", p.Quarantine.CrashCount(c.print))
 	}
 	if c.route == nil {
 		e.Str("host", c.r.Host).Str("path", c.r.URL.Path)
--- a/process/proxy/attempt.go
+++ b/process/proxy/attempt.go
@@ -59,7 +59,7 @@
 	part := p.Table.Split(c.route)
 	c.service = c.route.Split[part].Service
 	t := &trial{p: p, c: c, query: balance.Query{Route: c.route, Part: part, Priority: c.priority(), Object: p.object(c)}}
-	p.Retries.Request(c.service, p.Now())
+	p.Retries.RecordRequest(c.service, p.Now())
 	a, res := t.untilAnswered(ctx)
 	if a != nil {
 		t.logAnswer(a)
@@ -118,7 +118,7 @@
 	if len(t.query.Tried) >= maxTries || t.c.attempts >= t.c.route.Attempts {
 		return false
 	}
-	return t.c.attempts == 0 || t.p.Retries.Retry(t.c.service, t.p.Now())
+	return t.c.attempts == 0 || t.p.Retries.TryRetry(t.c.service, t.p.Now())
 }
 
 const (
@@ -193,7 +193,7 @@
 	pick.Done(balance.Answered, t.report(h, pick))
 	t.answered(a, took)
 	if t.p.Quarantine != nil {
-		t.p.Quarantine.Answered(t.c.print)
+		t.p.Quarantine.RecordAnswer(t.c.print)
 	}
 	if t.p.OnAnswer != nil {
 		t.p.OnAnswer(pick.Name, h, time.Since(sent))
--- a/process/proxy/fingerprint.go
+++ b/process/proxy/fingerprint.go
@@ -42,7 +42,7 @@
 	if t.p.Crashes == nil {
 		return
 	}
-	t.p.Crashes.Lost(crash.Loss{
+	t.p.Crashes.RecordLoss(crash.Loss{
 		Backend: pick.Name, Incarnation: pick.Incarnation, Service: t.c.service,
 		Suspect: crash.Suspect{Request: t.c.print, Path: t.c.path()},
 		// The connection is kept for a request to come, so it is not opened in vain.
--- a/process/proxy/proxy.go
+++ b/process/proxy/proxy.go
@@ -41,7 +41,7 @@
 	// Rollouts, if set, says which requests go to the target of a roll-out.
 	Rollouts *rollout.Rollouts
 	// Crashes, if set, is told of requests that were lost at backend servers.
-	Crashes *crash.Watch
+	Crashes *crash.Detector
 	// Quarantine, if set, says which requests crash what runs them.
 	Quarantine *quarantine.Quarantine
 	// Held, if set, bounds what is held of requests and answers.
--- a/process/quarantine/answered.go
+++ b/process/quarantine/answered.go
@@ -11,25 +11,25 @@
 
 // answered remembers which requests were answered lately. A newer one takes the place of
 // an older one with the same last bits. The zero value is ready.
-type answered struct {
+type answerCache struct {
 	mu    sync.Mutex
-	slots [answeredSlots]struct {
+	slots [answerSlots]struct {
 		request request.Fingerprint
 		at      time.Duration
 	}
 }
 
-func (a *answered) note(f request.Fingerprint, now time.Duration) {
+func (a *answerCache) record(f request.Fingerprint, now time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s := &a.slots[f%answeredSlots]
+	s := &a.slots[f%answerSlots]
 	s.request, s.at = f, now
 }
 
 // last returns when a request was answered last. Ok is false if that is not known.
-func (a *answered) last(f request.Fingerprint) (at time.Duration, ok bool) {
+func (a *answerCache) last(f request.Fingerprint) (at time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s := &a.slots[f%answeredSlots]
+	s := &a.slots[f%answerSlots]
 	return s.at, s.request == f && f != 0
 }
--- a/process/quarantine/exchange.go
+++ b/process/quarantine/exchange.go
@@ -10,21 +10,21 @@
 
 // Hear takes up a message of another instance from its address, and reports whether it is
 // one of a quarantine.
-func (q *Quarantine) Hear(from string, text []byte) bool {
-	if len(text) == 0 || text[0] < kindReport || text[0] > kindAnswered {
+func (q *Quarantine) Receive(from string, text []byte) bool {
+	if len(text) == 0 || text[0] < kindReport || text[0] > kindObjection {
 		return false
 	}
 	kind, body := text[0], text[1:]
 	var err error
 	switch kind {
 	case kindReport:
-		err = q.hearReport(from, body)
-	case kindConfirmed:
-		err = q.hearConfirmed(from, body)
+		err = q.receiveReport(from, body)
+	case kindConfirmation:
+		err = q.receiveConfirmation(from, body)
 	case kindEntry:
-		err = q.hearEntry(from, body)
-	case kindAnswered:
-		err = q.hearObjection(from, body)
+		err = q.receiveEntry(from, body)
+	case kindObjection:
+		err = q.receiveObjection(from, body)
 	}
 	if err != nil {
 		q.Log.Info().Err(err).Str("from", from).Msg("quarantine-message-skipped")
@@ -32,26 +32,26 @@
 	return true
 }
 
-func (q *Quarantine) hearReport(from string, body []byte) error {
+func (q *Quarantine) receiveReport(from string, body []byte) error {
 	r, err := decodeReport(body)
 	if err != nil {
 		return err
 	}
-	text, err := encode(kindConfirmed, &confirmed{Seq: r.Seq})
+	text, err := encode(kindConfirmation, &confirmation{Seq: r.Seq})
 	if err != nil {
 		return err
 	}
 	q.mu.Lock()
 	now := q.Now()
-	q.count(&r, now-duration(r.AgeMs), now)
+	q.addReport(&r, now-duration(r.AgeMs), now)
 	q.mu.Unlock()
 	q.Send(from, text)
 	q.wakeUp()
 	return nil
 }
 
-func (q *Quarantine) hearConfirmed(from string, body []byte) error {
-	c, err := decode[confirmed](body)
+func (q *Quarantine) receiveConfirmation(from string, body []byte) error {
+	c, err := decode[confirmation](body)
 	if err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 			p.confirmedBy = owner.Name
 		}
 		if regional.Address == from {
-			p.heldBy = regional.Name
+			p.regionalBy = regional.Name
 		}
 	}
 	return nil
@@ -74,8 +74,8 @@
 
 // hearEntry takes up an entry, and objects if this instance has answered the request since
 // the first crash that it is blamed for.
-func (q *Quarantine) hearEntry(from string, body []byte) error {
-	t, err := decode[told](body)
+func (q *Quarantine) receiveEntry(from string, body []byte) error {
+	t, err := decode[entryUpdate](body)
 	if err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 	if !news || !t.Entry.Quarantined() || !answered || at <= now-duration(t.FirstMs) {
 		return nil
 	}
-	text, err := encode(kindAnswered, &objection{Request: t.Entry.Request, Stamp: t.Entry.Stamp})
+	text, err := encode(kindObjection, &objection{Request: t.Entry.Request, Stamp: t.Entry.Stamp})
 	if err != nil {
 		return err
 	}
@@ -96,7 +96,7 @@
 }
 
 // hearObjection withdraws an entry.
-func (q *Quarantine) hearObjection(_ string, body []byte) error {
+func (q *Quarantine) receiveObjection(_ string, body []byte) error {
 	o, err := decode[objection](body)
 	if err != nil {
 		return err
@@ -106,10 +106,10 @@
 	var out []message
 	if e.Stamp == o.Stamp && e.Quarantined() {
 		e.Stamp++
-		out = q.change(e, 0)
+		out = q.announce(e, 0)
 	}
 	q.mu.Unlock()
-	q.sendOut(out)
+	q.sendMessages(out)
 	return nil
 }
 
@@ -121,9 +121,9 @@
 }
 
 // Learned reports whether the instance knows what others knew when it started.
-func (q *Quarantine) Learned() bool {
+func (q *Quarantine) Synced() bool {
 	select {
-	case <-q.learned:
+	case <-q.synced:
 		return true
 	default:
 		return false
@@ -131,34 +131,34 @@
 }
 
 // LearnedAll returns a channel that is closed once Learned.
-func (q *Quarantine) LearnedAll() <-chan struct{} { return q.learned }
+func (q *Quarantine) SyncDone() <-chan struct{} { return q.synced }
 
 // Learn takes up entries that were kept somewhere, and notes that what was known at the
 // start is known now.
-func (q *Quarantine) Learn(entries []Entry, from string) {
+func (q *Quarantine) LoadEntries(entries []Entry, from string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.takeUp(entries, from)
-	q.noteLearned()
+	q.mergeAll(entries, from)
+	q.markSynced()
 }
 
 // takeUp merges a list. The caller holds the lock.
-func (q *Quarantine) takeUp(entries []Entry, from string) {
+func (q *Quarantine) mergeAll(entries []Entry, from string) {
 	for _, e := range entries {
 		q.merge(e, from)
 	}
 }
 
 // noteLearned says that what was known at the start is known now. The caller holds the lock.
-func (q *Quarantine) noteLearned() {
-	if !q.Learned() {
-		close(q.learned)
+func (q *Quarantine) markSynced() {
+	if !q.Synced() {
+		close(q.synced)
 	}
 }
 
 // Crashes returns how many backend servers had ended under a request when it went into
 // quarantine.
-func (q *Quarantine) Crashes(f request.Fingerprint) int {
+func (q *Quarantine) CrashCount(f request.Fingerprint) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.list.entries[f].Crashes
@@ -188,8 +188,8 @@
 }
 
 // Reply returns the list for another instance that asks for it.
-func (q *Quarantine) Reply() ([]byte, error) {
-	text, err := encode(0, &reply{Learned: q.Learned(), Entries: q.Entries()})
+func (q *Quarantine) EncodeReply() ([]byte, error) {
+	text, err := encode(0, &reply{Learned: q.Synced(), Entries: q.Entries()})
 	if err != nil {
 		return nil, err
 	}
@@ -197,24 +197,24 @@
 }
 
 // errNotLearned says that the instance that was asked waits for others itself.
-const errNotLearned = errors.ConstError("the other instance has not learned the quarantine yet")
+const errNotSynced = errors.ConstError("the other instance has not learned the quarantine yet")
 
 // TakeReply takes up the list of another instance. The entries count even if it has not
 // learned all itself, which the error says.
-func (q *Quarantine) TakeReply(text []byte, from string) error {
+func (q *Quarantine) MergeReply(text []byte, from string) error {
 	r, err := decode[reply](text)
 	if err != nil {
 		return err
 	}
-	if len(r.Entries) > MostEntries {
+	if len(r.Entries) > MaxEntries {
 		return errors.Errorf("list of %d entries", len(r.Entries))
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.takeUp(r.Entries, from)
+	q.mergeAll(r.Entries, from)
 	if !r.Learned {
-		return errNotLearned
+		return errNotSynced
 	}
-	q.noteLearned()
+	q.markSynced()
 	return nil
 }
--- a/process/quarantine/fleet_test.go
+++ b/process/quarantine/fleet_test.go
@@ -18,51 +18,51 @@
 // fleet is a model of instances that tell each other of crashes: datagrams take a while and
 // some are lost; who differs from another one asks it for its list at a beat.
 type fleet struct {
-	now       time.Duration
-	random    *rand.Rand
-	instances []*instance
-	flying    []flying
-	loss      float64
-	datagrams int
-	bytes     int
-	started   int                   // backend servers
-	again     []request.Fingerprint // that crash nothing and were at the last crash
+	now          time.Duration
+	random       *rand.Rand
+	instances    []*instance
+	inFlight     []datagram
+	loss         float64
+	datagrams    int
+	bytes        int
+	crashes      int                   // backend servers
+	lastSuspects []request.Fingerprint // that crash nothing and were at the last crash
 }
 
 type instance struct {
 	*Quarantine
-	fleet  *fleet
-	name   string
-	region int
-	down   bool // it neither sends nor hears
-	beat   time.Duration
+	fleet         *fleet
+	name          string
+	region        int
+	down          bool // it neither sends nor hears
+	nextHeartbeat time.Duration
 }
 
 // flying is a datagram on its way.
-type flying struct {
+type datagram struct {
 	at       time.Duration
 	from, to *instance
-	text     []byte
+	payload  []byte
 }
 
 const (
-	modelStep  = 10 * time.Millisecond
-	modelBeat  = 500 * time.Millisecond
-	nearTime   = 2 * time.Millisecond
-	farTime    = 40 * time.Millisecond
-	modelZones = 6
+	modelStep      = 10 * time.Millisecond
+	modelHeartbeat = 500 * time.Millisecond
+	regionalDelay  = 2 * time.Millisecond
+	remoteDelay    = 40 * time.Millisecond
+	modelRegions   = 6
 )
 
 func newFleet(n int, seed uint64) *fleet {
 	f := &fleet{random: rand.New(rand.NewPCG(seed, 5)), loss: 0.02, now: time.Hour}
 	for i := range n {
-		f.add(fmt.Sprintf("i%03d", i), i%modelZones)
+		f.add(fmt.Sprintf("i%03d", i), i%modelRegions)
 	}
 	return f
 }
 
 func (f *fleet) add(name string, region int) *instance {
-	x := &instance{Quarantine: New(), fleet: f, name: name, region: region, beat: f.now + time.Duration(f.random.Int64N(int64(modelBeat)))}
+	x := &instance{Quarantine: New(), fleet: f, name: name, region: region, nextHeartbeat: f.now + time.Duration(f.random.Int64N(int64(modelHeartbeat)))}
 	x.Now = func() time.Duration { return f.now }
 	x.Log = zerolog.Nop()
 	x.Owners = x.owners
@@ -112,90 +112,90 @@
 	if f.random.Float64() < f.loss {
 		return
 	}
-	took := nearTime
+	took := regionalDelay
 	if to.region != x.region {
-		took = farTime
+		took = remoteDelay
 	}
-	f.flying = append(f.flying, flying{f.now + took, x, to, text})
+	f.inFlight = append(f.inFlight, datagram{f.now + took, x, to, text})
 }
 
 // step lets time pass.
 func (f *fleet) step() {
 	f.now += modelStep
-	due := f.flying
-	f.flying = nil
+	due := f.inFlight
+	f.inFlight = nil
 	for _, d := range due {
 		switch {
 		case d.at > f.now:
-			f.flying = append(f.flying, d)
+			f.inFlight = append(f.inFlight, d)
 		case !d.to.down:
-			d.to.Hear(d.from.name, d.text)
+			d.to.Receive(d.from.name, d.payload)
 		}
 	}
 	for _, x := range f.instances {
 		if x.down {
 			continue
 		}
-		if f.now%TickTime == 0 {
+		if f.now%TickInterval == 0 {
 			x.Tick()
 		}
-		if f.now >= x.beat {
-			x.beat += modelBeat
-			x.compare()
+		if f.now >= x.nextHeartbeat {
+			x.nextHeartbeat += modelHeartbeat
+			x.exchangeLists()
 		}
 	}
 }
 
 // compare compares the list with that of another instance, as beats do.
-func (x *instance) compare() {
+func (x *instance) exchangeLists() {
 	o := x.fleet.instances[x.fleet.random.IntN(len(x.fleet.instances))]
 	if o.down || o.Digest() == 0 || o.Digest() == x.Digest() {
 		return
 	}
-	text, err := o.Reply()
+	text, err := o.EncodeReply()
 	if err == nil {
-		_ = x.TakeReply(text, o.name) // it may not have learned all
+		_ = x.MergeReply(text, o.name) // it may not have learned all
 	}
 }
 
 // crash ends a backend server, with requests in flight from instances.
 func (f *fleet) crash(inFlight map[*instance][]request.Fingerprint) {
-	f.started++
+	f.crashes++
 	for _, x := range f.instances { // in a fixed order, so that a seed repeats its play
 		if fs := inFlight[x]; len(fs) > 0 && !x.down {
-			x.Crashed(crash.Crash{Backend: fmt.Sprint("b", f.started), Service: "s", Suspects: suspects(fs...)})
+			x.RecordCrash(crash.Crash{Backend: fmt.Sprint("b", f.crashes), Service: "s", Suspects: suspects(fs...)})
 		}
 	}
 }
 
 // lostAgain is the part of the requests that were beside a crash which are beside the next.
 // Origin: of 134 that were lost in an incident with eight crashes a second 13 were.
-const lostAgain = 0.2
+const repeatFraction = 0.2
 
 // beside returns requests that are in flight at a backend server from any instances. Some of
 // those that were at the crash before are there again, at another instance; the others
 // were answered meanwhile.
-func (f *fleet) beside(n int) map[*instance][]request.Fingerprint {
+func (f *fleet) randomInFlight(n int) map[*instance][]request.Fingerprint {
 	out := make(map[*instance][]request.Fingerprint)
 	var all []request.Fingerprint
 	for i := range n {
 		r := request.Fingerprint(f.random.Uint64() | 1)
-		if i < len(f.again) {
-			if f.random.Float64() < lostAgain {
-				r = f.again[i]
+		if i < len(f.lastSuspects) {
+			if f.random.Float64() < repeatFraction {
+				r = f.lastSuspects[i]
 			} else {
-				f.up().Answered(f.again[i])
+				f.randomLive().RecordAnswer(f.lastSuspects[i])
 			}
 		}
-		x := f.up()
+		x := f.randomLive()
 		out[x] = append(out[x], r)
 		all = append(all, r)
 	}
-	f.again = all
+	f.lastSuspects = all
 	return out
 }
 
-func (f *fleet) up() *instance {
+func (f *fleet) randomLive() *instance {
 	for {
 		if x := f.instances[f.random.IntN(len(f.instances))]; !x.down {
 			return x
@@ -214,7 +214,7 @@
 			continue
 		}
 		next = f.now + time.Duration(f.random.Int64N(int64(2*pause)))
-		x := f.up()
+		x := f.randomLive()
 		for range 2 {
 			if x.Refuses(r) {
 				break
@@ -222,7 +222,7 @@
 			if third != 0 && f.now > third+contact {
 				late++
 			}
-			inFlight := f.beside(6)
+			inFlight := f.randomInFlight(6)
 			inFlight[x] = append(inFlight[x], r)
 			f.crash(inFlight)
 			crashed++
@@ -256,11 +256,11 @@
 	return n
 }
 
-const modelContact = time.Second
+const modelNotice = time.Second
 
 // TestFleetStopsARequest attacks fleets of all sizes and counts what reaches backend
 // servers late, who is refused wrongly, and what it costs.
-func TestFleetStopsARequest(t *testing.T) {
+func TestFleetQuarantinesRequest(t *testing.T) {
 	for _, n := range []int{1, 12, 77, 620} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			seeds := max(2, 60/n)
@@ -268,7 +268,7 @@
 			f := &fleet{}
 			for seed := range seeds {
 				f = newFleet(n, uint64(seed))
-				crashed, late := f.attack(7, 8*time.Second, 150*time.Millisecond, modelContact)
+				crashed, late := f.attack(7, 8*time.Second, 150*time.Millisecond, modelNotice)
 				worst = max(worst, late)
 				crashes = max(crashes, crashed)
 				wrong += f.wronglyRefused(7)
@@ -283,7 +283,7 @@
 
 // TestSeveralRequestsAreToldApart attacks with several requests at once, while backend
 // servers also end for other reasons.
-func TestSeveralRequestsAreToldApart(t *testing.T) {
+func TestSeveralCulpritsAreDistinguished(t *testing.T) {
 	wrong, missed := 0, 0
 	const seeds = 40
 	for seed := range uint64(seeds) {
@@ -293,8 +293,8 @@
 			if f.random.IntN(100) >= 8 {
 				continue
 			}
-			x := f.up()
-			inFlight := f.beside(8)
+			x := f.randomLive()
+			inFlight := f.randomInFlight(8)
 			if r := culprits[f.random.IntN(len(culprits))]; f.random.IntN(4) > 0 {
 				if x.Refuses(r) {
 					continue
@@ -317,7 +317,7 @@
 
 // TestOrdinaryCrashesBlameNobody ends a backend server each 80 ms for 20 s, with requests
 // that were at the crash before: none of them is the cause.
-func TestOrdinaryCrashesBlameNobody(t *testing.T) {
+func TestUnrelatedCrashesQuarantineNothing(t *testing.T) {
 	wrong, requests := 0, 0
 	for seed := range uint64(20) {
 		f := newFleet(12, seed)
@@ -325,7 +325,7 @@
 			if f.now%(8*modelStep) != 0 {
 				continue
 			}
-			f.crash(f.beside(8))
+			f.crash(f.randomInFlight(8))
 			requests += 8
 		}
 		wrong += f.wronglyRefused()
@@ -336,7 +336,7 @@
 
 // TestAnsweredRequestIsLetThroughAgain checks that an instance that has answered a request
 // has its quarantine withdrawn everywhere, and that a real culprit's stays.
-func TestAnsweredRequestIsLetThroughAgain(t *testing.T) {
+func TestAnsweredRequestIsWithdrawn(t *testing.T) {
 	f := newFleet(12, 1)
 	for i := range 3 {
 		f.crash(map[*instance][]request.Fingerprint{f.instances[i]: {7}})
@@ -344,14 +344,14 @@
 			f.step()
 		}
 	}
-	f.instances[9].Answered(7)
+	f.instances[9].RecordAnswer(7)
 	for range 100 {
 		f.step()
 	}
 	for _, x := range f.instances {
 		assert.Assert(t, !x.Refuses(7), x.name)
 	}
-	f.attack(7, 5*time.Second, 150*time.Millisecond, modelContact)
+	f.attack(7, 5*time.Second, 150*time.Millisecond, modelNotice)
 	for _, x := range f.instances {
 		assert.Assert(t, x.Refuses(7), x.name)
 	}
@@ -359,7 +359,7 @@
 
 // TestOwnerIsDown checks that the owners within regions stop a request while nobody has
 // noticed that the owner is down.
-func TestOwnerIsDown(t *testing.T) {
+func TestRegionalOwnersActWhileOwnerIsDown(t *testing.T) {
 	f := newFleet(24, 3)
 	f.instances[0].down = true
 	crashed, late := f.attack(7, 10*time.Second, 150*time.Millisecond, 3*time.Second)
@@ -370,14 +370,14 @@
 
 // TestInstanceThatWasAwayLearns checks one that was down during the attack, and one that
 // starts after it.
-func TestInstanceThatWasAwayLearns(t *testing.T) {
+func TestLateInstancesReceiveEntries(t *testing.T) {
 	f := newFleet(24, 4)
 	f.instances[5].down = true
-	f.attack(7, 3*time.Second, 100*time.Millisecond, modelContact)
+	f.attack(7, 3*time.Second, 100*time.Millisecond, modelNotice)
 	assert.Assert(t, !f.instances[5].Refuses(7))
 	f.instances[5].down = false
 	x := f.add("new", 2)
-	for range int(3 * modelBeat / modelStep) {
+	for range int(3 * modelHeartbeat / modelStep) {
 		f.step()
 	}
 	assert.Assert(t, f.instances[5].Refuses(7))
@@ -385,7 +385,7 @@
 }
 
 // TestInstanceAloneStopsARequest checks one that is cut off from all others.
-func TestInstanceAloneStopsARequest(t *testing.T) {
+func TestIsolatedInstanceQuarantinesRequest(t *testing.T) {
 	f := newFleet(24, 5)
 	for _, x := range f.instances[:23] {
 		x.down = true
@@ -397,16 +397,16 @@
 
 // TestOperatorsDecide checks that a request that they let through is neither refused nor
 // blamed again, and is refused once they have changed their mind.
-func TestOperatorsDecide(t *testing.T) {
+func TestOperatorsOverrideQuarantine(t *testing.T) {
 	f := newFleet(3, 6)
-	f.attack(7, 3*time.Second, 100*time.Millisecond, modelContact)
+	f.attack(7, 3*time.Second, 100*time.Millisecond, modelNotice)
 	x := f.instances[2]
 	assert.Assert(t, x.Refuses(7))
 	let := map[request.Fingerprint]bool{7: true}
 	for _, x := range f.instances {
 		x.LetThrough(let)
 	}
-	f.attack(7, 2*time.Second, 100*time.Millisecond, modelContact)
+	f.attack(7, 2*time.Second, 100*time.Millisecond, modelNotice)
 	assert.Assert(t, !x.Refuses(7))
 	x.LetThrough(nil)
 	assert.Assert(t, x.Refuses(7))
--- a/process/quarantine/ledger_test.go
+++ b/process/quarantine/ledger_test.go
@@ -20,7 +20,7 @@
 }
 
 // crashesOf returns a ledger with a crash a second of the given requests.
-func crashesOf(list ...[]request.Fingerprint) *ledger {
+func newCrashLedger(list ...[]request.Fingerprint) *ledger {
 	l := new(ledger)
 	for i, fs := range list {
 		at := time.Duration(i) * time.Second
@@ -29,8 +29,8 @@
 	return l
 }
 
-func blamed(l *ledger) (out []request.Fingerprint) {
-	for _, x := range l.blame(time.Hour) {
+func culpritsOf(l *ledger) (out []request.Fingerprint) {
+	for _, x := range l.culprits(time.Hour) {
 		out = append(out, x.Request)
 	}
 	return out
@@ -38,7 +38,7 @@
 
 // TestRequestAtMostCrashesIsBlamed checks who is blamed, for crashes of one request beside
 // others: 1 is that request.
-func TestRequestAtMostCrashesIsBlamed(t *testing.T) {
+func TestMostFrequentSuspectIsCulprit(t *testing.T) {
 	for name, x := range map[string]struct {
 		crashes [][]request.Fingerprint
 		want    []request.Fingerprint
@@ -54,8 +54,8 @@
 		"crashes that nobody causes": {[][]request.Fingerprint{{1, 2}, {3, 4}, {5, 6}, {7, 1}, {2, 8}}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := crashesOf(x.crashes...)
-			got := blamed(l)
+			l := newCrashLedger(x.crashes...)
+			got := culpritsOf(l)
 			assert.Equal(t, len(got), len(x.want))
 			for _, f := range x.want {
 				assert.Assert(t, got[0] == f || got[len(got)-1] == f)
@@ -66,10 +66,10 @@
 
 // TestExplainedCrashesCountAgainstNobody checks that one which was beside the culprit at
 // three crashes stays free once the culprit is known.
-func TestExplainedCrashesCountAgainstNobody(t *testing.T) {
-	l := crashesOf([]request.Fingerprint{1, 2}, []request.Fingerprint{1, 2}, []request.Fingerprint{1, 2}, []request.Fingerprint{1, 2}, []request.Fingerprint{1})
-	assert.DeepEqual(t, blamed(l), []request.Fingerprint{1})
-	l.explain(1)
+func TestAttributedCrashesDoNotCount(t *testing.T) {
+	l := newCrashLedger([]request.Fingerprint{1, 2}, []request.Fingerprint{1, 2}, []request.Fingerprint{1, 2}, []request.Fingerprint{1, 2}, []request.Fingerprint{1})
+	assert.DeepEqual(t, culpritsOf(l), []request.Fingerprint{1})
+	l.attribute(1)
 	assert.Equal(t, len(l.crashes), 0)
 	for id := range crashID(5) { // told late
 		l.add(id, 0, suspects(2), 0)
@@ -79,29 +79,29 @@
 
 // TestTwoCulpritsAreFoundOneAfterTheOther checks requests that crash in turn, with one
 // beside both.
-func TestTwoCulpritsAreFoundOneAfterTheOther(t *testing.T) {
-	l := crashesOf([]request.Fingerprint{1, 9}, []request.Fingerprint{2}, []request.Fingerprint{1}, []request.Fingerprint{2, 9},
+func TestTwoCulpritsAreFoundInTurn(t *testing.T) {
+	l := newCrashLedger([]request.Fingerprint{1, 9}, []request.Fingerprint{2}, []request.Fingerprint{1}, []request.Fingerprint{2, 9},
 		[]request.Fingerprint{1}, []request.Fingerprint{1}, []request.Fingerprint{2}, []request.Fingerprint{1})
-	assert.DeepEqual(t, blamed(l), []request.Fingerprint{1})
-	l.explain(1)
-	assert.DeepEqual(t, blamed(l), []request.Fingerprint{2})
-	l.explain(2)
-	assert.Equal(t, len(blamed(l)), 0)
+	assert.DeepEqual(t, culpritsOf(l), []request.Fingerprint{1})
+	l.attribute(1)
+	assert.DeepEqual(t, culpritsOf(l), []request.Fingerprint{2})
+	l.attribute(2)
+	assert.Equal(t, len(culpritsOf(l)), 0)
 }
 
 // TestAnsweredRequestIsNoSuspect checks that crashes before an answer do not count, and
 // those after it do.
 func TestAnsweredRequestIsNoSuspect(t *testing.T) {
-	l := crashesOf([]request.Fingerprint{1}, []request.Fingerprint{1}, []request.Fingerprint{1})
-	l.answered(1, 1500*time.Millisecond)
-	assert.Equal(t, len(blamed(l)), 0)
+	l := newCrashLedger([]request.Fingerprint{1}, []request.Fingerprint{1}, []request.Fingerprint{1})
+	l.removeSuspect(1, 1500*time.Millisecond)
+	assert.Equal(t, len(culpritsOf(l)), 0)
 	l.add(4, 4*time.Second, suspects(1), 4*time.Second)
 	l.add(5, 5*time.Second, suspects(1), 5*time.Second)
-	assert.DeepEqual(t, blamed(l), []request.Fingerprint{1})
+	assert.DeepEqual(t, culpritsOf(l), []request.Fingerprint{1})
 }
 
 // TestCrashToldTwiceIsOne checks reports of several instances, and one told again.
-func TestCrashToldTwiceIsOne(t *testing.T) {
+func TestDuplicateReportsAreOneCrash(t *testing.T) {
 	l := new(ledger)
 	for range 5 {
 		l.add(7, 0, suspects(1), 0)
@@ -109,46 +109,46 @@
 	}
 	assert.Equal(t, len(l.crashes), 1)
 	assert.Equal(t, len(l.crashes[0].suspects), 2)
-	assert.Equal(t, len(blamed(l)), 0)
+	assert.Equal(t, len(culpritsOf(l)), 0)
 }
 
 // TestVerdictWaitsForOtherReports checks that a crash which was just told of is not judged.
 func TestVerdictWaitsForOtherReports(t *testing.T) {
-	l := crashesOf([]request.Fingerprint{1}, []request.Fingerprint{1}, []request.Fingerprint{1})
-	assert.Equal(t, len(l.blame(2*time.Second+settleTime-1)), 0)
-	assert.Equal(t, len(l.blame(2*time.Second+settleTime)), 1)
+	l := newCrashLedger([]request.Fingerprint{1}, []request.Fingerprint{1}, []request.Fingerprint{1})
+	assert.Equal(t, len(l.culprits(2*time.Second+settleTime-1)), 0)
+	assert.Equal(t, len(l.culprits(2*time.Second+settleTime)), 1)
 }
 
 // TestLedgerIsBounded checks that crashes without end keep little, and are forgotten.
 func TestLedgerIsBounded(t *testing.T) {
 	l := new(ledger)
-	for i := range 4 * mostCrashes {
+	for i := range 4 * maxCrashes {
 		var fs []request.Fingerprint
-		for j := range 2 * mostSuspects {
+		for j := range 2 * maxSuspects {
 			fs = append(fs, request.Fingerprint(i*1000+j+1))
 		}
 		l.add(crashID(i), time.Duration(i), suspects(fs...), time.Duration(i))
 	}
-	assert.Equal(t, len(l.crashes), mostCrashes)
+	assert.Equal(t, len(l.crashes), maxCrashes)
 	for _, c := range l.crashes {
-		assert.Equal(t, len(c.suspects), mostSuspects)
+		assert.Equal(t, len(c.suspects), maxSuspects)
 	}
-	l.add(1, 2*crashMemory, nil, 2*crashMemory)
+	l.add(1, 2*crashLifetime, nil, 2*crashLifetime)
 	assert.Equal(t, len(l.crashes), 1)
 }
 
 // BenchmarkVerdict measures a verdict over a full ledger.
 func BenchmarkVerdict(b *testing.B) {
 	l := new(ledger)
-	for i := range mostCrashes {
+	for i := range maxCrashes {
 		var fs []request.Fingerprint
-		for j := range mostSuspects {
+		for j := range maxSuspects {
 			fs = append(fs, request.Fingerprint(i*1000+j+1))
 		}
 		l.add(crashID(i), 0, suspects(fs...), 0)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		l.blame(time.Hour)
+		l.culprits(time.Hour)
 	}
 }
--- a/process/quarantine/list.go
+++ b/process/quarantine/list.go
@@ -30,7 +30,7 @@
 
 // mark mixes request and stamp, so that the marks of two lists differ where they do (the
 // finalizer of MurmurHash3).
-func (e Entry) mark() uint64 {
+func (e Entry) hash() uint64 {
 	x := uint64(e.Request) ^ (uint64(e.Stamp)+1)*0x9e3779b97f4a7c15
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -55,11 +55,11 @@
 		return false
 	}
 	if known {
-		l.digest ^= old.mark()
+		l.digest ^= old.hash()
 	}
 	l.entries[e.Request] = e
-	l.digest ^= e.mark()
-	for len(l.entries) > MostEntries {
+	l.digest ^= e.hash()
+	for len(l.entries) > MaxEntries {
 		l.drop(l.sorted()[0])
 	}
 	_, kept := l.entries[e.Request]
@@ -68,7 +68,7 @@
 
 func (l *list) drop(e Entry) {
 	delete(l.entries, e.Request)
-	l.digest ^= e.mark()
+	l.digest ^= e.hash()
 }
 
 // sorted returns the entries, the one to be dropped first before the others: the oldest.
--- a/process/quarantine/list_test.go
+++ b/process/quarantine/list_test.go
@@ -19,7 +19,7 @@
 
 // TestListsThatHeardTheSameAreTheSame checks that neither the order of entries nor how often
 // they come matters, and that digests are equal just then.
-func TestListsThatHeardTheSameAreTheSame(t *testing.T) {
+func TestListsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Entry { return drawEntry(t, 8) }), 0, 30).Draw(t, "entries")
 		a, b := newList(), newList()
@@ -41,16 +41,16 @@
 }
 
 // TestListKeepsTheNewest checks the bound, and that lists agree on what they drop.
-func TestListKeepsTheNewest(t *testing.T) {
+func TestListKeepsNewestEntries(t *testing.T) {
 	a, b := newList(), newList()
-	n := 2 * MostEntries
+	n := 2 * MaxEntries
 	for i := range n {
 		a.merge(Entry{Request: request.Fingerprint(i + 1), Stamp: 1, At: int64(i)})
 		b.merge(Entry{Request: request.Fingerprint(n - i), Stamp: 1, At: int64(n - 1 - i)})
 	}
-	assert.Equal(t, len(a.entries), MostEntries)
+	assert.Equal(t, len(a.entries), MaxEntries)
 	assert.DeepEqual(t, a.sorted(), b.sorted())
 	assert.Equal(t, a.digest, b.digest)
-	assert.Equal(t, a.sorted()[0].At, int64(n-MostEntries))
+	assert.Equal(t, a.sorted()[0].At, int64(n-MaxEntries))
 	assert.Assert(t, !a.merge(Entry{Request: 1, Stamp: 1}), "one that is dropped at once is no news")
 }
--- a/process/quarantine/quarantine.go
+++ b/process/quarantine/quarantine.go
@@ -29,22 +29,22 @@
 	TimeOfDay func() time.Time
 
 	refused atomic.Pointer[map[request.Fingerprint]bool] // nil: none
-	learned chan struct{}                                // closed once the instance knows what others knew at its start
+	synced  chan struct{}                                // closed once the instance knows what others knew at its start
 	wake    chan struct{}
-	answers answered
-
-	mu      sync.Mutex
-	list    *list
-	let     map[request.Fingerprint]bool // operators let them through
-	ledgers map[string]*ledger           // by service
-	reports []*pending
-	seq     uint32
+	answers answerCache
+
+	mu         sync.Mutex
+	list       *list
+	letThrough map[request.Fingerprint]bool // operators let them through
+	ledgers    map[string]*ledger           // by service
+	reports    []*pendingReport
+	seq        uint32
 }
 
 // New returns a quarantine that knows of nothing.
 func New() *Quarantine {
 	return &Quarantine{
-		list: newList(), ledgers: make(map[string]*ledger), wake: make(chan struct{}, 1), learned: make(chan struct{}), TimeOfDay: time.Now,
+		list: newList(), ledgers: make(map[string]*ledger), wake: make(chan struct{}, 1), synced: make(chan struct{}), TimeOfDay: time.Now,
 	}
 }
 
@@ -55,20 +55,20 @@
 }
 
 // Answered notes that a backend server answered a request.
-func (q *Quarantine) Answered(f request.Fingerprint) { q.answers.note(f, q.Now()) }
+func (q *Quarantine) RecordAnswer(f request.Fingerprint) { q.answers.record(f, q.Now()) }
 
 // Crashed takes up the end of a backend server with what was in flight there from this
 // instance.
-func (q *Quarantine) Crashed(c crash.Crash) {
+func (q *Quarantine) RecordCrash(c crash.Crash) {
 	q.mu.Lock()
 	now := q.Now()
 	q.reports = append(q.reports, q.newReport(c, now))
-	if len(q.reports) > mostReports {
+	if len(q.reports) > maxReports {
 		q.reports = q.reports[1:]
 	}
 	out := q.sendReports(now)
 	q.mu.Unlock()
-	q.sendOut(out)
+	q.sendMessages(out)
 	q.wakeUp()
 }
 
@@ -87,40 +87,40 @@
 func (q *Quarantine) Tick() (idle bool) {
 	q.mu.Lock()
 	now := q.Now()
-	out := append(q.sendReports(now), q.judge(now)...)
-	idle = q.settled(now)
+	out := append(q.sendReports(now), q.quarantineCulprits(now)...)
+	idle = q.idle(now)
 	q.mu.Unlock()
-	q.sendOut(out)
+	q.sendMessages(out)
 	return idle
 }
 
-func (q *Quarantine) sendOut(list []message) {
+func (q *Quarantine) sendMessages(list []message) {
 	for _, m := range list {
 		if m.address == "" {
-			q.SendAll(m.text)
+			q.SendAll(m.payload)
 		} else {
-			q.Send(m.address, m.text)
+			q.Send(m.address, m.payload)
 		}
 	}
 }
 
 // judge finds the culprits, and returns what to tell of them. The caller holds the lock.
-func (q *Quarantine) judge(now time.Duration) (out []message) {
+func (q *Quarantine) quarantineCulprits(now time.Duration) (out []message) {
 	for service, l := range q.ledgers {
-		for _, x := range l.blame(now) {
-			if at, ok := q.answers.last(x.Request); ok && at > x.first {
-				l.answered(x.Request, at)
+		for _, x := range l.culprits(now) {
+			if at, ok := q.answers.last(x.Request); ok && at > x.firstCrash {
+				l.removeSuspect(x.Request, at)
 				continue
 			}
-			l.explain(x.Request)
-			if q.let[x.Request] {
+			l.attribute(x.Request)
+			if q.letThrough[x.Request] {
 				continue // an operator has decided
 			}
 			e := q.list.entries[x.Request]
 			e.Request, e.Service, e.Path, e.Crashes = x.Request, service, x.Path, x.crashes
 			e.At = q.TimeOfDay().UnixMilli()
 			e.Stamp += 1 + e.Stamp%2 // odd; one that is in quarantine is blamed anew only after it was let through
-			out = append(out, q.change(e, now-x.first)...)
+			out = append(out, q.announce(e, now-x.firstCrash)...)
 		}
 	}
 	return out
@@ -128,9 +128,9 @@
 
 // change takes up an entry that this instance has made, and returns the message that tells
 // the others. The caller holds the lock.
-func (q *Quarantine) change(e Entry, first time.Duration) []message {
+func (q *Quarantine) announce(e Entry, first time.Duration) []message {
 	q.merge(e, "")
-	text, err := encode(kindEntry, &told{Entry: e, FirstMs: milliseconds(first)})
+	text, err := encode(kindEntry, &entryUpdate{Entry: e, FirstMs: milliseconds(first)})
 	if err != nil {
 		q.Log.Error().Err(err).Msg("quarantine-entry-failed")
 		return nil
@@ -148,20 +148,20 @@
 	if e.Quarantined() {
 		event = "request-quarantined"
 		for _, l := range q.ledgers {
-			l.explain(e.Request)
+			l.attribute(e.Request)
 		}
 	}
 	q.Log.Warn().Str("request", e.Request.String()).Str("service", e.Service).Str("path", e.Path).Int("crashes", e.Crashes).
 		Uint32("stamp", e.Stamp).Str("from", from).Int("quarantined", len(q.list.entries)).Msg(event)
-	q.publish()
+	q.updateRefused()
 	return true
 }
 
 // publish sets what is refused. The caller holds the lock.
-func (q *Quarantine) publish() {
+func (q *Quarantine) updateRefused() {
 	refused := make(map[request.Fingerprint]bool)
 	for f, e := range q.list.entries {
-		if e.Quarantined() && !q.let[f] {
+		if e.Quarantined() && !q.letThrough[f] {
 			refused[f] = true
 		}
 	}
@@ -176,19 +176,19 @@
 func (q *Quarantine) LetThrough(let map[request.Fingerprint]bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.logLet(let)
-	q.let = let
-	q.publish()
+	q.logLetThrough(let)
+	q.letThrough = let
+	q.updateRefused()
 }
 
 // logLet writes what operators have changed. The caller holds the lock.
-func (q *Quarantine) logLet(let map[request.Fingerprint]bool) {
+func (q *Quarantine) logLetThrough(let map[request.Fingerprint]bool) {
 	for f := range let {
-		if !q.let[f] {
+		if !q.letThrough[f] {
 			q.Log.Warn().Str("request", f.String()).Msg("request-let-through")
 		}
 	}
-	for f := range q.let {
+	for f := range q.letThrough {
 		if !let[f] {
 			q.Log.Warn().Str("request", f.String()).Msg("request-not-let-through")
 		}
--- a/process/quarantine/report.go
+++ b/process/quarantine/report.go
@@ -23,29 +23,29 @@
 
 // pending is a report that is kept for the case that it gets lost, or that another
 // instance becomes the owner.
-type pending struct {
-	report report
-	at     time.Duration
-	sent   time.Duration // when it was last sent
+type pendingReport struct {
+	report    report
+	createdAt time.Duration
+	sentAt    time.Duration // when it was last sent
 	// confirmedBy is the name of the owner that has taken it up, and heldBy that of the
 	// owner within the region; "": none.
-	confirmedBy, heldBy string
-	counted             bool // in the own ledger
+	confirmedBy, regionalBy string
+	addedHere               bool // in the own ledger
 }
 
 // identify returns what all instances call one end of a backend server.
-func identify(c crash.Crash) crashID {
+func crashIDOf(c crash.Crash) crashID {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(c.Incarnation))
 	return crashID(xxhash.Sum64(append(b[:], c.Backend...)))
 }
 
 // newReport returns the report of a crash, to be sent. The caller holds the lock.
-func (q *Quarantine) newReport(c crash.Crash, now time.Duration) *pending {
+func (q *Quarantine) newReport(c crash.Crash, now time.Duration) *pendingReport {
 	q.seq++
-	p := &pending{at: now, report: report{Seq: q.seq, Crash: identify(c), Service: c.Service}}
+	p := &pendingReport{createdAt: now, report: report{Seq: q.seq, Crash: crashIDOf(c), Service: c.Service}}
 	for _, s := range c.Suspects {
-		p.report.Suspects = append(p.report.Suspects, reported{Request: s.Request, Path: s.Path[:min(len(s.Path), mostPath)]})
+		p.report.Suspects = append(p.report.Suspects, reportedSuspect{Request: s.Request, Path: s.Path[:min(len(s.Path), maxPathBytes)]})
 	}
 	return p
 }
@@ -53,42 +53,42 @@
 // message is one to be sent once the lock is free.
 type message struct {
 	address string // "": to all
-	text    []byte
+	payload []byte
 }
 
 // sendReports returns the reports that are due, and takes up those that are the instance's
 // own. The caller holds the lock.
 func (q *Quarantine) sendReports(now time.Duration) (out []message) {
-	q.reports = slices.DeleteFunc(q.reports, func(p *pending) bool { return now-p.at > reportFor })
+	q.reports = slices.DeleteFunc(q.reports, func(p *pendingReport) bool { return now-p.createdAt > reportLifetime })
 	for _, p := range q.reports {
 		owner, regional := q.Owners(p.report.Service)
-		age := now - p.at
+		age := now - p.createdAt
 		switch {
 		case owner.self():
-			q.countOnce(p, now)
+			q.addOwnReport(p, now)
 		case p.confirmedBy == owner.Name:
-		case age > selfAfter && p.heldBy == "":
-			q.countOnce(p, now)
-		case age > regionAfter && regional.self():
-			q.countOnce(p, now)
+		case age > selfAfter && p.regionalBy == "":
+			q.addOwnReport(p, now)
+		case age > regionalAfter && regional.self():
+			q.addOwnReport(p, now)
 		}
-		if p.sent != 0 && now-p.sent < resendPause {
+		if p.sentAt != 0 && now-p.sentAt < resendInterval {
 			continue
 		}
 		if !owner.self() && p.confirmedBy != owner.Name {
-			out = append(out, q.send(p, owner, now)...)
+			out = append(out, q.sendReport(p, owner, now)...)
 		}
-		if age > regionAfter && p.confirmedBy == "" && p.heldBy == "" && !regional.self() {
-			out = append(out, q.send(p, regional, now)...)
+		if age > regionalAfter && p.confirmedBy == "" && p.regionalBy == "" && !regional.self() {
+			out = append(out, q.sendReport(p, regional, now)...)
 		}
 	}
 	return out
 }
 
-func (q *Quarantine) send(p *pending, to Owner, now time.Duration) []message {
-	p.sent = now
+func (q *Quarantine) sendReport(p *pendingReport, to Owner, now time.Duration) []message {
+	p.sentAt = now
 	r := p.report
-	r.AgeMs = milliseconds(now - p.at)
+	r.AgeMs = milliseconds(now - p.createdAt)
 	text, err := encode(kindReport, &r)
 	if err != nil {
 		q.Log.Error().Err(err).Msg("quarantine-report-failed")
@@ -98,19 +98,19 @@
 }
 
 // countOnce takes a report up in the own ledger. The caller holds the lock.
-func (q *Quarantine) countOnce(p *pending, now time.Duration) {
-	if p.counted {
+func (q *Quarantine) addOwnReport(p *pendingReport, now time.Duration) {
+	if p.addedHere {
 		return
 	}
-	p.counted = true
-	q.count(&p.report, p.at, now)
+	p.addedHere = true
+	q.addReport(&p.report, p.createdAt, now)
 }
 
 // count takes up a report. The caller holds the lock.
-func (q *Quarantine) count(r *report, at, now time.Duration) {
+func (q *Quarantine) addReport(r *report, at, now time.Duration) {
 	l := q.ledgers[r.Service]
 	if l == nil {
-		if len(q.ledgers) >= mostServices {
+		if len(q.ledgers) >= maxServices {
 			q.Log.Warn().Str("service", r.Service).Msg("quarantine-full")
 			return
 		}
@@ -120,7 +120,7 @@
 	suspects := make([]crash.Suspect, 0, len(r.Suspects))
 	for _, s := range r.Suspects {
 		if q.list.entries[s.Request].Quarantined() {
-			l.explainCrash(r.Crash)
+			l.attributeCrash(r.Crash)
 			return
 		}
 		suspects = append(suspects, crash.Suspect{Request: s.Request, Path: s.Path})
@@ -130,14 +130,14 @@
 
 // settled reports whether nothing has to be sent or decided: all reports were taken up,
 // and the ledgers have no news.
-func (q *Quarantine) settled(now time.Duration) bool {
+func (q *Quarantine) idle(now time.Duration) bool {
 	for _, p := range q.reports {
-		if !p.counted && p.confirmedBy == "" {
+		if !p.addedHere && p.confirmedBy == "" {
 			return false
 		}
 	}
 	for _, l := range q.ledgers {
-		if n := len(l.crashes); n > 0 && slices.ContainsFunc(l.crashes, func(c *crashed) bool { return now-c.told <= 2*settleTime }) {
+		if n := len(l.crashes); n > 0 && slices.ContainsFunc(l.crashes, func(c *crashRecord) bool { return now-c.updatedAt <= 2*settleTime }) {
 			return false
 		}
 	}
--- a/process/quarantine/wire.go
+++ b/process/quarantine/wire.go
@@ -17,15 +17,15 @@
 // The first byte of a message says what it is. 1 and 2 are those of quotas, 3 and 4 those of
 // roll-outs.
 const (
-	kindReport    = 5
-	kindConfirmed = 6
-	kindEntry     = 7
-	kindAnswered  = 8
+	kindReport       = 5
+	kindConfirmation = 6
+	kindEntry        = 7
+	kindObjection    = 8
 )
 
 // mostPath bounds a path in a message, in bytes, so that a report of crash.MostSuspects
 // fits in a datagram of 2 kB.
-const mostPath = 56
+const maxPathBytes = 56
 
 // report is what an instance tells the owner of a service: that requests were in flight at a
 // crash.
@@ -34,21 +34,21 @@
 	Crash    crashID
 	Service  string
 	AgeMs    uint32 // of the crash
-	Suspects []reported
+	Suspects []reportedSuspect
 }
 
-type reported struct {
+type reportedSuspect struct {
 	Request request.Fingerprint
 	Path    string
 }
 
 // confirmed says that a report was taken up.
-type confirmed struct {
+type confirmation struct {
 	Seq uint32
 }
 
 // told is an entry, with the age of the first crash that it was made from.
-type told struct {
+type entryUpdate struct {
 	Entry   Entry
 	FirstMs uint32
 }
@@ -87,7 +87,7 @@
 // decodeReport reads a report and checks its bounds.
 func decodeReport(text []byte) (report, error) {
 	r, err := decode[report](text)
-	if err == nil && len(r.Suspects) > crash.MostSuspects {
+	if err == nil && len(r.Suspects) > crash.MaxSuspects {
 		return r, errors.Errorf("report of %d suspects", len(r.Suspects))
 	}
 	return r, err
--- a/retry/window.go
+++ b/retry/window.go
@@ -61,7 +61,7 @@
 }
 
 // Request counts a request for a service.
-func (w *Window) Request(service string, now time.Duration) {
+func (w *Window) RecordRequest(service string, now time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c, i := w.at(service, now)
@@ -69,7 +69,7 @@
 }
 
 // Retry takes one retry, or reports that none is left.
-func (w *Window) Retry(service string, now time.Duration) bool {
+func (w *Window) TryRetry(service string, now time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c, at := w.at(service, now)
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -9,32 +9,32 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestWindowForgets(t *testing.T) {
+func TestWindowExpires(t *testing.T) {
 	w := &Window{Span: 10 * time.Second, Fixed: 2, Instances: func() int { return 1 }}
 	now := time.Hour
 	for range 2 {
-		assert.Assert(t, w.Retry("s", now))
+		assert.Assert(t, w.TryRetry("s", now))
 	}
-	assert.Assert(t, !w.Retry("s", now))
-	assert.Assert(t, w.Retry("t", now), "services are counted apart")
+	assert.Assert(t, !w.TryRetry("s", now))
+	assert.Assert(t, w.TryRetry("t", now), "services are counted apart")
 	now += 11 * time.Second
-	assert.Assert(t, w.Retry("s", now))
+	assert.Assert(t, w.TryRetry("s", now))
 }
 
 // TestSuspensionGivesNoRetriesTwice lets a clock jump by less than the span, as after a suspension
 // of the machine: what was retried within the span goes on counting, whatever part of it the
 // machine stood still.
-func TestSuspensionGivesNoRetriesTwice(t *testing.T) {
+func TestClockJumpGrantsNoExtraRetries(t *testing.T) {
 	const span, jump = 10 * time.Second, 5 * time.Second
 	w := &Window{Span: span, Fixed: 2, Instances: func() int { return 1 }}
 	now := time.Hour
 	for range 2 {
-		assert.Assert(t, w.Retry("s", now))
+		assert.Assert(t, w.TryRetry("s", now))
 	}
 	now += jump
-	assert.Assert(t, !w.Retry("s", now), "the retries are 5 s old")
+	assert.Assert(t, !w.TryRetry("s", now), "the retries are 5 s old")
 	now += jump - time.Second
-	assert.Assert(t, !w.Retry("s", now), "they are 9 s old")
+	assert.Assert(t, !w.TryRetry("s", now), "they are 9 s old")
 	now += jump
-	assert.Assert(t, w.Retry("s", now))
+	assert.Assert(t, w.TryRetry("s", now))
 }
