--- a/process/crash/detector_test.go
+++ b/process/crash/detector_test.go
@@ -19,22 +19,22 @@
 
 var errRefused = &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 
-// told collects crashes.
+// crashLog collects the reported crashes.
 type crashLog struct {
 	mu   sync.Mutex
 	list []Crash
 }
 
-func (t *crashLog) add(c Crash) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.list = append(t.list, c)
+func (l *crashLog) add(c Crash) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.list = append(l.list, c)
 }
 
-func (t *crashLog) suspects() (n int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, c := range t.list {
+func (l *crashLog) suspects() (n int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, c := range l.list {
 		n += len(c.Suspects)
 	}
 	return n
@@ -48,61 +48,60 @@
 
 func newDetector() (*Detector, *crashLog, *atomic.Int64) {
 	var now atomic.Int64
-	t := &crashLog{}
-	return &Detector{Now: func() time.Duration { return time.Duration(now.Load()) }, OnCrash: t.add}, t, &now
+	log := &crashLog{}
+	return &Detector{Now: func() time.Duration { return time.Duration(now.Load()) }, OnCrash: log.add}, log, &now
 }
 
-// TestRequestsThatAreLostTogetherAreOneCrash checks that what was in flight at a process
-// that ended is told, with one connection opened for all of it, and late ones as well.
+// TestLostRequestsAreOneCrash checks that the requests in flight at a process that ended are
+// reported together, with a single probe, and late ones as well.
 func TestLostRequestsAreOneCrash(t *testing.T) {
-	w, got, _ := newDetector()
+	d, got, _ := newDetector()
 	var opened atomic.Int64
 	open := func() error { opened.Add(1); return errRefused }
 	for i := range 3 {
-		w.RecordLoss(lossAt("u", i, open))
+		d.RecordLoss(lossAt("u", i, open))
 	}
 	time.Sleep(4 * gatherDelay)
 	assert.Equal(t, got.suspects(), 3)
-	w.RecordLoss(lossAt("u", 3, open))
+	d.RecordLoss(lossAt("u", 3, open))
 	assert.Equal(t, got.suspects(), 4)
 	assert.Equal(t, opened.Load(), int64(1))
 }
 
-// TestBackendThatLivesHasNotCrashed checks that neither one that takes connections nor one
-// that is silent counts.
+// TestLiveBackendHasNotCrashed checks that a backend server that accepts connections, does not
+// respond or is unreachable does not count as crashed.
 func TestLiveBackendHasNotCrashed(t *testing.T) {
 	for _, err := range []error{nil, os.ErrDeadlineExceeded, syscall.EHOSTUNREACH} {
-		w, got, _ := newDetector()
-		w.RecordLoss(lossAt("u", 1, func() error { return err }))
+		d, got, _ := newDetector()
+		d.RecordLoss(lossAt("u", 1, func() error { return err }))
 		time.Sleep(4 * gatherDelay)
 		assert.Equal(t, got.suspects(), 0, "%v", err)
-		w.RecordLoss(lossAt("u", 1, refuse)) // it is asked anew
+		d.RecordLoss(lossAt("u", 1, refuse)) // probed again
 		time.Sleep(4 * gatherDelay)
 		assert.Equal(t, got.suspects(), 1)
 	}
 }
 
-// TestBackendThatIsBackCanCrashAgain checks that a second end under the same name is a
-// crash of its own.
+// TestRestartedBackendCanCrashAgain checks that a second crash under the same name is reported.
 func TestRestartedBackendCanCrashAgain(t *testing.T) {
-	w, got, now := newDetector()
+	d, got, now := newDetector()
 	for range 2 {
-		w.RecordLoss(lossAt("u", 1, refuse))
+		d.RecordLoss(lossAt("u", 1, refuse))
 		time.Sleep(4 * gatherDelay)
 		now.Add(int64(crashWindow))
 	}
 	assert.Equal(t, got.suspects(), 2)
 }
 
-// TestWatchIsBounded checks that many losses at many backend servers keep little.
+// TestDetectorIsBounded checks the limits for many losses at many backend servers.
 func TestDetectorIsBounded(t *testing.T) {
-	w, got, _ := newDetector()
+	d, got, _ := newDetector()
 	for b := range 3 * maxCandidates {
 		for i := range 2 * MaxSuspects {
-			w.RecordLoss(lossAt(fmt.Sprint("u", b), i, refuse))
+			d.RecordLoss(lossAt(fmt.Sprint("u", b), i, refuse))
 		}
 	}
 	time.Sleep(8 * gatherDelay)
 	assert.Assert(t, got.suspects() <= maxCandidates*MaxSuspects, "%d", got.suspects())
-	assert.Assert(t, len(w.candidates) <= maxCandidates)
+	assert.Assert(t, len(d.candidates) <= maxCandidates)
 }
--- a/process/quarantine/answered.go
+++ b/process/quarantine/answered.go
@@ -9,8 +9,8 @@
 	"shalewick/request"
 )
 
-// answered remembers which requests were answered lately. A newer one takes the place of
-// an older one with the same last bits. The zero value is ready.
+// answerCache remembers which requests were answered recently. A request replaces an older one
+// with the same low bits of the fingerprint. The zero value is ready to use.
 type answerCache struct {
 	mu    sync.Mutex
 	slots [answerSlots]struct {
@@ -26,7 +26,7 @@
 	s.request, s.at = f, now
 }
 
-// last returns when a request was answered last. Ok is false if that is not known.
+// last returns when a request was last answered. Ok is false if that is not known.
 func (a *answerCache) last(f request.Fingerprint) (at time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/process/quarantine/doc.go
+++ b/process/quarantine/doc.go
@@ -1,19 +1,20 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package quarantine finds requests that crash the backend servers that run them, and
+Package quarantine identifies requests that crash the backend servers that run them, and
 refuses them.
 
-	q.Crashed(c)        // a backend server ended; c has what was in flight there
-	q.Answered(print)   // a request was answered whole
-	q.Refuses(print)    // whether a request is in quarantine
+	q.RecordCrash(c)         // a backend server crashed; c has the requests in flight there
+	q.RecordAnswer(print)    // a request was answered completely
+	q.Refuses(print)         // reports whether a request is in quarantine
 
-Instances report crashes to the owner of the service (report.go), which keeps them in
-a ledger and finds the request that is at most of them (ledger.go). Its verdict is an
-Entry, which all instances keep in a List (list.go). An instance that has answered the
-request meanwhile objects, and the entry is withdrawn.
+Instances report crashes to the owner of the service (report.go). The owner keeps them in a
+ledger and looks for the request that was in flight at most of them (ledger.go). Its verdict
+is an Entry, which all instances keep in a list (list.go). An instance that has answered the
+request since then sends an objection, and the entry is withdrawn.
 
-Entries have a stamp that rises with each change, and lists are merged by it, so it does
-not matter from whom an instance learns them, how often, or in which order.
+Entries have a stamp that increases with each change, and lists are merged by stamp. The
+result therefore does not depend on the instances that entries come from, on duplicates, or on
+their order.
 */
 package quarantine
--- a/process/quarantine/exchange.go
+++ b/process/quarantine/exchange.go
@@ -8,13 +8,13 @@
 	"shalewick/request"
 )
 
-// Hear takes up a message of another instance from its address, and reports whether it is
-// one of a quarantine.
-func (q *Quarantine) Receive(from string, text []byte) bool {
-	if len(text) == 0 || text[0] < kindReport || text[0] > kindObjection {
+// Receive processes a message from the address of another instance, and reports whether it is
+// a quarantine message.
+func (q *Quarantine) Receive(from string, payload []byte) bool {
+	if len(payload) == 0 || payload[0] < kindReport || payload[0] > kindObjection {
 		return false
 	}
-	kind, body := text[0], text[1:]
+	kind, body := payload[0], payload[1:]
 	var err error
 	switch kind {
 	case kindReport:
@@ -37,7 +37,7 @@
 	if err != nil {
 		return err
 	}
-	text, err := encode(kindConfirmation, &confirmation{Seq: r.Seq})
+	payload, err := encode(kindConfirmation, &confirmation{Seq: r.Seq})
 	if err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 	now := q.Now()
 	q.addReport(&r, now-duration(r.AgeMs), now)
 	q.mu.Unlock()
-	q.Send(from, text)
+	q.Send(from, payload)
 	q.wakeUp()
 	return nil
 }
@@ -72,30 +72,30 @@
 	return nil
 }
 
-// hearEntry takes up an entry, and objects if this instance has answered the request since
-// the first crash that it is blamed for.
+// receiveEntry merges an entry, and objects if this instance has answered the request since
+// the first crash attributed to it.
 func (q *Quarantine) receiveEntry(from string, body []byte) error {
-	t, err := decode[entryUpdate](body)
+	u, err := decode[entryUpdate](body)
 	if err != nil {
 		return err
 	}
 	q.mu.Lock()
 	now := q.Now()
-	news := q.merge(t.Entry, from)
+	isNew := q.merge(u.Entry, from)
 	q.mu.Unlock()
-	at, answered := q.answers.last(t.Entry.Request)
-	if !news || !t.Entry.Quarantined() || !answered || at <= now-duration(t.FirstMs) {
+	answeredAt, answered := q.answers.last(u.Entry.Request)
+	if !isNew || !u.Entry.Quarantined() || !answered || answeredAt <= now-duration(u.FirstMs) {
 		return nil
 	}
-	text, err := encode(kindObjection, &objection{Request: t.Entry.Request, Stamp: t.Entry.Stamp})
+	payload, err := encode(kindObjection, &objection{Request: u.Entry.Request, Stamp: u.Entry.Stamp})
 	if err != nil {
 		return err
 	}
-	q.Send(from, text)
+	q.Send(from, payload)
 	return nil
 }
 
-// hearObjection withdraws an entry.
+// receiveObjection withdraws an entry.
 func (q *Quarantine) receiveObjection(_ string, body []byte) error {
 	o, err := decode[objection](body)
 	if err != nil {
@@ -113,14 +113,14 @@
 	return nil
 }
 
-// Digest tells whether two instances know the same entries: then theirs are equal.
+// Digest returns a digest that is equal for two instances if they know the same entries.
 func (q *Quarantine) Digest() uint64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.list.digest
 }
 
-// Learned reports whether the instance knows what others knew when it started.
+// Synced reports whether the instance has the entries that others had when it started.
 func (q *Quarantine) Synced() bool {
 	select {
 	case <-q.synced:
@@ -130,11 +130,10 @@
 	}
 }
 
-// LearnedAll returns a channel that is closed once Learned.
+// SyncDone returns a channel that is closed once Synced returns true.
 func (q *Quarantine) SyncDone() <-chan struct{} { return q.synced }
 
-// Learn takes up entries that were kept somewhere, and notes that what was known at the
-// start is known now.
+// LoadEntries merges entries that were stored, and marks the instance as synced.
 func (q *Quarantine) LoadEntries(entries []Entry, from string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -142,22 +141,21 @@
 	q.markSynced()
 }
 
-// takeUp merges a list. The caller holds the lock.
+// mergeAll merges a list of entries. The caller must hold q.mu.
 func (q *Quarantine) mergeAll(entries []Entry, from string) {
 	for _, e := range entries {
 		q.merge(e, from)
 	}
 }
 
-// noteLearned says that what was known at the start is known now. The caller holds the lock.
+// markSynced marks the instance as synced. The caller must hold q.mu.
 func (q *Quarantine) markSynced() {
 	if !q.Synced() {
 		close(q.synced)
 	}
 }
 
-// Crashes returns how many backend servers had ended under a request when it went into
-// quarantine.
+// CrashCount returns the number of crashes attributed to a request when it was quarantined.
 func (q *Quarantine) CrashCount(f request.Fingerprint) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -171,7 +169,7 @@
 	return q.list.entries[f].Service
 }
 
-// Count returns the number of requests that are refused.
+// Count returns the number of refused requests.
 func (q *Quarantine) Count() int {
 	m := q.refused.Load()
 	if m == nil {
@@ -180,34 +178,34 @@
 	return len(*m)
 }
 
-// Entries returns what the instance knows, the oldest first.
+// Entries returns all known entries, oldest first.
 func (q *Quarantine) Entries() []Entry {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.list.sorted()
 }
 
-// Reply returns the list for another instance that asks for it.
+// EncodeReply returns the list for another instance that requests it.
 func (q *Quarantine) EncodeReply() ([]byte, error) {
-	text, err := encode(0, &reply{Learned: q.Synced(), Entries: q.Entries()})
+	payload, err := encode(0, &reply{Learned: q.Synced(), Entries: q.Entries()})
 	if err != nil {
 		return nil, err
 	}
-	return text[1:], nil
+	return payload[1:], nil
 }
 
-// errNotLearned says that the instance that was asked waits for others itself.
-const errNotSynced = errors.ConstError("the other instance has not learned the quarantine yet")
+// errNotSynced is returned if the other instance is not synced itself.
+const errNotSynced = errors.ConstError("the other instance has not received the quarantine entries yet")
 
-// TakeReply takes up the list of another instance. The entries count even if it has not
-// learned all itself, which the error says.
-func (q *Quarantine) MergeReply(text []byte, from string) error {
-	r, err := decode[reply](text)
+// MergeReply merges the list of another instance. Its entries are merged even if that instance
+// is not synced itself, for which the error is errNotSynced.
+func (q *Quarantine) MergeReply(payload []byte, from string) error {
+	r, err := decode[reply](payload)
 	if err != nil {
 		return err
 	}
 	if len(r.Entries) > MaxEntries {
-		return errors.Errorf("list of %d entries", len(r.Entries))
+		return errors.Errorf("list with %d entries exceeds the maximum", len(r.Entries))
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/process/quarantine/fleet_test.go
+++ b/process/quarantine/fleet_test.go
@@ -15,8 +15,9 @@
 	"shalewick/request"
 )
 
-// fleet is a model of instances that tell each other of crashes: datagrams take a while and
-// some are lost; who differs from another one asks it for its list at a beat.
+// fleet simulates instances that report crashes to each other. Datagrams are delayed and some
+// are lost. On each heartbeat an instance requests the list of another one if their digests
+// differ.
 type fleet struct {
 	now          time.Duration
 	random       *rand.Rand
@@ -25,8 +26,8 @@
 	loss         float64
 	datagrams    int
 	bytes        int
-	crashes      int                   // backend servers
-	lastSuspects []request.Fingerprint // that crash nothing and were at the last crash
+	crashes      int                   // names the backend servers
+	lastSuspects []request.Fingerprint // harmless requests in flight at the last crash
 }
 
 type instance struct {
@@ -34,11 +35,11 @@
 	fleet         *fleet
 	name          string
 	region        int
-	down          bool // it neither sends nor hears
+	down          bool // neither sends nor receives
 	nextHeartbeat time.Duration
 }
 
-// flying is a datagram on its way.
+// datagram is a message in flight.
 type datagram struct {
 	at       time.Duration
 	from, to *instance
@@ -66,10 +67,10 @@
 	x.Now = func() time.Duration { return f.now }
 	x.Log = zerolog.Nop()
 	x.Owners = x.owners
-	x.Send = func(to string, text []byte) { x.send(f.find(to), text) }
-	x.SendAll = func(text []byte) {
+	x.Send = func(to string, payload []byte) { x.send(f.find(to), payload) }
+	x.SendAll = func(payload []byte) {
 		for _, to := range f.instances {
-			x.send(to, text)
+			x.send(to, payload)
 		}
 	}
 	f.instances = append(f.instances, x)
@@ -85,10 +86,10 @@
 	return nil
 }
 
-// owners takes the first instance for the owner, and the first of the region: down or not,
-// since nobody has noticed yet.
+// owners returns the first instance as the owner, and the first of the region as the regional
+// owner, whether down or not: the failure has not been detected yet.
 func (x *instance) owners(string) (owner, regional Owner) {
-	of := func(o *instance) Owner {
+	asOwner := func(o *instance) Owner {
 		if o == x {
 			return Owner{Name: o.name}
 		}
@@ -96,30 +97,30 @@
 	}
 	for _, o := range x.fleet.instances {
 		if o.region == x.region {
-			return of(x.fleet.instances[0]), of(o)
+			return asOwner(x.fleet.instances[0]), asOwner(o)
 		}
 	}
-	panic("it is in its own region")
+	panic("the instance is in its own region")
 }
 
-func (x *instance) send(to *instance, text []byte) {
+func (x *instance) send(to *instance, payload []byte) {
 	f := x.fleet
 	if to == nil || to == x || x.down || to.down {
 		return
 	}
 	f.datagrams++
-	f.bytes += len(text)
+	f.bytes += len(payload)
 	if f.random.Float64() < f.loss {
 		return
 	}
-	took := regionalDelay
+	delay := regionalDelay
 	if to.region != x.region {
-		took = remoteDelay
+		delay = remoteDelay
 	}
-	f.inFlight = append(f.inFlight, datagram{f.now + took, x, to, text})
+	f.inFlight = append(f.inFlight, datagram{f.now + delay, x, to, payload})
 }
 
-// step lets time pass.
+// step advances the clock.
 func (f *fleet) step() {
 	f.now += modelStep
 	due := f.inFlight
@@ -146,35 +147,35 @@
 	}
 }
 
-// compare compares the list with that of another instance, as beats do.
+// exchangeLists compares the digest with that of a random instance, and requests its list if
+// they differ.
 func (x *instance) exchangeLists() {
 	o := x.fleet.instances[x.fleet.random.IntN(len(x.fleet.instances))]
 	if o.down || o.Digest() == 0 || o.Digest() == x.Digest() {
 		return
 	}
-	text, err := o.EncodeReply()
+	payload, err := o.EncodeReply()
 	if err == nil {
-		_ = x.MergeReply(text, o.name) // it may not have learned all
+		_ = x.MergeReply(payload, o.name) // the other instance may not be synced
 	}
 }
 
-// crash ends a backend server, with requests in flight from instances.
+// crash ends a backend server with requests of several instances in flight.
 func (f *fleet) crash(inFlight map[*instance][]request.Fingerprint) {
 	f.crashes++
-	for _, x := range f.instances { // in a fixed order, so that a seed repeats its play
-		if fs := inFlight[x]; len(fs) > 0 && !x.down {
-			x.RecordCrash(crash.Crash{Backend: fmt.Sprint("b", f.crashes), Service: "s", Suspects: suspects(fs...)})
+	for _, x := range f.instances { // in a fixed order, so that a seed is reproducible
+		if requests := inFlight[x]; len(requests) > 0 && !x.down {
+			x.RecordCrash(crash.Crash{Backend: fmt.Sprint("b", f.crashes), Service: "s", Suspects: suspects(requests...)})
 		}
 	}
 }
 
-// lostAgain is the part of the requests that were beside a crash which are beside the next.
-// Origin: of 134 that were lost in an incident with eight crashes a second 13 were.
+// repeatFraction is the fraction of the requests at a crash that are also at the next. In an
+// incident with eight crashes per second, 13 of 134 lost requests were.
 const repeatFraction = 0.2
 
-// beside returns requests that are in flight at a backend server from any instances. Some of
-// those that were at the crash before are there again, at another instance; the others
-// were answered meanwhile.
+// randomInFlight returns the harmless requests in flight at a backend server, by instance. Some
+// were at the last crash and are retried at another instance; the others were answered since.
 func (f *fleet) randomInFlight(n int) map[*instance][]request.Fingerprint {
 	out := make(map[*instance][]request.Fingerprint)
 	var all []request.Fingerprint
@@ -203,13 +204,13 @@
 	}
 }
 
-// attack sends a request that crashes what runs it to any instance, two attempts each, for a
-// time. It returns when it had crashed the third, and how often it was sent later than contact
-// after that.
-func (f *fleet) attack(r request.Fingerprint, lasts, pause, contact time.Duration) (crashed, late int) {
+// attack sends a request that crashes backend servers to random instances, with two attempts
+// each, for a duration. It returns the number of crashes, and how often the request was sent
+// later than notice after the third crash.
+func (f *fleet) attack(r request.Fingerprint, duration, pause, notice time.Duration) (crashed, late int) {
 	var third time.Duration
 	next := f.now
-	for until := f.now + lasts; f.now < until; f.step() {
+	for until := f.now + duration; f.now < until; f.step() {
 		if f.now < next {
 			continue
 		}
@@ -219,7 +220,7 @@
 			if x.Refuses(r) {
 				break
 			}
-			if third != 0 && f.now > third+contact {
+			if third != 0 && f.now > third+notice {
 				late++
 			}
 			inFlight := f.randomInFlight(6)
@@ -234,21 +235,21 @@
 	return crashed, late
 }
 
-// wronglyRefused returns how many requests other than the given ones some instance refuses.
-func (f *fleet) wronglyRefused(right ...request.Fingerprint) int {
-	wrong := make(map[request.Fingerprint]bool)
+// wronglyRefused returns how many requests other than the culprits are refused by some instance.
+func (f *fleet) wronglyRefused(culprits ...request.Fingerprint) int {
+	quarantined := make(map[request.Fingerprint]bool)
 	for _, x := range f.instances {
 		for _, e := range x.Entries() {
-			wrong[e.Request] = wrong[e.Request] || e.Quarantined()
+			quarantined[e.Request] = quarantined[e.Request] || e.Quarantined()
 		}
 	}
 	n := 0
-	for r, is := range wrong {
-		if is {
+	for r, refused := range quarantined {
+		if refused {
 			n++
 		}
-		for _, x := range right {
-			if is && r == x {
+		for _, x := range culprits {
+			if refused && r == x {
 				n--
 			}
 		}
@@ -258,7 +259,8 @@
 
 const modelNotice = time.Second
 
-// TestFleetStopsARequest attacks fleets of all sizes and counts what reaches backend
+// TestFleetQuarantinesRequest attacks fleets of several sizes, and counts the requests that
+// reach backend servers late, those refused wrongly, and the datagrams.
 // servers late, who is refused wrongly, and what it costs.
 func TestFleetQuarantinesRequest(t *testing.T) {
 	for _, n := range []int{1, 12, 77, 620} {
@@ -281,8 +283,8 @@
 	}
 }
 
-// TestSeveralRequestsAreToldApart attacks with several requests at once, while backend
-// servers also end for other reasons.
+// TestSeveralCulpritsAreDistinguished attacks with several requests at once, while backend
+// servers also crash for other reasons.
 func TestSeveralCulpritsAreDistinguished(t *testing.T) {
 	wrong, missed := 0, 0
 	const seeds = 40
@@ -315,8 +317,8 @@
 	assert.Equal(t, wrong, 0)
 }
 
-// TestOrdinaryCrashesBlameNobody ends a backend server each 80 ms for 20 s, with requests
-// that were at the crash before: none of them is the cause.
+// TestUnrelatedCrashesQuarantineNothing crashes a backend server every 80 ms for 20 s. Some
+// requests were also at the previous crash, but none is the cause.
 func TestUnrelatedCrashesQuarantineNothing(t *testing.T) {
 	wrong, requests := 0, 0
 	for seed := range uint64(20) {
@@ -334,8 +336,8 @@
 	assert.Equal(t, wrong, 0)
 }
 
-// TestAnsweredRequestIsLetThroughAgain checks that an instance that has answered a request
-// has its quarantine withdrawn everywhere, and that a real culprit's stays.
+// TestAnsweredRequestIsWithdrawn checks that the entry of a request that an instance has
+// answered is withdrawn everywhere, and that the entry of a real culprit is not.
 func TestAnsweredRequestIsWithdrawn(t *testing.T) {
 	f := newFleet(12, 1)
 	for i := range 3 {
@@ -357,8 +359,8 @@
 	}
 }
 
-// TestOwnerIsDown checks that the owners within regions stop a request while nobody has
-// noticed that the owner is down.
+// TestRegionalOwnersActWhileOwnerIsDown checks that the owners within the regions quarantine a
+// request before the failure of the owner is detected.
 func TestRegionalOwnersActWhileOwnerIsDown(t *testing.T) {
 	f := newFleet(24, 3)
 	f.instances[0].down = true
@@ -368,8 +370,8 @@
 	assert.Equal(t, f.wronglyRefused(7), 0)
 }
 
-// TestInstanceThatWasAwayLearns checks one that was down during the attack, and one that
-// starts after it.
+// TestLateInstancesReceiveEntries checks an instance that was down during the attack, and one
+// that starts after it.
 func TestLateInstancesReceiveEntries(t *testing.T) {
 	f := newFleet(24, 4)
 	f.instances[5].down = true
@@ -384,7 +386,7 @@
 	assert.Assert(t, x.Refuses(7))
 }
 
-// TestInstanceAloneStopsARequest checks one that is cut off from all others.
+// TestIsolatedInstanceQuarantinesRequest checks an instance that is isolated from all others.
 func TestIsolatedInstanceQuarantinesRequest(t *testing.T) {
 	f := newFleet(24, 5)
 	for _, x := range f.instances[:23] {
@@ -395,16 +397,16 @@
 	assert.Assert(t, late <= 3, "%d", late)
 }
 
-// TestOperatorsDecide checks that a request that they let through is neither refused nor
-// blamed again, and is refused once they have changed their mind.
+// TestOperatorsOverrideQuarantine checks that a request which operators let through is neither
+// refused nor quarantined again, and is refused after they revert that.
 func TestOperatorsOverrideQuarantine(t *testing.T) {
 	f := newFleet(3, 6)
 	f.attack(7, 3*time.Second, 100*time.Millisecond, modelNotice)
 	x := f.instances[2]
 	assert.Assert(t, x.Refuses(7))
-	let := map[request.Fingerprint]bool{7: true}
+	letThrough := map[request.Fingerprint]bool{7: true}
 	for _, x := range f.instances {
-		x.LetThrough(let)
+		x.LetThrough(letThrough)
 	}
 	f.attack(7, 2*time.Second, 100*time.Millisecond, modelNotice)
 	assert.Assert(t, !x.Refuses(7))
--- a/process/quarantine/ledger.go
+++ b/process/quarantine/ledger.go
@@ -10,35 +10,35 @@
 	"shalewick/request"
 )
 
-// crashID identifies one end of one backend server.
+// crashID identifies a crash of a backend server.
 type crashID uint64
 
-// crashed is a crash as a ledger holds it.
+// crashRecord is a crash in a ledger.
 type crashRecord struct {
 	id         crashID
-	reportedAt time.Duration // when it was first told
+	reportedAt time.Duration // when it was first reported
 	updatedAt  time.Duration // when a suspect was last added
 	suspects   []crash.Suspect
 }
 
 func (c *crashRecord) has(f request.Fingerprint) bool { return c.index(f) >= 0 }
 
-// path returns the place of a request among the suspects, -1 if it is none.
+// index returns the index of a request among the suspects, -1 if it is not among them.
 func (c *crashRecord) index(f request.Fingerprint) int {
 	return slices.IndexFunc(c.suspects, func(s crash.Suspect) bool { return s.Request == f })
 }
 
-// ledger holds the crashes of a service that no request in quarantine explains. The zero
-// value is ready.
+// ledger holds the crashes of a service that are not attributed to a request in quarantine.
+// The zero value is ready to use.
 type ledger struct {
-	crashes []*crashRecord // by time
-	// explained are crashes whose cause is known, the oldest first: what is told of them
-	// late counts against nobody.
+	crashes []*crashRecord // oldest first
+	// attributed holds the crashes with a known cause, oldest first: later reports of them
+	// are ignored.
 	attributed []crashID
 }
 
-// add notes that requests were in flight at a crash. A crash may be told more than once,
-// by several instances.
+// add records that requests were in flight at a crash. A crash may be reported more than
+// once, by several instances.
 func (l *ledger) add(id crashID, at time.Duration, suspects []crash.Suspect, now time.Duration) {
 	l.expire(now)
 	if slices.Contains(l.attributed, id) {
@@ -61,22 +61,22 @@
 	}
 }
 
-// forget drops crashes that are too old to count.
+// expire drops crashes that are too old to count.
 func (l *ledger) expire(now time.Duration) {
 	l.crashes = slices.DeleteFunc(l.crashes, func(c *crashRecord) bool { return now-c.reportedAt > crashLifetime })
 }
 
-// answered notes that a request was answered: it has not caused the crashes before.
-func (l *ledger) removeSuspect(f request.Fingerprint, at time.Duration) {
+// removeSuspect removes a request that was answered from the suspects of all earlier crashes.
+func (l *ledger) removeSuspect(f request.Fingerprint, answeredAt time.Duration) {
 	for _, c := range l.crashes {
-		if i := c.index(f); i >= 0 && c.reportedAt <= at {
+		if i := c.index(f); i >= 0 && c.reportedAt <= answeredAt {
 			c.suspects = slices.Delete(c.suspects, i, i+1)
 		}
 	}
 }
 
-// explain drops the crashes that a request is the cause of, so that they count against
-// nobody else.
+// attribute drops the crashes attributed to a request, so that they don't count against the
+// other suspects.
 func (l *ledger) attribute(f request.Fingerprint) {
 	for _, c := range l.crashes {
 		if c.has(f) {
@@ -86,7 +86,7 @@
 	l.crashes = slices.DeleteFunc(l.crashes, func(c *crashRecord) bool { return c.has(f) })
 }
 
-// explainCrash drops one crash, of which the cause is known.
+// attributeCrash drops a crash whose cause is known.
 func (l *ledger) attributeCrash(id crashID) {
 	l.markAttributed(id)
 	l.crashes = slices.DeleteFunc(l.crashes, func(c *crashRecord) bool { return c.id == id })
@@ -102,15 +102,16 @@
 	}
 }
 
-// culprit is a request that crashes what runs it.
+// culprit is a request that crashes the backend servers that run it.
 type culprit struct {
 	crash.Suspect
 	crashes    int
-	firstCrash time.Duration // when the first of them was told
+	firstCrash time.Duration // when the first crash was first reported
 }
 
-// blame returns the request that is at most of the crashes, if they are enough; several, if
-// they are at the same ones. Crashes of which a report came just now do not count yet.
+// culprits returns the request that is a suspect of most crashes, if there are enough of them,
+// or several requests if they are suspects of equally many. Crashes that were reported within
+// settleTime do not count yet.
 func (l *ledger) culprits(now time.Duration) []culprit {
 	var most []culprit
 	counts := l.crashCounts(now)
@@ -131,33 +132,33 @@
 	return most
 }
 
-// enough returns from how many crashes a request is the culprit. Where crashes are many and
-// callers come again at once, others are at several of them, too: if N requests of M that were
-// at one crash were at another, N/M of those are at a third. And if another one was at nearly
-// as many crashes, a report may be missing that would say which of the two it is.
+// requiredCrashes returns the number of crashes from which a request is the culprit. If crashes
+// are frequent and callers retry at once, other requests are at several crashes, too: if N of M
+// requests that were at one crash were at another, N/M of those are at a third by chance. And if
+// another request was at nearly as many crashes, a missing report may decide between the two.
 func requiredCrashes(counts map[request.Fingerprint]*culprit, most culprit) int {
-	once, again := 0, 0
+	once, repeated := 0, 0
 	for f, x := range counts {
 		if f == most.Request {
 			continue
 		}
 		once++
 		if x.crashes > 1 {
-			again++
+			repeated++
 		}
 		if x.crashes > 1 && x.crashes >= most.crashes-1 {
 			return ambiguousCrashes
 		}
 	}
 	n := minCrashes - 1
-	chance := float64(again)
+	chance := float64(repeated)
 	for ; n < ambiguousCrashes && chance > maxCoincidences; n++ {
-		chance *= float64(again) / float64(once)
+		chance *= float64(repeated) / float64(once)
 	}
 	return max(n, minCrashes)
 }
 
-// counts returns at how many crashes each request was.
+// crashCounts returns the number of crashes of each suspect.
 func (l *ledger) crashCounts(now time.Duration) map[request.Fingerprint]*culprit {
 	out := make(map[request.Fingerprint]*culprit)
 	for _, c := range l.crashes {
@@ -176,20 +177,21 @@
 	return out
 }
 
-// share returns the part of the crashes of late that a request was at; 1 if there were none.
+// recentShare returns the fraction of the recent crashes that a request is a suspect of; 1 if
+// there were none.
 func (l *ledger) recentShare(f request.Fingerprint, now time.Duration) float64 {
-	all, at := 0, 0
+	total, suspected := 0, 0
 	for _, c := range l.crashes {
 		if now-c.reportedAt > recentTime {
 			continue
 		}
-		all++
+		total++
 		if c.has(f) {
-			at++
+			suspected++
 		}
 	}
-	if all == 0 {
+	if total == 0 {
 		return 1
 	}
-	return float64(at) / float64(all)
+	return float64(suspected) / float64(total)
 }
--- a/process/quarantine/ledger_test.go
+++ b/process/quarantine/ledger_test.go
@@ -19,12 +19,12 @@
 	return out
 }
 
-// crashesOf returns a ledger with a crash a second of the given requests.
+// newCrashLedger returns a ledger with one crash per second, with the given suspects.
 func newCrashLedger(list ...[]request.Fingerprint) *ledger {
 	l := new(ledger)
-	for i, fs := range list {
+	for i, requests := range list {
 		at := time.Duration(i) * time.Second
-		l.add(crashID(i), at, suspects(fs...), at)
+		l.add(crashID(i), at, suspects(requests...), at)
 	}
 	return l
 }
@@ -36,22 +36,22 @@
 	return out
 }
 
-// TestRequestAtMostCrashesIsBlamed checks who is blamed, for crashes of one request beside
-// others: 1 is that request.
+// TestMostFrequentSuspectIsCulprit checks which requests are found for crashes caused by
+// request 1 while others are in flight.
 func TestMostFrequentSuspectIsCulprit(t *testing.T) {
 	for name, x := range map[string]struct {
 		crashes [][]request.Fingerprint
 		want    []request.Fingerprint
 	}{
-		"two are too few":            {[][]request.Fingerprint{{1}, {1}}, nil},
-		"alone":                      {[][]request.Fingerprint{{1}, {1}, {1}}, []request.Fingerprint{1}},
-		"others beside":              {[][]request.Fingerprint{{2, 1, 3}, {6, 4, 1}, {5, 1}}, []request.Fingerprint{1}},
-		"one of them is there again": {[][]request.Fingerprint{{2, 1, 3}, {3, 4, 1}, {5, 1}}, nil},
-		"and the next crash tells":   {[][]request.Fingerprint{{2, 1, 3}, {3, 4, 1}, {5, 1}, {6, 1}}, []request.Fingerprint{1}},
-		"one beside all":             {[][]request.Fingerprint{{1, 2}, {1, 2}, {1, 2}}, nil},
-		"one beside all but one":     {[][]request.Fingerprint{{1, 2}, {1, 2}, {1, 2}, {1, 2}, {1}}, []request.Fingerprint{1}},
-		"two that are never apart":   {[][]request.Fingerprint{{1, 2}, {1, 2}, {1, 2}, {1, 2}, {1, 2}}, []request.Fingerprint{1, 2}},
-		"crashes that nobody causes": {[][]request.Fingerprint{{1, 2}, {3, 4}, {5, 6}, {7, 1}, {2, 8}}, nil},
+		"two crashes are too few":       {[][]request.Fingerprint{{1}, {1}}, nil},
+		"no other suspects":             {[][]request.Fingerprint{{1}, {1}, {1}}, []request.Fingerprint{1}},
+		"different other suspects":      {[][]request.Fingerprint{{2, 1, 3}, {6, 4, 1}, {5, 1}}, []request.Fingerprint{1}},
+		"another suspect repeats":       {[][]request.Fingerprint{{2, 1, 3}, {3, 4, 1}, {5, 1}}, nil},
+		"next crash decides":            {[][]request.Fingerprint{{2, 1, 3}, {3, 4, 1}, {5, 1}, {6, 1}}, []request.Fingerprint{1}},
+		"two suspects at three crashes": {[][]request.Fingerprint{{1, 2}, {1, 2}, {1, 2}}, nil},
+		"fifth crash decides":           {[][]request.Fingerprint{{1, 2}, {1, 2}, {1, 2}, {1, 2}, {1}}, []request.Fingerprint{1}},
+		"two suspects at five crashes":  {[][]request.Fingerprint{{1, 2}, {1, 2}, {1, 2}, {1, 2}, {1, 2}}, []request.Fingerprint{1, 2}},
+		"unrelated crashes":             {[][]request.Fingerprint{{1, 2}, {3, 4}, {5, 6}, {7, 1}, {2, 8}}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newCrashLedger(x.crashes...)
@@ -64,21 +64,21 @@
 	}
 }
 
-// TestExplainedCrashesCountAgainstNobody checks that one which was beside the culprit at
-// three crashes stays free once the culprit is known.
+// TestAttributedCrashesDoNotCount checks that a request which was in flight beside the culprit
+// at several crashes is no culprit once these are attributed.
 func TestAttributedCrashesDoNotCount(t *testing.T) {
 	l := newCrashLedger([]request.Fingerprint{1, 2}, []request.Fingerprint{1, 2}, []request.Fingerprint{1, 2}, []request.Fingerprint{1, 2}, []request.Fingerprint{1})
 	assert.DeepEqual(t, culpritsOf(l), []request.Fingerprint{1})
 	l.attribute(1)
 	assert.Equal(t, len(l.crashes), 0)
-	for id := range crashID(5) { // told late
+	for id := range crashID(5) { // late reports
 		l.add(id, 0, suspects(2), 0)
 	}
 	assert.Equal(t, len(l.crashes), 0)
 }
 
-// TestTwoCulpritsAreFoundOneAfterTheOther checks requests that crash in turn, with one
-// beside both.
+// TestTwoCulpritsAreFoundInTurn checks two culprits that alternate, while a third request was in
+// flight beside both.
 func TestTwoCulpritsAreFoundInTurn(t *testing.T) {
 	l := newCrashLedger([]request.Fingerprint{1, 9}, []request.Fingerprint{2}, []request.Fingerprint{1}, []request.Fingerprint{2, 9},
 		[]request.Fingerprint{1}, []request.Fingerprint{1}, []request.Fingerprint{2}, []request.Fingerprint{1})
@@ -89,8 +89,8 @@
 	assert.Equal(t, len(culpritsOf(l)), 0)
 }
 
-// TestAnsweredRequestIsNoSuspect checks that crashes before an answer do not count, and
-// those after it do.
+// TestAnsweredRequestIsNoSuspect checks that crashes before an answer do not count, and those
+// after it do.
 func TestAnsweredRequestIsNoSuspect(t *testing.T) {
 	l := newCrashLedger([]request.Fingerprint{1}, []request.Fingerprint{1}, []request.Fingerprint{1})
 	l.removeSuspect(1, 1500*time.Millisecond)
@@ -100,7 +100,7 @@
 	assert.DeepEqual(t, culpritsOf(l), []request.Fingerprint{1})
 }
 
-// TestCrashToldTwiceIsOne checks reports of several instances, and one told again.
+// TestDuplicateReportsAreOneCrash checks repeated reports of several instances.
 func TestDuplicateReportsAreOneCrash(t *testing.T) {
 	l := new(ledger)
 	for range 5 {
@@ -112,22 +112,22 @@
 	assert.Equal(t, len(culpritsOf(l)), 0)
 }
 
-// TestVerdictWaitsForOtherReports checks that a crash which was just told of is not judged.
+// TestVerdictWaitsForOtherReports checks that a crash does not count until settleTime has passed.
 func TestVerdictWaitsForOtherReports(t *testing.T) {
 	l := newCrashLedger([]request.Fingerprint{1}, []request.Fingerprint{1}, []request.Fingerprint{1})
 	assert.Equal(t, len(l.culprits(2*time.Second+settleTime-1)), 0)
 	assert.Equal(t, len(l.culprits(2*time.Second+settleTime)), 1)
 }
 
-// TestLedgerIsBounded checks that crashes without end keep little, and are forgotten.
+// TestLedgerIsBounded checks the limits of a ledger, and that old crashes are dropped.
 func TestLedgerIsBounded(t *testing.T) {
 	l := new(ledger)
 	for i := range 4 * maxCrashes {
-		var fs []request.Fingerprint
+		var requests []request.Fingerprint
 		for j := range 2 * maxSuspects {
-			fs = append(fs, request.Fingerprint(i*1000+j+1))
+			requests = append(requests, request.Fingerprint(i*1000+j+1))
 		}
-		l.add(crashID(i), time.Duration(i), suspects(fs...), time.Duration(i))
+		l.add(crashID(i), time.Duration(i), suspects(requests...), time.Duration(i))
 	}
 	assert.Equal(t, len(l.crashes), maxCrashes)
 	for _, c := range l.crashes {
@@ -137,15 +137,15 @@
 	assert.Equal(t, len(l.crashes), 1)
 }
 
-// BenchmarkVerdict measures a verdict over a full ledger.
+// BenchmarkVerdict measures the search for culprits in a full ledger.
 func BenchmarkVerdict(b *testing.B) {
 	l := new(ledger)
 	for i := range maxCrashes {
-		var fs []request.Fingerprint
+		var requests []request.Fingerprint
 		for j := range maxSuspects {
-			fs = append(fs, request.Fingerprint(i*1000+j+1))
+			requests = append(requests, request.Fingerprint(i*1000+j+1))
 		}
-		l.add(crashID(i), 0, suspects(fs...), 0)
+		l.add(crashID(i), 0, suspects(requests...), 0)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/process/quarantine/list.go
+++ b/process/quarantine/list.go
@@ -9,27 +9,27 @@
 	"shalewick/request"
 )
 
-// Entry says of a request whether it is in quarantine.
+// Entry states whether a request is in quarantine.
 type Entry struct {
 	Request request.Fingerprint `json:"request"`
-	// Service is the one whose backend servers it crashed, and Path its host and path,
-	// which may be cut short.
+	// Service is the service whose backend servers the request crashed. Path is its host and
+	// path, possibly truncated.
 	Service string `json:"service"`
 	Path    string `json:"path"`
-	// Crashes is the number of backend servers that had ended under it at the verdict.
+	// Crashes is the number of crashes attributed to the request at the time of the verdict.
 	Crashes int `json:"crashes"`
-	// At is when the verdict was made, in milliseconds of the time of day of the instance
-	// that made it. It orders entries only where there are too many.
+	// At is the time of the verdict in milliseconds, by the clock of the instance that made it.
+	// It only decides which entries are dropped when there are too many.
 	At int64 `json:"at"`
-	// Stamp rises with each change. An even one says that the entry was withdrawn.
+	// Stamp increases with each change. An even stamp means that the entry was withdrawn.
 	Stamp uint32 `json:"stamp"`
 }
 
-// Quarantined reports whether the request is to be refused.
+// Quarantined reports whether the entry is in force.
 func (e Entry) Quarantined() bool { return e.Stamp%2 == 1 }
 
-// mark mixes request and stamp, so that the marks of two lists differ where they do (the
-// finalizer of MurmurHash3).
+// hash returns a hash of request and stamp (the finalizer of MurmurHash3), from which the
+// digest of a list is computed.
 func (e Entry) hash() uint64 {
 	x := uint64(e.Request) ^ (uint64(e.Stamp)+1)*0x9e3779b97f4a7c15
 	x ^= x >> 33
@@ -39,16 +39,16 @@
 	return x ^ x>>33
 }
 
-// list is the entries that an instance knows. Use newList. Lists that were merged with the
-// same entries are the same, in whichever order.
+// list holds the entries that an instance knows. Create it with newList. Lists into which the
+// same entries were merged are equal, whatever the order.
 type list struct {
 	entries map[request.Fingerprint]Entry
-	digest  uint64 // of all marks
+	digest  uint64 // XOR of the hashes of all entries
 }
 
 func newList() *list { return &list{entries: make(map[request.Fingerprint]Entry)} }
 
-// merge takes up an entry if it is newer than what is known, and reports whether it was.
+// merge adds an entry if it is newer than the known one, and reports whether it was.
 func (l *list) merge(e Entry) bool {
 	old, known := l.entries[e.Request]
 	if e.Request == 0 || e.Stamp == 0 || known && e.Stamp <= old.Stamp {
@@ -71,7 +71,7 @@
 	l.digest ^= e.hash()
 }
 
-// sorted returns the entries, the one to be dropped first before the others: the oldest.
+// sorted returns the entries, oldest first, in the order in which they are dropped.
 func (l *list) sorted() []Entry {
 	out := make([]Entry, 0, len(l.entries))
 	for _, e := range l.entries {
--- a/process/quarantine/list_test.go
+++ b/process/quarantine/list_test.go
@@ -17,8 +17,8 @@
 	return Entry{Request: request.Fingerprint(f), Stamp: stamp, At: int64(f*10) + int64(stamp)}
 }
 
-// TestListsThatHeardTheSameAreTheSame checks that neither the order of entries nor how often
-// they come matters, and that digests are equal just then.
+// TestListsConverge checks that neither the order of entries nor duplicates matter, and that the
+// digests of lists are equal if and only if the lists are.
 func TestListsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Entry { return drawEntry(t, 8) }), 0, 30).Draw(t, "entries")
@@ -40,7 +40,7 @@
 	})
 }
 
-// TestListKeepsTheNewest checks the bound, and that lists agree on what they drop.
+// TestListKeepsNewestEntries checks the limit, and that lists drop the same entries.
 func TestListKeepsNewestEntries(t *testing.T) {
 	a, b := newList(), newList()
 	n := 2 * MaxEntries
@@ -52,5 +52,5 @@
 	assert.DeepEqual(t, a.sorted(), b.sorted())
 	assert.Equal(t, a.digest, b.digest)
 	assert.Equal(t, a.sorted()[0].At, int64(n-MaxEntries))
-	assert.Assert(t, !a.merge(Entry{Request: 1, Stamp: 1}), "one that is dropped at once is no news")
+	assert.Assert(t, !a.merge(Entry{Request: 1, Stamp: 1}), "an entry that is dropped at once is not new")
 }
--- a/process/quarantine/policy.go
+++ b/process/quarantine/policy.go
@@ -4,68 +4,67 @@
 
 import "time"
 
-// The verdict.
+// Parameters of the verdict.
 const (
-	// blameLeast is the number of crashes from which the request that is at most of them
-	// may be the culprit. Two are met by requests that were beside one and then, sent
-	// again, beside the next.
+	// minCrashes is the minimum number of crashes at which a request must have been in flight,
+	// more often than any other, to be the culprit. At two crashes are also requests that were
+	// in flight beside a culprit and, when retried, beside the next one.
 	minCrashes = 3
-	// blameMost is the number from which it is though others are at several crashes, too,
-	// and from which requests that no crash tells apart are.
+	// ambiguousCrashes is the minimum number if other requests were at several crashes as well,
+	// or if several requests were at exactly the same crashes.
 	ambiguousCrashes = 5
-	// blameAnyway is the number from which it is even if it was at few of the crashes of
-	// late, less than leastShare of those within lateTime: then backend servers end for
-	// other reasons as well, and requests that callers send again are at many. Six
-	// culprits at once still have that share.
+	// certainCrashes is the number from which a request is the culprit even if it was at less
+	// than minRecentShare of the crashes within recentTime. Below that number such a share means
+	// that backend servers also crash for other reasons, when requests that callers retry are at
+	// many crashes. Six culprits at the same time still reach the share.
 	certainCrashes = 8
 	minRecentShare = 0.15
 	recentTime     = 5 * time.Second
-	// mostChance bounds the expected number of requests that are at so many crashes only
-	// since they were sent again into the next one. In the model of 12 instances with
-	// three culprits, and others at a third of the crashes that follow theirs, a fixed
-	// number of 3 refuses 106 of 25,000 others wrongly.
+	// maxCoincidences limits the expected number of requests that were at so many crashes only
+	// because they were retried into the next crash. In the simulation of 12 instances with
+	// three culprits, and other requests at a third of the crashes that follow their own, a fixed
+	// number of 3 crashes refuses 106 of 25,000 other requests wrongly.
 	maxCoincidences = 0.05
-	// settleTime is how long after the last report of a crash a verdict waits for those
-	// of other instances: they come within a round trip of each other.
+	// settleTime is how long a verdict waits after the last report of a crash for the reports of
+	// other instances, which arrive within a round trip of each other.
 	settleTime = 100 * time.Millisecond
-	// RetryAfter is when the caller of a request in quarantine should come back. Only an
+	// RetryAfter is the delay suggested to the callers of a request in quarantine. Only an
 	// operator lets it through, which takes minutes.
 	RetryAfter = time.Minute
 )
 
-// Reports.
+// Parameters of reports.
 const (
-	// TickTime is the pause between two calls of Tick while there is something to do.
+	// TickInterval is the interval at which Tick is called while there is something to do.
 	TickInterval = 100 * time.Millisecond
-	// resendPause is how long a report waits to be confirmed before it is sent again.
+	// resendInterval is the time after which an unconfirmed report is sent again.
 	resendInterval = 250 * time.Millisecond
-	// regionAfter is how long the owner of a service has to confirm a report before the
-	// owner within the region gets it, and selfAfter how long that has before the
-	// instance takes it up itself. Origin: four lost datagrams in a row.
+	// regionalAfter is the time after which a report that the owner of the service has not
+	// confirmed is also sent to the owner within the region. After selfAfter without a
+	// confirmation the instance adds it to its own ledger. regionalAfter covers four lost
+	// datagrams in a row.
 	regionalAfter = time.Second
 	selfAfter     = 2 * time.Second
-	// reportFor is how long a report is kept for the case that another instance becomes
-	// the owner.
+	// reportLifetime is how long a report is kept in case another instance becomes the owner.
 	reportLifetime = time.Minute
 )
 
-// Bounds of memory.
+// Limits of memory.
 const (
-	// MostEntries bounds the list. An entry takes some 200 bytes.
+	// MaxEntries limits the list. An entry takes some 200 bytes.
 	MaxEntries = 256
-	// mostCrashes bounds the crashes that a ledger holds, mostSuspects the suspects of one,
-	// and mostServices the ledgers: 128 x 64 x 32 suspects of some 90 bytes would be
-	// 24 MB, if each crash of 32 services had 64 suspects that nothing explains.
+	// maxCrashes limits the crashes in a ledger, maxSuspects the suspects of a crash, and
+	// maxServices the ledgers: 128 x 64 x 32 suspects of some 90 bytes take 24 MB, if each crash
+	// of 32 services has 64 suspects and none is attributed.
 	maxCrashes  = 128
 	maxSuspects = 64
 	maxServices = 32
-	// mostReports bounds the reports that are kept.
+	// maxReports limits the reports that are kept.
 	maxReports = 64
-	// crashMemory is how long a crash counts. Origin: long enough for a request that comes
-	// every few minutes.
+	// crashLifetime is how long a crash counts: long enough for a request that is sent every few
+	// minutes.
 	crashLifetime = time.Hour
-	// answeredSlots is the number of answered requests that are remembered, about: the
-	// table holds one for each value of the last bits of the fingerprint. At 250 answers a
-	// second it goes back 16 s, in 64 kB.
+	// answerSlots is the size of the answer cache, which has one slot for each value of the low
+	// bits of the fingerprint. At 250 answers per second it goes back 16 s, and takes 64 kB.
 	answerSlots = 4096
 )
--- a/process/quarantine/quarantine.go
+++ b/process/quarantine/quarantine.go
@@ -13,52 +13,52 @@
 	"shalewick/request"
 )
 
-// Quarantine is what one instance knows of requests that crash backend servers. The fields
-// are set before use. Use New.
+// Quarantine is the state of one instance about requests that crash backend servers. Create
+// it with New, and set the exported fields before use.
 type Quarantine struct {
 	Now func() time.Duration
-	// Owners returns the owner of a service, and the one among the instances of the
-	// region. It must not call the quarantine.
+	// Owners returns the owner of a service, and the owner among the instances of the region.
+	// It must not call the Quarantine.
 	Owners func(service string) (owner, regional Owner)
-	// Send sends a message to the address of an instance, and SendAll to all others. It
+	// Send sends a message to the address of an instance, and SendAll to all others. Messages
 	// may be lost.
-	Send    func(address string, text []byte)
-	SendAll func(text []byte)
+	Send    func(address string, payload []byte)
+	SendAll func(payload []byte)
 	Log     zerolog.Logger
-	// TimeOfDay is for Entry.At.
+	// TimeOfDay sets Entry.At.
 	TimeOfDay func() time.Time
 
-	refused atomic.Pointer[map[request.Fingerprint]bool] // nil: none
-	synced  chan struct{}                                // closed once the instance knows what others knew at its start
+	refused atomic.Pointer[map[request.Fingerprint]bool] // nil if empty
+	synced  chan struct{}                                // closed once the instance has the entries that others had when it started
 	wake    chan struct{}
 	answers answerCache
 
 	mu         sync.Mutex
 	list       *list
-	letThrough map[request.Fingerprint]bool // operators let them through
+	letThrough map[request.Fingerprint]bool // by operators
 	ledgers    map[string]*ledger           // by service
 	reports    []*pendingReport
 	seq        uint32
 }
 
-// New returns a quarantine that knows of nothing.
+// New returns an empty quarantine.
 func New() *Quarantine {
 	return &Quarantine{
 		list: newList(), ledgers: make(map[string]*ledger), wake: make(chan struct{}, 1), synced: make(chan struct{}), TimeOfDay: time.Now,
 	}
 }
 
-// Refuses reports whether a request is in quarantine and not let through.
+// Refuses reports whether a request is in quarantine and not let through by operators.
 func (q *Quarantine) Refuses(f request.Fingerprint) bool {
 	m := q.refused.Load()
 	return m != nil && (*m)[f]
 }
 
-// Answered notes that a backend server answered a request.
+// RecordAnswer records that a backend server answered a request.
 func (q *Quarantine) RecordAnswer(f request.Fingerprint) { q.answers.record(f, q.Now()) }
 
-// Crashed takes up the end of a backend server with what was in flight there from this
-// instance.
+// RecordCrash reports a crash of a backend server and the requests of this instance that
+// were in flight there.
 func (q *Quarantine) RecordCrash(c crash.Crash) {
 	q.mu.Lock()
 	now := q.Now()
@@ -75,15 +75,15 @@
 func (q *Quarantine) wakeUp() {
 	select {
 	case q.wake <- struct{}{}:
-	default: // it is awake
+	default: // already signalled
 	}
 }
 
-// Wake is told when Tick has to be called, each TickTime until it returns true.
+// Wake signals that Tick has to be called every TickInterval until it returns true.
 func (q *Quarantine) Wake() <-chan struct{} { return q.wake }
 
-// Tick sends what is due and decides what can be decided. It reports whether there is
-// nothing more to do for now.
+// Tick sends due reports and quarantines the culprits found. It reports whether nothing is
+// left to do for now.
 func (q *Quarantine) Tick() (idle bool) {
 	q.mu.Lock()
 	now := q.Now()
@@ -104,7 +104,8 @@
 	}
 }
 
-// judge finds the culprits, and returns what to tell of them. The caller holds the lock.
+// quarantineCulprits quarantines the culprits found, and returns the messages that announce
+// them. The caller must hold q.mu.
 func (q *Quarantine) quarantineCulprits(now time.Duration) (out []message) {
 	for service, l := range q.ledgers {
 		for _, x := range l.culprits(now) {
@@ -114,32 +115,32 @@
 			}
 			l.attribute(x.Request)
 			if q.letThrough[x.Request] {
-				continue // an operator has decided
+				continue // operators have decided already
 			}
 			e := q.list.entries[x.Request]
 			e.Request, e.Service, e.Path, e.Crashes = x.Request, service, x.Path, x.crashes
 			e.At = q.TimeOfDay().UnixMilli()
-			e.Stamp += 1 + e.Stamp%2 // odd; one that is in quarantine is blamed anew only after it was let through
+			e.Stamp += 1 + e.Stamp%2 // odd; a request in quarantine gets a new verdict only after it was let through
 			out = append(out, q.announce(e, now-x.firstCrash)...)
 		}
 	}
 	return out
 }
 
-// change takes up an entry that this instance has made, and returns the message that tells
-// the others. The caller holds the lock.
+// announce adds an entry that this instance has created or changed, and returns the message
+// for the other instances. The caller must hold q.mu.
 func (q *Quarantine) announce(e Entry, first time.Duration) []message {
 	q.merge(e, "")
-	text, err := encode(kindEntry, &entryUpdate{Entry: e, FirstMs: milliseconds(first)})
+	payload, err := encode(kindEntry, &entryUpdate{Entry: e, FirstMs: milliseconds(first)})
 	if err != nil {
 		q.Log.Error().Err(err).Msg("quarantine-entry-failed")
 		return nil
 	}
-	return []message{{"", text}}
+	return []message{{"", payload}}
 }
 
-// merge takes up an entry from an instance, "" for this one, and reports whether it was
-// news. The caller holds the lock.
+// merge adds an entry that was received from an instance, "" for this one, and reports whether
+// it was new. The caller must hold q.mu.
 func (q *Quarantine) merge(e Entry, from string) bool {
 	if !q.list.merge(e) {
 		return false
@@ -157,7 +158,7 @@
 	return true
 }
 
-// publish sets what is refused. The caller holds the lock.
+// updateRefused updates the set of refused requests. The caller must hold q.mu.
 func (q *Quarantine) updateRefused() {
 	refused := make(map[request.Fingerprint]bool)
 	for f, e := range q.list.entries {
@@ -172,24 +173,24 @@
 	q.refused.Store(&refused)
 }
 
-// LetThrough sets which requests operators let through though they are in quarantine.
-func (q *Quarantine) LetThrough(let map[request.Fingerprint]bool) {
+// LetThrough sets the requests that operators let through although they are in quarantine.
+func (q *Quarantine) LetThrough(letThrough map[request.Fingerprint]bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.logLetThrough(let)
-	q.letThrough = let
+	q.logLetThrough(letThrough)
+	q.letThrough = letThrough
 	q.updateRefused()
 }
 
-// logLet writes what operators have changed. The caller holds the lock.
-func (q *Quarantine) logLetThrough(let map[request.Fingerprint]bool) {
-	for f := range let {
+// logLetThrough logs the changes of operators. The caller must hold q.mu.
+func (q *Quarantine) logLetThrough(letThrough map[request.Fingerprint]bool) {
+	for f := range letThrough {
 		if !q.letThrough[f] {
 			q.Log.Warn().Str("request", f.String()).Msg("request-let-through")
 		}
 	}
 	for f := range q.letThrough {
-		if !let[f] {
+		if !letThrough[f] {
 			q.Log.Warn().Str("request", f.String()).Msg("request-not-let-through")
 		}
 	}
--- a/process/quarantine/report.go
+++ b/process/quarantine/report.go
@@ -12,35 +12,35 @@
 	"shalewick/process/crash"
 )
 
-// Owner is the instance that counts the crashes of a service.
+// Owner is the instance that keeps the ledger of a service.
 type Owner struct {
 	Name    string
-	Address string // "": this instance
+	Address string // "" is this instance
 }
 
 // self reports whether the owner is this instance.
 func (o Owner) self() bool { return o.Address == "" }
 
-// pending is a report that is kept for the case that it gets lost, or that another
-// instance becomes the owner.
+// pendingReport is a report that is kept in case it gets lost, or another instance becomes the
+// owner.
 type pendingReport struct {
 	report    report
 	createdAt time.Duration
-	sentAt    time.Duration // when it was last sent
-	// confirmedBy is the name of the owner that has taken it up, and heldBy that of the
-	// owner within the region; "": none.
+	sentAt    time.Duration // when it was last sent; 0 if not yet
+	// confirmedBy is the name of the owner that has confirmed the report, and regionalBy that
+	// of the owner within the region; "" if not confirmed.
 	confirmedBy, regionalBy string
-	addedHere               bool // in the own ledger
+	addedHere               bool // added to the ledger of this instance
 }
 
-// identify returns what all instances call one end of a backend server.
+// crashIDOf returns an id for a crash that is the same at all instances.
 func crashIDOf(c crash.Crash) crashID {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(c.Incarnation))
 	return crashID(xxhash.Sum64(append(b[:], c.Backend...)))
 }
 
-// newReport returns the report of a crash, to be sent. The caller holds the lock.
+// newReport returns the report of a crash. The caller must hold q.mu.
 func (q *Quarantine) newReport(c crash.Crash, now time.Duration) *pendingReport {
 	q.seq++
 	p := &pendingReport{createdAt: now, report: report{Seq: q.seq, Crash: crashIDOf(c), Service: c.Service}}
@@ -50,14 +50,14 @@
 	return p
 }
 
-// message is one to be sent once the lock is free.
+// message is a datagram to send once q.mu is released.
 type message struct {
-	address string // "": to all
+	address string // "" sends it to all instances
 	payload []byte
 }
 
-// sendReports returns the reports that are due, and takes up those that are the instance's
-// own. The caller holds the lock.
+// sendReports returns the reports to send, and adds those that this instance has to count to
+// its own ledgers. The caller must hold q.mu.
 func (q *Quarantine) sendReports(now time.Duration) (out []message) {
 	q.reports = slices.DeleteFunc(q.reports, func(p *pendingReport) bool { return now-p.createdAt > reportLifetime })
 	for _, p := range q.reports {
@@ -89,15 +89,15 @@
 	p.sentAt = now
 	r := p.report
 	r.AgeMs = milliseconds(now - p.createdAt)
-	text, err := encode(kindReport, &r)
+	payload, err := encode(kindReport, &r)
 	if err != nil {
 		q.Log.Error().Err(err).Msg("quarantine-report-failed")
 		return nil
 	}
-	return []message{{to.Address, text}}
+	return []message{{to.Address, payload}}
 }
 
-// countOnce takes a report up in the own ledger. The caller holds the lock.
+// addOwnReport adds a report of this instance to its own ledger, once. The caller must hold q.mu.
 func (q *Quarantine) addOwnReport(p *pendingReport, now time.Duration) {
 	if p.addedHere {
 		return
@@ -106,7 +106,7 @@
 	q.addReport(&p.report, p.createdAt, now)
 }
 
-// count takes up a report. The caller holds the lock.
+// addReport adds a report to the ledger of its service. The caller must hold q.mu.
 func (q *Quarantine) addReport(r *report, at, now time.Duration) {
 	l := q.ledgers[r.Service]
 	if l == nil {
@@ -128,8 +128,8 @@
 	l.add(r.Crash, at, suspects, now)
 }
 
-// settled reports whether nothing has to be sent or decided: all reports were taken up,
-// and the ledgers have no news.
+// idle reports whether there is nothing to send or decide: all reports were added or confirmed,
+// and no crash has changed recently. The caller must hold q.mu.
 func (q *Quarantine) idle(now time.Duration) bool {
 	for _, p := range q.reports {
 		if !p.addedHere && p.confirmedBy == "" {
--- a/process/quarantine/wire.go
+++ b/process/quarantine/wire.go
@@ -14,8 +14,7 @@
 	"shalewick/request"
 )
 
-// The first byte of a message says what it is. 1 and 2 are those of quotas, 3 and 4 those of
-// roll-outs.
+// The first byte of a message is its kind. 1 and 2 belong to package quota, 3 and 4 to roll-outs.
 const (
 	kindReport       = 5
 	kindConfirmation = 6
@@ -23,14 +22,13 @@
 	kindObjection    = 8
 )
 
-// mostPath bounds a path in a message, in bytes, so that a report of crash.MostSuspects
+// maxPathBytes limits the length of a path in a message, so that a report of crash.MaxSuspects
 // fits in a datagram of 2 kB.
 const maxPathBytes = 56
 
-// report is what an instance tells the owner of a service: that requests were in flight at a
-// crash.
+// report is sent to the owner of a service: requests were in flight at a crash.
 type report struct {
-	Seq      uint32 // of the sender, which the confirmation repeats
+	Seq      uint32 // of the sender; repeated in the confirmation
 	Crash    crashID
 	Service  string
 	AgeMs    uint32 // of the crash
@@ -42,31 +40,31 @@
 	Path    string
 }
 
-// confirmed says that a report was taken up.
+// confirmation confirms that a report was received.
 type confirmation struct {
 	Seq uint32
 }
 
-// told is an entry, with the age of the first crash that it was made from.
+// entryUpdate announces an entry, with the age of the first crash attributed to the request.
 type entryUpdate struct {
 	Entry   Entry
 	FirstMs uint32
 }
 
-// objection says that a request was answered after the first crash that it is blamed for.
+// objection states that a request was answered after the first crash attributed to it.
 type objection struct {
 	Request request.Fingerprint
 	Stamp   uint32 // of the entry
 }
 
-// reply is a list of entries, as instances ask each other for it.
+// reply is the list of entries that an instance sends to another on request.
 type reply struct {
-	// Learned is false while the instance that answers waits for others itself.
+	// Learned is false while the sender is not synced itself.
 	Learned bool
 	Entries []Entry
 }
 
-// encode writes a kind and a message, whose fields are told by their order.
+// encode encodes a message after its kind. Fields are identified by their order.
 func encode(kind byte, message any) ([]byte, error) {
 	out := bytes.NewBuffer([]byte{kind})
 	e := msgpack.NewEncoder(out)
@@ -75,20 +73,20 @@
 	return out.Bytes(), errors.Trace(err)
 }
 
-func decode[T any](text []byte) (T, error) {
+func decode[T any](payload []byte) (T, error) {
 	var out T
-	if err := packed.Check(text); err != nil {
+	if err := packed.Check(payload); err != nil {
 		return out, errors.Trace(err)
 	}
-	err := msgpack.Unmarshal(text, &out)
+	err := msgpack.Unmarshal(payload, &out)
 	return out, errors.Trace(err)
 }
 
-// decodeReport reads a report and checks its bounds.
-func decodeReport(text []byte) (report, error) {
-	r, err := decode[report](text)
+// decodeReport decodes a report and checks its limits.
+func decodeReport(payload []byte) (report, error) {
+	r, err := decode[report](payload)
 	if err == nil && len(r.Suspects) > crash.MaxSuspects {
-		return r, errors.Errorf("report of %d suspects", len(r.Suspects))
+		return r, errors.Errorf("report with %d suspects exceeds the maximum", len(r.Suspects))
 	}
 	return r, err
 }
--- a/process/quarantine/wire_test.go
+++ b/process/quarantine/wire_test.go
@@ -14,11 +14,11 @@
 	"shalewick/request"
 )
 
-// datagramRoom is what a message between instances may take, in bytes.
+// maxDatagram is the maximum size of a message between instances, in bytes.
 const maxDatagram = 2047
 
-// TestLargestMessagesFitInADatagram checks a report of as many suspects as there may be, and
-// an entry.
+// TestLargestMessagesFitInDatagram checks a report with the maximum number of suspects, and an
+// entry.
 func TestLargestMessagesFitInDatagram(t *testing.T) {
 	q := newSingle()
 	c := crash.Crash{Backend: strings.Repeat("b", 40), Incarnation: 1 << 50, Service: strings.Repeat("s", 60)}
@@ -27,16 +27,16 @@
 	}
 	p := q.newReport(c, 0)
 	p.report.AgeMs = 1 << 31
-	text, err := encode(kindReport, &p.report)
+	payload, err := encode(kindReport, &p.report)
 	assert.NilError(t, err)
-	assert.Assert(t, len(text) <= maxDatagram, "%d bytes", len(text))
-	r, err := decodeReport(text[1:])
+	assert.Assert(t, len(payload) <= maxDatagram, "%d bytes", len(payload))
+	r, err := decodeReport(payload[1:])
 	assert.NilError(t, err)
 	assert.DeepEqual(t, r, p.report)
 	e := Entry{Request: 1 << 63, Service: c.Service, Path: strings.Repeat("p", maxPathBytes), Crashes: 1 << 20, At: 1 << 50, Stamp: 1 << 20}
-	text, err = encode(kindEntry, &entryUpdate{Entry: e, FirstMs: 1 << 30})
+	payload, err = encode(kindEntry, &entryUpdate{Entry: e, FirstMs: 1 << 30})
 	assert.NilError(t, err)
-	assert.Assert(t, len(text) <= 250, "%d bytes", len(text))
+	assert.Assert(t, len(payload) <= 250, "%d bytes", len(payload))
 }
 
 func newSingle() *Quarantine {
@@ -48,8 +48,8 @@
 	return q
 }
 
-// FuzzHear feeds an instance any bytes as messages and as a list: it must neither fail nor
-// refuse more than its bound, and messages of other parts must be left to them.
+// FuzzReceive passes arbitrary bytes as a message and as a list: the instance must not panic or
+// refuse more requests than its limit, and must leave messages of other packages alone.
 func FuzzReceive(f *testing.F) {
 	q := newSingle()
 	p := q.newReport(crash.Crash{Backend: "b", Service: "s", Suspects: suspects(1, 2)}, 0)
@@ -57,22 +57,22 @@
 		kindReport: &p.report, kindConfirmation: &confirmation{Seq: 1}, kindEntry: &entryUpdate{Entry: Entry{Request: 1, Stamp: 1}},
 		kindObjection: &objection{Request: 1, Stamp: 1},
 	} {
-		text, err := encode(kind, m)
+		payload, err := encode(kind, m)
 		assert.NilError(f, err)
-		f.Add(text)
+		f.Add(payload)
 	}
 	f.Add([]byte{1, 2, 3})
-	f.Fuzz(func(t *testing.T, text []byte) {
+	f.Fuzz(func(t *testing.T, payload []byte) {
 		q := newSingle()
-		mine := q.Receive("10.0.0.1:1", text)
-		assert.Equal(t, mine, len(text) > 0 && text[0] >= kindReport && text[0] <= kindObjection)
-		_ = q.MergeReply(text, "10.0.0.1:1") // most can't be read
+		handled := q.Receive("10.0.0.1:1", payload)
+		assert.Equal(t, handled, len(payload) > 0 && payload[0] >= kindReport && payload[0] <= kindObjection)
+		_ = q.MergeReply(payload, "10.0.0.1:1") // most inputs are invalid
 		assert.Assert(t, q.Count() <= MaxEntries)
 		q.Tick()
 	})
 }
 
-// BenchmarkRefuses measures what each request pays, with an empty and a full list.
+// BenchmarkRefuses measures the cost per request, with an empty and a full list.
 func BenchmarkRefuses(b *testing.B) {
 	for name, n := range map[string]int{"empty": 0, "full": MaxEntries} {
 		q := newSingle()
@@ -87,7 +87,7 @@
 	}
 }
 
-// BenchmarkAnswered measures what each answer pays.
+// BenchmarkAnswered measures the cost per answer.
 func BenchmarkAnswered(b *testing.B) {
 	q := newSingle()
 	for b.Loop() {
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -1,33 +1,33 @@
 // SPDX-License-Identifier: MIT
 
-// Package retry bounds how much is tried again, so that trying again can not
-// make an overload worse.
+// Package retry limits retries, so that they can't make an overload worse.
 package retry
 
 import "sync"
 
 const (
-	// share is the number of retries allowed for each request: a tenth.
+	// retryRatio is the number of retries allowed per request.
 	retryRatio = 0.1
-	// most is the number of retries that can be saved up.
+	// maxSaved is the maximum number of unused retries.
 	maxSaved = 10
 )
 
-// Budget bounds retries to a tenth of the requests, and a few at the start. It
-// is safe for concurrent use, and the zero value is ready.
+// Budget is a retry budget: it limits retries to retryRatio of the requests, plus
+// maxSaved at the start. It is safe for concurrent use, and the zero value is
+// ready to use.
 type Budget struct {
 	mu   sync.Mutex
-	used float64 // retries that later requests have not made up for yet
+	used float64 // retries not yet balanced by deposits
 }
 
-// Earn counts a request.
+// Deposit records a request, which adds retryRatio to the budget.
 func (b *Budget) Deposit() {
 	b.mu.Lock()
 	b.used = max(0, b.used-retryRatio)
 	b.mu.Unlock()
 }
 
-// Spend takes one retry, or reports that none is left.
+// TryWithdraw takes a retry from the budget, and reports whether one was available.
 func (b *Budget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -38,7 +38,7 @@
 	return true
 }
 
-// Left reports whether a retry is left.
+// Available reports whether a retry is available.
 func (b *Budget) Available() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/retry/window.go
+++ b/retry/window.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// windowSteps is the number of steps that a window is counted in.
+// windowSteps is the number of steps of a window: its resolution.
 const windowSteps = 20
 
-// Window bounds this instance's share of the retries that all instances may
-// make together: in each span of time, a ratio of the requests for a service
-// and a fixed number that is divided among the instances. The fields are set
-// before use.
+// Window limits the retries of this instance, as its part of a limit on the
+// retries of all instances. Per service and sliding window, it allows a ratio of
+// the requests plus a fixed number that is divided among the instances. The
+// exported fields must be set before use.
 type Window struct {
-	// Span is the time over which is counted.
+	// Span is the length of the window.
 	Span time.Duration
-	// Ratio is the number of retries for each request.
+	// Ratio is the number of retries allowed per request.
 	Ratio float64
-	// Fixed is the number of retries besides, over all instances.
+	// Fixed is the number of additional retries, over all instances.
 	Fixed float64
-	// Instances returns the number of instances; zero: not known yet, and then
-	// the fixed number is not used.
+	// Instances returns the number of instances, or 0 if not yet known; Fixed
+	// is not used then.
 	Instances func() int
 
 	mu       sync.Mutex
 	services map[string]*counts
 }
 
-// counts are the requests and retries of the last steps.
+// counts holds the requests and retries per step of the window, as a ring.
 type counts struct {
 	step              int64
 	requests, retries [windowSteps]int
 }
 
-// advance forgets the steps that are over.
+// advance clears the steps that have left the window.
 func (c *counts) advance(step int64) {
 	for c.step < step {
 		c.step++
@@ -47,6 +47,8 @@
 	}
 }
 
+// at returns the counts of a service and the index of the current step. The
+// caller must hold w.mu.
 func (w *Window) at(service string, now time.Duration) (*counts, int64) {
 	if w.services == nil {
 		w.services = make(map[string]*counts)
@@ -60,31 +62,31 @@
 	return c, c.step % windowSteps
 }
 
-// Request counts a request for a service.
+// RecordRequest records a request for a service.
 func (w *Window) RecordRequest(service string, now time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	c, i := w.at(service, now)
-	c.requests[i]++
+	c, current := w.at(service, now)
+	c.requests[current]++
 }
 
-// Retry takes one retry, or reports that none is left.
+// TryRetry reports whether a retry for a service is allowed, and records it if so.
 func (w *Window) TryRetry(service string, now time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	c, at := w.at(service, now)
+	c, current := w.at(service, now)
 	requests, retries := 0, 0
 	for i := range windowSteps {
 		requests += c.requests[i]
 		retries += c.retries[i]
 	}
-	most := w.Ratio * float64(requests)
+	maxRetries := w.Ratio * float64(requests)
 	if n := w.Instances(); n > 0 {
-		most += w.Fixed / float64(n)
+		maxRetries += w.Fixed / float64(n)
 	}
-	if float64(retries+1) > most {
+	if float64(retries+1) > maxRetries {
 		return false
 	}
-	c.retries[at]++
+	c.retries[current]++
 	return true
 }
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -16,14 +16,14 @@
 		assert.Assert(t, w.TryRetry("s", now))
 	}
 	assert.Assert(t, !w.TryRetry("s", now))
-	assert.Assert(t, w.TryRetry("t", now), "services are counted apart")
+	assert.Assert(t, w.TryRetry("t", now), "services are counted separately")
 	now += 11 * time.Second
 	assert.Assert(t, w.TryRetry("s", now))
 }
 
-// TestSuspensionGivesNoRetriesTwice lets a clock jump by less than the span, as after a suspension
-// of the machine: what was retried within the span goes on counting, whatever part of it the
-// machine stood still.
+// TestClockJumpGrantsNoExtraRetries lets the clock jump by less than the window, as after a
+// suspension of the machine: retries within the window still count, however much of it the
+// machine was suspended.
 func TestClockJumpGrantsNoExtraRetries(t *testing.T) {
 	const span, jump = 10 * time.Second, 5 * time.Second
 	w := &Window{Span: span, Fixed: 2, Instances: func() int { return 1 }}
