--- a/process/quarantine/fleet_test.go
+++ b/process/quarantine/fleet_test.go
@@ -257,11 +257,11 @@
 	return n
 }
 
+// modelNotice is the time after the third crash by which all instances must refuse the request.
 const modelNotice = time.Second
 
 // TestFleetQuarantinesRequest attacks fleets of several sizes, and counts the requests that
 // reach backend servers late, those refused wrongly, and the datagrams.
-// servers late, who is refused wrongly, and what it costs.
 func TestFleetQuarantinesRequest(t *testing.T) {
 	for _, n := range []int{1, 12, 77, 620} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
--- a/process/quarantine/ledger.go
+++ b/process/quarantine/ledger.go
@@ -132,10 +132,10 @@
 	return most
 }
 
-// requiredCrashes returns the number of crashes from which a request is the culprit. If crashes
-// are frequent and callers retry at once, other requests are at several crashes, too: if N of M
-// requests that were at one crash were at another, N/M of those are at a third by chance. And if
-// another request was at nearly as many crashes, a missing report may decide between the two.
+// requiredCrashes returns the minimum number of crashes of a culprit. If crashes are frequent and
+// callers retry at once, other requests are at several crashes, too: if N of M requests that were
+// at one crash were at another, N/M of those are at a third by chance. And if another request was
+// at nearly as many crashes, a missing report may decide between the two.
 func requiredCrashes(counts map[request.Fingerprint]*culprit, most culprit) int {
 	once, repeated := 0, 0
 	for f, x := range counts {
--- a/process/quarantine/policy.go
+++ b/process/quarantine/policy.go
@@ -6,17 +6,17 @@
 
 // Parameters of the verdict.
 const (
-	// minCrashes is the minimum number of crashes at which a request must have been in flight,
-	// more often than any other, to be the culprit. At two crashes are also requests that were
-	// in flight beside a culprit and, when retried, beside the next one.
+	// minCrashes is the minimum number of crashes of a culprit, which must be a suspect more
+	// often than any other request. Harmless requests reach two, if they were in flight at one
+	// crash and, when retried, at the next.
 	minCrashes = 3
 	// ambiguousCrashes is the minimum number if other requests were at several crashes as well,
 	// or if several requests were at exactly the same crashes.
 	ambiguousCrashes = 5
 	// certainCrashes is the number from which a request is the culprit even if it was at less
-	// than minRecentShare of the crashes within recentTime. Below that number such a share means
-	// that backend servers also crash for other reasons, when requests that callers retry are at
-	// many crashes. Six culprits at the same time still reach the share.
+	// than minRecentShare of the crashes within recentTime. With fewer, backend servers may also
+	// be crashing for other reasons, and then requests that callers retry are at many crashes.
+	// Six culprits at the same time still reach the share.
 	certainCrashes = 8
 	minRecentShare = 0.15
 	recentTime     = 5 * time.Second
--- a/process/quarantine/quarantine.go
+++ b/process/quarantine/quarantine.go
@@ -129,9 +129,9 @@
 
 // announce adds an entry that this instance has created or changed, and returns the message
 // for the other instances. The caller must hold q.mu.
-func (q *Quarantine) announce(e Entry, first time.Duration) []message {
+func (q *Quarantine) announce(e Entry, firstAge time.Duration) []message {
 	q.merge(e, "")
-	payload, err := encode(kindEntry, &entryUpdate{Entry: e, FirstMs: milliseconds(first)})
+	payload, err := encode(kindEntry, &entryUpdate{Entry: e, FirstMs: milliseconds(firstAge)})
 	if err != nil {
 		q.Log.Error().Err(err).Msg("quarantine-entry-failed")
 		return nil
--- a/process/quota/account.go
+++ b/process/quota/account.go
@@ -114,8 +114,8 @@
 // depthFor returns the bucket depth of an instance that is limited to a rate.
 func depthFor(rate float64) float64 { return rate*prefetchTime.Seconds() + minCredit }
 
-// emptyLimiter returns a nearly empty limiter, because the last tokens from the owner that
-// an instance has just lost count towards the same window. It holds the demand of one
+// emptyLimiter returns a nearly empty limiter, because tokens just granted by the lost owner
+// are used within the same window. It holds the demand of one
 // responseTimeout, since the first requests after each loss would otherwise be refused.
 func emptyLimiter(rate float64, now time.Duration) rateLimiter {
 	return rateLimiter{deficit: depthFor(rate) - rate*responseTimeout.Seconds(), updatedAt: now}
--- a/process/quota/bucket.go
+++ b/process/quota/bucket.go
@@ -37,10 +37,10 @@
 	reserved, held := 0.0, 0.0
 	for name, r := range b.requesters {
 		held += max(1, r.usage.rate*prefetchTime.Seconds())
-		switch silence := now - r.lastSeen; {
-		case silence > reserveTime:
+		switch elapsed := now - r.lastSeen; {
+		case elapsed > reserveTime:
 			delete(b.requesters, name)
-		case silence > requesterTimeout:
+		case elapsed > requesterTimeout:
 			reserved += max(reserveFraction, l.fallback) * r.usage.rate // as of its last token request
 		}
 	}
@@ -85,10 +85,9 @@
 }
 
 // currentDepth returns the bucket capacity. Tokens that instances hold are admitted on top
-// of a full bucket; as much of them is left out of account as is tolerated, and the rest
-// reduces the capacity. The burst also shrinks with the rate reserved for missing instances,
-// since they use their part of it: with the full burst, 1.09 of the tolerated requests were
-// admitted.
+// of a full bucket; they are ignored as far as is tolerated, and the rest reduces the
+// capacity. The burst also shrinks with the rate reserved for missing instances, since they
+// use their part of it: with the full burst, 1.09 of the tolerated requests were admitted.
 func (b *bucket) currentDepth(l limit, held, reserved float64, now time.Duration) float64 {
 	depth := l.depth - min(l.depth/2, max(0, held-l.prefetched))
 	depth = max(min(depth, l.slack), depth*(1-min(1, reserved/l.rate)))
--- a/process/quota/limit_test.go
+++ b/process/quota/limit_test.go
@@ -123,9 +123,9 @@
 	m.run(6 * time.Second)
 }
 
-func (m *model) playStep(t *rapid.T, playStep string) {
+func (m *model) playStep(t *rapid.T, step string) {
 	size, rate := len(m.nodes), m.workspace.Rate
-	switch playStep {
+	switch step {
 	case "flood":
 		m.demand(rate*rapid.SampledFrom([]float64{5, 20}).Draw(t, "factor"), size)
 	case "normal":
@@ -156,16 +156,16 @@
 	limiter rateLimiter
 }
 
-func (e *equalShares) decide(*version.WorkspaceView, bool) (in, wait bool) {
+func (e *equalShares) decide(*version.WorkspaceView, bool) (admitted, wait bool) {
 	m, n := e.x.m, float64(len(e.x.m.nodes))
 	return e.limiter.take(m.workspace.Rate/n, m.workspace.Burst/n, m.now), false
 }
 
-func (p *rateLimiter) take(rate, depth float64, now time.Duration) bool {
-	if !p.allows(rate, depth, now) {
+func (l *rateLimiter) take(rate, depth float64, now time.Duration) bool {
+	if !l.allows(rate, depth, now) {
 		return false
 	}
-	p.deficit++
+	l.deficit++
 	return true
 }
 
@@ -183,7 +183,7 @@
 	share     float64
 }
 
-func (f *flowProportional) decide(*version.WorkspaceView, bool) (in, wait bool) {
+func (f *flowProportional) decide(*version.WorkspaceView, bool) (admitted, wait bool) {
 	m := f.x.m
 	f.demand.add(1, m.now)
 	return f.limiter.take(f.share*m.workspace.Rate, f.share*m.workspace.Burst, m.now), false
@@ -192,8 +192,8 @@
 func (f *flowProportional) tick() {
 	sum := 0.0
 	for _, o := range f.x.m.nodes {
-		if p, ok := o.strategy.(*flowProportional); ok && !o.dead && o.group == f.x.group {
-			sum += p.announced
+		if peer, ok := o.strategy.(*flowProportional); ok && !o.dead && o.group == f.x.group {
+			sum += peer.announced
 		}
 	}
 	if sum > 0 {
--- a/process/quota/model_test.go
+++ b/process/quota/model_test.go
@@ -268,12 +268,12 @@
 
 func (m *model) deliver() {
 	arrived := slices.Clone(m.inFlight)
-	m.inFlight = slices.DeleteFunc(m.inFlight, func(p datagram) bool { return p.at <= m.now && !m.nodes[p.to].frozen })
-	for _, p := range arrived {
-		to := m.nodes[p.to]
+	m.inFlight = slices.DeleteFunc(m.inFlight, func(d datagram) bool { return d.at <= m.now && !m.nodes[d.to].frozen })
+	for _, d := range arrived {
+		to := m.nodes[d.to]
 		l, ok := to.strategy.(leasedTokens)
-		if p.at <= m.now && ok && !to.dead && !to.frozen && to.group == m.nodes[p.from].group {
-			l.Receive(nodeNames[p.from], p.payload)
+		if d.at <= m.now && ok && !to.dead && !to.frozen && to.group == m.nodes[d.from].group {
+			l.Receive(nodeNames[d.from], d.payload)
 		}
 	}
 }
@@ -352,10 +352,10 @@
 // refusedBySingleBucket returns how many of the requests a single bucket with the limit would
 // have refused.
 func (m *model) refusedBySingleBucket() int {
-	var p rateLimiter
+	var bucket rateLimiter
 	refused := 0
 	for _, at := range m.arrivals {
-		if !p.take(m.workspace.Rate, m.workspace.Burst, at) {
+		if !bucket.take(m.workspace.Rate, m.workspace.Burst, at) {
 			refused++
 		}
 	}
--- a/process/quota/rate.go
+++ b/process/quota/rate.go
@@ -25,8 +25,8 @@
 }
 
 // rateAt returns the rate at a time.
-func (m *meter) rateAt(rateAt time.Duration) float64 {
-	return m.rate * math.Exp(-float64(rateAt-m.updatedAt)/float64(meterTimeConstant))
+func (m *meter) rateAt(now time.Duration) float64 {
+	return m.rate * math.Exp(-float64(now-m.updatedAt)/float64(meterTimeConstant))
 }
 
 // rateLimiter is a token bucket that counts the missing tokens. The zero value is full.
@@ -35,11 +35,11 @@
 	updatedAt time.Duration
 }
 
-// allows reports whether a bucket of this rate and depth has a token left. The caller adds
-// the token to the deficit if it takes it. The deficit is limited to the depth, also if that
-// was larger before.
-func (p *rateLimiter) allows(rate, depth float64, now time.Duration) bool {
-	p.deficit = max(0, min(p.deficit, depth)-rate*(now-p.updatedAt).Seconds())
-	p.updatedAt = now
-	return p.deficit+1 <= max(1, depth)
+// allows reports whether a bucket of this rate and depth has a token left. A caller that takes
+// it adds it to the deficit. The deficit is limited to the depth, which may have been larger
+// before.
+func (l *rateLimiter) allows(rate, depth float64, now time.Duration) bool {
+	l.deficit = max(0, min(l.deficit, depth)-rate*(now-l.updatedAt).Seconds())
+	l.updatedAt = now
+	return l.deficit+1 <= max(1, depth)
 }
--- a/process/quota/rate_test.go
+++ b/process/quota/rate_test.go
@@ -17,9 +17,9 @@
 func TestLimiterDeficitIsBoundedAfterShareShrinks(t *testing.T) {
 	const before, after = 266.0, 133.0
 	now := time.Minute
-	p := emptyLimiter(before, now)
+	l := emptyLimiter(before, now)
 	now += time.Second / 50
-	assert.Assert(t, p.allows(after, depthFor(after), now))
-	p.deficit++
-	assert.Assert(t, p.deficit <= depthFor(after))
+	assert.Assert(t, l.allows(after, depthFor(after), now))
+	l.deficit++
+	assert.Assert(t, l.deficit <= depthFor(after))
 }
--- a/process/quota/wire.go
+++ b/process/quota/wire.go
@@ -107,7 +107,7 @@
 			})
 		}
 	default:
-		return nil, nil, errors.Errorf("message of kind %d with %d bytes", payload[0], len(payload))
+		return nil, nil, errors.Errorf("invalid message of kind %d with %d bytes", payload[0], len(payload))
 	}
 	return requests, responses, nil
 }
