--- a/process/proxy/answer.go
+++ b/process/proxy/answer.go
@@ -118,7 +118,7 @@
 		e.Str("request", c.fingerprint.String())
 	}
 	if res.Code == request.Quarantined {
-		e.Str("path", c.path()).Int("crashes", p.Quarantine.Crashes(c.fingerprint))
+		e.Str("path", c.path()).Int("crashes", p.Quarantine.CrashCount(c.fingerprint))
 	}
 	if c.route == nil {
 		e.Str("host", c.r.Host).Str("path", c.r.URL.Path)
--- a/process/proxy/attempt.go
+++ b/process/proxy/attempt.go
@@ -60,7 +60,7 @@
 	part := p.Table.Split(c.route)
 	c.service = c.route.Split[part].Service
 	t := &transaction{p: p, c: c, query: balance.Query{Route: c.route, Part: part, Priority: c.priority(), Object: p.objectHash(c)}}
-	p.RetryBudget.Request(c.service, p.Now())
+	p.RetryBudget.RecordRequest(c.service, p.Now())
 	resp, res := t.runAttempts(ctx)
 	if resp != nil {
 		t.logResponse(resp)
@@ -118,7 +118,7 @@
 	if len(t.query.Tried) >= maxBackendsTried || t.c.attempts >= t.c.route.Attempts {
 		return false
 	}
-	return t.c.attempts == 0 || t.p.RetryBudget.Retry(t.c.service, t.p.Now())
+	return t.c.attempts == 0 || t.p.RetryBudget.TryRetry(t.c.service, t.p.Now())
 }
 
 const (
@@ -195,7 +195,7 @@
 	pick.Done(balance.Answered, t.loadReport(header, pick))
 	t.reportResponse(resp, took)
 	if t.p.Quarantine != nil {
-		t.p.Quarantine.Answered(t.c.fingerprint)
+		t.p.Quarantine.RecordAnswer(t.c.fingerprint)
 	}
 	if t.p.OnResponse != nil {
 		t.p.OnResponse(pick.Name, header, time.Since(sent))
--- a/process/proxy/caller.go
+++ b/process/proxy/caller.go
@@ -80,7 +80,7 @@
 	ok, refusal := p.Quota.Take(ctx, c.workspace)
 	if !ok {
 		c.quotaRefusal = &refusal
-		return notRun(request.OverQuota, refusal.Retry)
+		return notRun(request.OverQuota, refusal.RetryAfter)
 	}
 	c.quotaTaken = true
 	return nil
@@ -96,7 +96,7 @@
 		p.Quota.Return(c.workspace)
 	}
 	for range c.possibleRuns - 1 {
-		p.Quota.Again(c.workspace)
+		p.Quota.CountRetry(c.workspace)
 	}
 }
 
--- a/process/proxy/fingerprint.go
+++ b/process/proxy/fingerprint.go
@@ -44,7 +44,7 @@
 	if t.p.Crashes == nil {
 		return
 	}
-	t.p.Crashes.Lost(crash.Loss{
+	t.p.Crashes.RecordLoss(crash.Loss{
 		Backend: pick.Name, Incarnation: pick.Incarnation, Service: t.c.service,
 		Suspect: crash.Suspect{Request: t.c.fingerprint, Path: t.c.path()},
 		// The connection is kept for a later request, so the effort is not wasted.
--- a/process/proxy/proxy.go
+++ b/process/proxy/proxy.go
@@ -42,7 +42,7 @@
 	// Rollouts, if set, decides which requests go to the target of a roll-out.
 	Rollouts *rollout.Rollouts
 	// Crashes, if set, receives reports of requests that were lost at backend servers.
-	Crashes *crash.Watch
+	Crashes *crash.Detector
 	// Quarantine, if set, identifies requests that crash the backend servers that run them.
 	Quarantine *quarantine.Quarantine
 	// Memory, if set, bounds the memory that buffered requests and responses take.
