--- a/process/balance/backoff_model_test.go
+++ b/process/balance/backoff_model_test.go
@@ -16,29 +16,29 @@
 
 // wave is a model of some backend servers that turn everything away for a while, before many
 // instances. Time is the model's own.
-type wave struct {
-	instances, backends, turning int
-	rate                         int           // requests a second, over all instances
-	asks                         time.Duration // the time that each refusal asks for
-	told                         bool          // instances tell each other
+type rejectionModel struct {
+	instances, backends, rejecting int
+	rate                           int           // requests a second, over all instances
+	retryAfter                     time.Duration // the time that each refusal asks for
+	gossip                         bool          // instances tell each other
 }
 
 // Times of the model.
 const (
-	waveBegins = time.Second
-	waveEnds   = 10 * time.Second
-	wavePlayed = 13 * time.Second
-	waveWork   = 100 * time.Millisecond
-	waveBeat   = 500 * time.Millisecond // between two tellings of an instance
+	rejectFrom     = time.Second
+	rejectUntil    = 10 * time.Second
+	simulated      = 13 * time.Second
+	simulatedWork  = 100 * time.Millisecond
+	gossipInterval = 500 * time.Millisecond // between two tellings of an instance
 )
 
 // play returns how many refusals instances met, and how many requests were refused for good:
 // a request may be sent twice.
-func (w wave) play(seed uint64) (met, refused int) {
+func (w rejectionModel) play(seed uint64) (met, refused int) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	all := make([]*place, w.instances)
+	all := make([]*fixture, w.instances)
 	for i := range all {
-		p := newPlace(w.instances)
+		p := newFixture(w.instances)
 		p.route(version.Weighted{Service: "t", Weight: 1})
 		for k := range w.backends {
 			p.backend(fmt.Sprintf("u%d", k), 0, func(b *version.Backend) { b.Service = "t" })
@@ -47,7 +47,7 @@
 		all[i] = p
 	}
 	turns := make(map[string]bool)
-	for k := range w.turning {
+	for k := range w.rejecting {
 		turns[fmt.Sprintf("u%d", k)] = true
 	}
 	type running struct {
@@ -57,7 +57,7 @@
 	var flying []running
 	begun := all[0].now
 	gap := time.Second / time.Duration(w.rate)
-	for now, beat := time.Duration(0), time.Duration(0); now < wavePlayed; now += gap {
+	for now, beat := time.Duration(0), time.Duration(0); now < simulated; now += gap {
 		for _, p := range all {
 			p.now = begun + now
 		}
@@ -65,9 +65,9 @@
 			flying[0].pick.Done(Answered, &Report{Running: 1, Slots: 6})
 			flying = flying[1:]
 		}
-		if beat += gap; w.told && beat >= waveBeat/time.Duration(w.instances) {
+		if beat += gap; w.gossip && beat >= gossipInterval/time.Duration(w.instances) {
 			beat = 0
-			w.tell(all, random)
+			w.exchange(all, random)
 		}
 		p := all[random.IntN(len(all))]
 		q := p.query(random.Uint64N(500) + 1)
@@ -78,13 +78,13 @@
 				break
 			}
 			q.Tried = append(q.Tried, k.Name)
-			if turns[k.Name] && now >= waveBegins && now < waveEnds {
+			if turns[k.Name] && now >= rejectFrom && now < rejectUntil {
 				met++
-				k.Heed(request.Notice{RetryAfter: w.asks})
+				k.ApplyNotice(request.Notice{RetryAfter: w.retryAfter})
 				k.Done(Refused, &Report{Slots: 6})
 				continue
 			}
-			flying = append(flying, running{k, now + waveWork})
+			flying = append(flying, running{k, now + simulatedWork})
 			served = true
 			break
 		}
@@ -97,31 +97,31 @@
 
 // tell lets any instance tell some others what it knows: all of them, or those that a beat
 // reaches in a large region.
-func (w wave) tell(all []*place, random *rand.Rand) {
+func (w rejectionModel) exchange(all []*fixture, random *rand.Rand) {
 	const reached, size = 14, 180
 	from := all[random.IntN(len(all))]
 	text := from.Observations(size)
 	for range min(len(all)-1, reached) {
-		all[random.IntN(len(all))].Hear(text)
+		all[random.IntN(len(all))].ApplyObservations(text)
 	}
 }
 
 // TestWordOfOthersSparesCallers measures what it is worth that instances tell each other who asked
 // to be left alone: refusals that callers' requests meet, and requests refused for good.
-func TestWordOfOthersSparesCallers(t *testing.T) {
-	for _, w := range []wave{
-		{instances: 12, backends: 20, turning: 6, rate: 240, asks: 3 * time.Second},
-		{instances: 100, backends: 60, turning: 18, rate: 1000, asks: 3 * time.Second},
+func TestGossipReducesRejections(t *testing.T) {
+	for _, w := range []rejectionModel{
+		{instances: 12, backends: 20, rejecting: 6, rate: 240, retryAfter: 3 * time.Second},
+		{instances: 100, backends: 60, rejecting: 18, rate: 1000, retryAfter: 3 * time.Second},
 	} {
 		met, refused := 0, 0
 		metTold, refusedTold := 0, 0
 		for seed := range uint64(5) {
 			m, r := w.play(seed)
 			met, refused = met+m, refused+r
-			w.told = true
+			w.gossip = true
 			m, r = w.play(seed)
 			metTold, refusedTold = metTold+m, refusedTold+r
-			w.told = false
+			w.gossip = false
 		}
 		t.Logf("%d instances: %d refusals met, %d refused for good; told: %d and %d", w.instances, met, refused, metTold, refusedTold)
 		assert.Assert(t, metTold < met)
--- a/process/balance/balance_test.go
+++ b/process/balance/balance_test.go
@@ -16,7 +16,7 @@
 )
 
 func TestObjectStaysAtItsBackend(t *testing.T) {
-	p := newPlace(12)
+	p := newFixture(12)
 	for i := range 12 {
 		p.backend(fmt.Sprintf("u%d", i), i%3, nil)
 	}
@@ -36,8 +36,8 @@
 // TestOverloadKeepsObjectsAtFewBackends checks a burst beyond what there is room for: it
 // must not spread the objects over all backend servers, where each is worked on as
 // unseen.
-func TestOverloadKeepsObjectsAtFewBackends(t *testing.T) {
-	p := newPlace(1)
+func TestOverloadKeepsObjectsOnFewBackends(t *testing.T) {
+	p := newFixture(1)
 	for i := range 20 {
 		p.backend(fmt.Sprintf("u%d", i), i%3, nil)
 	}
@@ -49,7 +49,7 @@
 		k, refusal := p.Pick(p.query(object))
 		if k == nil {
 			assert.Equal(t, refusal.Code, request.QueueFull)
-			assert.Assert(t, refusal.Retry > 0)
+			assert.Assert(t, refusal.RetryAfter > 0)
 			refused++
 			continue
 		}
@@ -66,13 +66,13 @@
 
 // TestColdBackendGetsItsRateOverAllInstances plays many instances that learn
 // of a cold backend server at the same moment.
-func TestColdBackendGetsItsRateOverAllInstances(t *testing.T) {
+func TestWarmingRateHoldsAcrossInstances(t *testing.T) {
 	const rate, overage, slack = 9, 1.5, 5
 	for _, instances := range []int{1, 3, 12, 89} {
 		var sent []time.Duration
 		for i := range instances {
-			p := newPlace(instances)
-			p.place = i
+			p := newFixture(instances)
+			p.index = i
 			p.backend("cold", 0, func(u *version.Backend) { u.Cold = version.Duration(3 * time.Second) })
 			p.install()
 			for step := range 300 {
@@ -85,13 +85,13 @@
 				}
 			}
 		}
-		most := mostInASecond(sent)
+		most := maxPerSecond(sent)
 		assert.Assert(t, float64(most) <= rate*overage+slack, "%d instances: %d in one second", instances, most)
 		assert.Assert(t, len(sent) > rate, "%d instances: only %d in three seconds", instances, len(sent))
 	}
 }
 
-func mostInASecond(at []time.Duration) int {
+func maxPerSecond(at []time.Duration) int {
 	sort.Slice(at, func(i, j int) bool { return at[i] < at[j] })
 	most, from := 0, 0
 	for i := range at {
@@ -104,7 +104,7 @@
 }
 
 func TestBackendIsColdAfterADrain(t *testing.T) {
-	p := newPlace(12)
+	p := newFixture(12)
 	p.backend("u", 0, nil)
 	drain := version.Resource{Key: version.Key{Kind: version.KindDrain, Name: "d"}, Drain: &version.Drain{Hall: "hr0"}}
 	p.put(drain)
@@ -122,15 +122,15 @@
 		}
 	}
 	assert.Assert(t, sent <= 1, "%d at once", sent)
-	p.now += p.Policy.AfterDrain
+	p.now += p.Policy.ColdAfterDrain
 	p.pick(t, 1)
 }
 
 // TestRequestIsRefusedBeyondItsObjective checks that requests wait for as long as
 // they can be answered within their objective, and that further ones are refused at
 // once with a time to come back.
-func TestRequestIsRefusedBeyondItsObjective(t *testing.T) {
-	p := newPlace(1)
+func TestRequestBeyondObjectiveIsRefused(t *testing.T) {
+	p := newFixture(1)
 	p.backend("a", 0, func(u *version.Backend) { u.Slots = 1 })
 	p.install()
 	p.pick(t, 1)
@@ -138,13 +138,13 @@
 	k, refusal := p.Pick(p.query(1))
 	assert.Assert(t, k == nil)
 	assert.Equal(t, refusal.Code, request.QueueFull)
-	assert.Assert(t, refusal.Retry >= p.Policy.LeastComeBack)
+	assert.Assert(t, refusal.RetryAfter >= p.Policy.MinRetryAfter)
 }
 
 // TestUnknownBackendIsTakenToBeLikeTheOthers checks that after a start the first
 // answers of some backend servers tell how long requests may wait at the others.
-func TestUnknownBackendIsTakenToBeLikeTheOthers(t *testing.T) {
-	p := newPlace(1)
+func TestUnknownBackendUsesServiceEstimate(t *testing.T) {
+	p := newFixture(1)
 	p.backend("a", 0, nil)
 	p.backend("b", 0, nil)
 	p.install()
@@ -157,14 +157,14 @@
 		}
 		k.Done(Answered, nil)
 	}
-	work := p.stateOf("b").usualWork()
+	work := p.stateOf("b").typicalWork()
 	assert.Assert(t, work > 80*time.Millisecond && work < 130*time.Millisecond, "%s", work)
 }
 
 // TestUrgentRequestIsTakenWhereAnotherIsRefused checks that the priority of routes
 // decides when their requests meet at a busy backend server.
-func TestUrgentRequestIsTakenWhereAnotherIsRefused(t *testing.T) {
-	p := newPlace(1)
+func TestUrgentRequestIsAcceptedWhereOthersAreRefused(t *testing.T) {
+	p := newFixture(1)
 	p.backend("a", 0, func(u *version.Backend) { u.Slots = 4 })
 	route := func(name, prefix string, priority int) {
 		p.put(version.Resource{Key: version.Key{Kind: version.KindRoute, Name: name}, Route: &version.Route{
@@ -193,8 +193,8 @@
 
 // TestRequestWithoutTimeToBeServedIsNotSent checks that a request with less time
 // than its backend server needs is refused as one that has not run.
-func TestRequestWithoutTimeToBeServedIsNotSent(t *testing.T) {
-	p := newPlace(1)
+func TestRequestNearDeadlineIsNotSent(t *testing.T) {
+	p := newFixture(1)
 	p.backend("a", 0, nil)
 	p.install()
 	for range 40 {
@@ -215,7 +215,7 @@
 // TestConnectionsAreShared checks that an instance takes no more than its share
 // of the connections that a backend server accepts.
 func TestConnectionsAreShared(t *testing.T) {
-	p := newPlace(12)
+	p := newFixture(12)
 	p.put(version.Resource{Key: version.Key{Kind: version.KindService, Name: "s"}, Service: &version.Service{MaxConnections: 36}})
 	p.backend("u", 0, func(u *version.Backend) { u.Slots = 100 })
 	p.install()
@@ -226,8 +226,8 @@
 	assert.Assert(t, k == nil)
 }
 
-func TestTriedAndForeignBackendsAreLeftOut(t *testing.T) {
-	p := newPlace(1)
+func TestTriedBackendsAndForeignRegionsAreExcluded(t *testing.T) {
+	p := newFixture(1)
 	p.backend("a", 0, nil)
 	p.backend("b", 1, nil)
 	p.install()
@@ -244,7 +244,7 @@
 }
 
 func TestSplitHoldsAfterEveryFewRequests(t *testing.T) {
-	p := newPlace(1)
+	p := newFixture(1)
 	p.route(version.Weighted{Service: "s", Weight: 90}, version.Weighted{Service: "t", Weight: 10})
 	p.install()
 	v := p.Routing().Route("a", "/")
@@ -263,7 +263,7 @@
 // TestQueryOfAnOlderRoutingIsSafe checks that a request that began before its
 // service went away is refused.
 func TestQueryOfAnOlderRoutingIsSafe(t *testing.T) {
-	p := newPlace(1)
+	p := newFixture(1)
 	p.backend("a", 0, nil)
 	p.install()
 	q := p.query(1)
--- a/process/balance/bench_test.go
+++ b/process/balance/bench_test.go
@@ -13,10 +13,10 @@
 // TestChoiceLooksAtFew checks that a choice among thousands looks at few of them, so that its cost
 // hardly grows with a service, and that each still gets its share of the objects. A choice
 // looked at all: 430 us among 5,376.
-func TestChoiceLooksAtFew(t *testing.T) {
+func TestChoiceExaminesFewBackends(t *testing.T) {
 	const choices = 4000
 	for _, n := range []int{300, 5376, 10752} {
-		p := newPlace(12)
+		p := newFixture(12)
 		for i := range n {
 			p.backend(fmt.Sprintf("u%d", i), 0, nil)
 		}
@@ -27,7 +27,7 @@
 			counts[k.Name]++
 			k.Done(Abandoned, nil)
 		}
-		looked := p.looked / choices
+		looked := p.examined / choices
 		t.Logf("%d backend servers: a choice looks at %d", n, looked)
 		assert.Assert(t, looked <= max(1024, 4*n/128), "%d of %d", looked, n)
 		mean := float64(choices) / float64(n)
@@ -39,10 +39,10 @@
 
 // TestFewObjectsMoveAsServersCome checks that a server that comes or leaves moves few objects but
 // those that it gets or had.
-func TestFewObjectsMoveAsServersCome(t *testing.T) {
+func TestFewObjectsMoveWhenBackendIsAdded(t *testing.T) {
 	const objects = 4000
 	for _, n := range []int{40, 600, 2000} {
-		p := newPlace(12)
+		p := newFixture(12)
 		for i := range n {
 			p.backend(fmt.Sprintf("u%d", i), 0, nil)
 		}
@@ -80,7 +80,7 @@
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{20, 579, 1300, 5376} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			p := newPlace(12)
+			p := newFixture(12)
 			for i := range n {
 				p.backend(fmt.Sprintf("u%d", i), i%3, nil)
 			}
@@ -97,7 +97,7 @@
 
 // BenchmarkTargetHome measures the home of an object that was asked for before.
 func BenchmarkTargetHome(b *testing.B) {
-	p := newPlace(12)
+	p := newFixture(12)
 	for i := range 80 {
 		p.backend(fmt.Sprintf("v1-%d", i), i%3, software("v1"))
 		p.backend(fmt.Sprintf("v2-%d", i), i%3, software("v2"))
--- a/process/balance/candidate.go
+++ b/process/balance/candidate.go
@@ -14,7 +14,7 @@
 type candidate struct {
 	index     int32
 	near, far float64 // distances in the two orders
-	place     int     // in the order of choices
+	rank      int     // in the order of choices
 	wait      time.Duration
 	cost      time.Duration
 	unseen    bool // the backend server has not worked on the object lately
@@ -26,32 +26,32 @@
 // is that of its group, times its own over the least of the group, so that each gets the
 // share of objects that its weight is of all (hierarchical weighted rendezvous hashing).
 type search struct {
-	t       *Table
-	q       *Query
-	s       *version.RoutedService
-	object  uint64
-	among   eligibility
-	now     time.Duration
-	bound   int // requests at a time at one backend server
-	weights weights
-	near    *[version.GroupCount]float64
-	far     *[version.GroupCount]float64
-	visited [version.GroupCount]bool
-	c       []candidate
-	why     Why
+	t           *Table
+	q           *Query
+	s           *version.RoutedService
+	object      uint64
+	among       eligibility
+	now         time.Duration
+	maxInFlight int // requests at a time at one backend server
+	weights     weights
+	near        *[version.GroupCount]float64
+	far         *[version.GroupCount]float64
+	visited     [version.GroupCount]bool
+	found       []candidate
+	explanation Explanation
 	// missed is the suspended one that would come first.
-	missed     int32
-	missedNear float64
+	suspended     int32
+	suspendedNear float64
 }
 
 // candidates lists the backend servers of one eligibility that may get the request now, the
 // first choices of its object only, and counts those that may not among those that it looked
 // at; whole lets it look at all. The list is good until the next call. The caller holds the
 // lock.
-func (t *Table) candidates(q *Query, part *version.RoutePart, s *version.RoutedService, object uint64, among eligibility, now time.Duration, whole bool) ([]candidate, Why) {
+func (t *Table) candidates(q *Query, part *version.RoutePart, s *version.RoutedService, object uint64, among eligibility, now time.Duration, whole bool) ([]candidate, Explanation) {
 	x := search{
-		t: t, q: q, s: s, object: object, among: among, now: now, bound: t.connections(s), c: t.scratch[:0],
-		weights: t.weightsFor(q.Route, part, s), near: &t.nearGroups, far: &t.farGroups, why: Why{Backends: len(s.Backends)}, missed: version.None,
+		t: t, q: q, s: s, object: object, among: among, now: now, maxInFlight: t.connections(s), found: t.scratch[:0],
+		weights: t.weightsFor(q.Route, part, s), near: &t.nearGroups, far: &t.farGroups, explanation: Explanation{Backends: len(s.Backends)}, suspended: version.None,
 	}
 	x.orderGroups()
 	if whole {
@@ -59,30 +59,30 @@
 			x.visit(g)
 		}
 	}
-	x.find(x.near, t.Policy.NearChoices, func(c *candidate) float64 { return c.near })
-	least(x.c, t.Policy.NearChoices, func(c *candidate) float64 { return c.near })
-	x.find(x.far, t.Policy.NearChoices+t.Policy.FarChoices, func(c *candidate) float64 { return c.far })
-	t.scratch = x.c[:0]
-	c := t.firstChoices(x.c)
-	if x.missed != version.None && (len(c) == 0 || x.missedNear < c[0].near) {
-		t.reach(t.routing.Backends[x.missed].Name, t.state(x.missed), now)
+	x.extend(x.near, t.Policy.NearChoices, func(c *candidate) float64 { return c.near })
+	moveNearestFirst(x.found, t.Policy.NearChoices, func(c *candidate) float64 { return c.near })
+	x.extend(x.far, t.Policy.NearChoices+t.Policy.FarChoices, func(c *candidate) float64 { return c.far })
+	t.scratch = x.found[:0]
+	c := t.firstChoices(x.found)
+	if x.suspended != version.None && (len(c) == 0 || x.suspendedNear < c[0].near) {
+		t.probe(t.routing.Backends[x.suspended].Name, t.state(x.suspended), now)
 	}
 	for k := range c {
-		t.weigh(q, object, &c[k], k, now)
+		t.estimateCost(q, object, &c[k], k, now)
 	}
-	return c, x.why
+	return c, x.explanation
 }
 
 // weigh estimates what a candidate of a place in the order of choices would cost. The caller
 // holds the lock.
-func (t *Table) weigh(q *Query, object uint64, c *candidate, place int, now time.Duration) {
+func (t *Table) estimateCost(q *Query, object uint64, c *candidate, place int, now time.Duration) {
 	v := &t.routing.Backends[c.index]
 	u := t.state(c.index)
-	work := u.workNow(now)
-	c.place = place
-	c.wait = u.wait(now, v.Slots)
-	c.cost = c.wait + time.Duration(place)*t.Policy.PlaceCost + work - u.usualWork()
-	c.unseen = q.Route.Sticky && !t.seen.has(object, v.Life, now, t.Policy.SeenFor)
+	work := u.currentWork(now)
+	c.rank = place
+	c.wait = u.expectedWait(now, v.Slots)
+	c.cost = c.wait + time.Duration(place)*t.Policy.RankCost + work - u.typicalWork()
+	c.unseen = q.Route.Sticky && !t.seen.has(object, v.Life, now, t.Policy.SeenTTL)
 	if place > 0 && c.unseen {
 		c.cost += time.Duration(t.Policy.UnseenCost * float64(work))
 	}
@@ -93,7 +93,7 @@
 type weights struct{ *version.Weights }
 
 // weightsOf returns the weights of a service's backend servers for requests of this region.
-func (t *Table) weightsOf(part *version.RoutePart, s *version.RoutedService) weights {
+func (t *Table) regionWeights(part *version.RoutePart, s *version.RoutedService) weights {
 	if t.region == version.None || len(part.Weights) <= int(t.region) || len(part.Weights[t.region].Backends) != len(s.Backends) {
 		return weights{}
 	}
@@ -134,7 +134,7 @@
 
 // find visits groups in an order until the first n candidates of that order are known, or all
 // groups were visited.
-func (x *search) find(order *[version.GroupCount]float64, n int, distance func(*candidate) float64) {
+func (x *search) extend(order *[version.GroupCount]float64, n int, distance func(*candidate) float64) {
 	for {
 		next, far := -1, math.Inf(1)
 		for g, d := range order {
@@ -142,7 +142,7 @@
 				next, far = g, d
 			}
 		}
-		if next < 0 || x.known(n, far, distance) {
+		if next < 0 || x.enough(n, far, distance) {
 			return
 		}
 		x.visit(next)
@@ -150,9 +150,9 @@
 }
 
 // known reports whether n candidates are no further than a distance.
-func (x *search) known(n int, far float64, distance func(*candidate) float64) bool {
-	for i := range x.c {
-		if distance(&x.c[i]) <= far {
+func (x *search) enough(n int, far float64, distance func(*candidate) float64) bool {
+	for i := range x.found {
+		if distance(&x.found[i]) <= far {
 			n--
 		}
 	}
@@ -165,15 +165,15 @@
 		return
 	}
 	x.visited[group] = true
-	x.t.looked += len(x.s.Groups.Members(group))
-	first := len(x.c)
+	x.t.examined += len(x.s.Groups.Members(group))
+	first := len(x.found)
 	leastNear, leastFar := math.Inf(1), math.Inf(1)
 	missed, missedNear := version.None, 0.0
 	for _, k := range x.s.Groups.Members(group) {
 		i := x.s.Backends[k]
 		v := &x.t.routing.Backends[i]
 		if v.Closed {
-			x.why.Closed++
+			x.explanation.Closed++
 			continue
 		}
 		u := x.t.states[i]
@@ -183,40 +183,40 @@
 		if u != nil {
 			near, far = near/u.share.kept, far/u.share.kept
 		}
-		switch x.state(v, u) {
-		case takesIt:
-			x.c = append(x.c, candidate{index: i, near: near, far: far})
+		switch x.classify(v, u) {
+		case available:
+			x.found = append(x.found, candidate{index: i, near: near, far: far})
 		case suspendedNow:
 			if missed == version.None || near < missedNear {
 				missed, missedNear = i, near
 			}
 		}
 	}
-	for i := first; i < len(x.c); i++ {
-		x.c[i].near *= x.near[group] / leastNear
-		x.c[i].far *= x.far[group] / leastFar
+	for i := first; i < len(x.found); i++ {
+		x.found[i].near *= x.near[group] / leastNear
+		x.found[i].far *= x.far[group] / leastFar
 	}
 	missedNear *= x.near[group] / leastNear
-	if missed != version.None && (x.missed == version.None || missedNear < x.missedNear) {
-		x.missed, x.missedNear = missed, missedNear
+	if missed != version.None && (x.suspended == version.None || missedNear < x.suspendedNear) {
+		x.suspended, x.suspendedNear = missed, missedNear
 	}
 }
 
 // found is what a search finds of a backend server.
-type found uint8
+type candidacy uint8
 
 const (
-	leftOut found = iota
-	takesIt
+	excluded candidacy = iota
+	available
 	suspendedNow
 )
 
 // state tells whether a backend server that is not closed may get the request, and counts why it
 // may not. Nil: nothing is known of it.
-func (x *search) state(v *version.RoutedBackend, u *backend) found {
+func (x *search) classify(v *version.RoutedBackend, u *backend) candidacy {
 	if x.q.Route.Home != nil && !x.q.Route.Home[v.Region] {
-		x.why.Foreign++
-		return leftOut
+		x.explanation.OutsideHomes++
+		return excluded
 	}
 	e := eligible
 	if u != nil && u.notices != nil {
@@ -224,36 +224,36 @@
 	}
 	switch {
 	case e != x.among:
-		x.why.leftOut(u, e, x.now)
+		x.explanation.countExcluded(u, e, x.now)
 	case u != nil && !u.usable(x.now):
-		x.why.Suspended++
+		x.explanation.Suspended++
 		return suspendedNow
-	case u != nil && u.inFlight >= x.bound:
-		x.why.Full++
+	case u != nil && u.inFlight >= x.maxInFlight:
+		x.explanation.Full++
 	case slices.Contains(x.q.Tried, v.Name):
-		x.why.Tried++
+		x.explanation.Tried++
 	case x.t.overLimit(x.q, v):
-		x.why.Limited++
+		x.explanation.Limited++
 	default:
-		return takesIt
+		return available
 	}
-	return leftOut
+	return excluded
 }
 
 // firstChoices keeps the first of the near order and then the first others of
 // the far order.
 func (t *Table) firstChoices(c []candidate) []candidate {
 	near, far := t.Policy.NearChoices, t.Policy.FarChoices
-	least(c, near, func(x *candidate) float64 { return x.near })
+	moveNearestFirst(c, near, func(x *candidate) float64 { return x.near })
 	if len(c) <= near {
 		return c
 	}
-	least(c[near:], far, func(x *candidate) float64 { return x.far })
+	moveNearestFirst(c[near:], far, func(x *candidate) float64 { return x.far })
 	return c[:min(len(c), near+far)]
 }
 
 // least moves the n candidates of the least distance to the front, in order.
-func least(c []candidate, n int, distance func(*candidate) float64) {
+func moveNearestFirst(c []candidate, n int, distance func(*candidate) float64) {
 	for i := range min(n, len(c)) {
 		first := i
 		for k := i + 1; k < len(c); k++ {
--- a/process/balance/choose.go
+++ b/process/balance/choose.go
@@ -17,7 +17,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	pick, refusal := t.choose(q, eligible)
-	if pick != nil || refusal.Why.lastResort == 0 || refusal.Code == request.DeadlineNear {
+	if pick != nil || refusal.Explanation.lastResort == 0 || refusal.Code == request.DeadlineNear {
 		return pick, refusal
 	}
 	if last, _ := t.choose(q, lastResort); last != nil {
@@ -33,47 +33,47 @@
 	part := q.part(t.routing)
 	if part == nil {
 		t.useDefaults()
-		return nil, Refusal{Code: request.NoBackend, Retry: t.comeBack(request.NoBackend, 0), NoRollout: q.noRollout(t.routing)}
+		return nil, Refusal{Code: request.NoBackend, RetryAfter: t.retryAfter(request.NoBackend, 0), NoRollout: q.noRollout(t.routing)}
 	}
 	s := &t.routing.Services[part.Service]
 	object := q.Object
 	if object == 0 || !q.Route.Sticky {
 		object = rand.Uint64()
 	}
-	t.adaptShares(s, now)
+	t.stepShares(s, now)
 	c, _ := t.candidates(q, part, s, object, among, now, false)
 	best, ok := t.best(s, c, now)
-	refused := func() Why {
+	refused := func() Explanation {
 		_, why := t.candidates(q, part, s, object, among, now, true)
 		return why
 	}
 	if !ok {
 		why := refused()
 		why.Cold = len(c)
-		retry := t.comeBack(request.NoBackend, 0)
-		if why.allHeldBack() {
-			retry += t.heldBackFor(q, s.Backends, now) // no sooner: it would be refused again
+		retry := t.retryAfter(request.NoBackend, 0)
+		if why.allBlocked() {
+			retry += t.blockedFor(q, s.Backends, now) // no sooner: it would be refused again
 		}
-		return nil, Refusal{Code: request.NoBackend, Retry: retry, Why: why}
+		return nil, Refusal{Code: request.NoBackend, RetryAfter: retry, Explanation: why}
 	}
-	if least := t.leastTime(q, best); q.Left < least {
+	if least := t.minTime(q, best); q.Left < least {
 		why := refused()
-		why.Best, why.Wait, why.Patience = t.routing.Backends[best.index].Name, least, q.Left
-		return nil, Refusal{Code: request.DeadlineNear, Why: why}
+		why.Best, why.Wait, why.WaitLimit = t.routing.Backends[best.index].Name, least, q.Left
+		return nil, Refusal{Code: request.DeadlineNear, Explanation: why}
 	}
-	patience := t.patience(q, s, best)
+	patience := t.waitLimit(q, s, best)
 	if over := best.wait - patience; over > 0 {
 		why := refused()
-		why.Best, why.Wait, why.Patience = t.routing.Backends[best.index].Name, best.wait, patience
-		return nil, Refusal{Code: request.QueueFull, Retry: t.comeBack(request.QueueFull, over), Why: why}
+		why.Best, why.Wait, why.WaitLimit = t.routing.Backends[best.index].Name, best.wait, patience
+		return nil, Refusal{Code: request.QueueFull, RetryAfter: t.retryAfter(request.QueueFull, over), Explanation: why}
 	}
-	return t.take(q, best, s, now), Refusal{}
+	return t.assign(q, best, s, now), Refusal{}
 }
 
 // heldBackFor returns when one of some backend servers, all of which are backed off from or
 // limited, may take the request of a query. The caller holds the lock.
-func (t *Table) heldBackFor(q *Query, backends []int32, now time.Duration) time.Duration {
-	backoff, limit := t.backoffLeft(backends, now), t.limitLeft(q, backends)
+func (t *Table) blockedFor(q *Query, backends []int32, now time.Duration) time.Duration {
+	backoff, limit := t.minBackoffLeft(backends, now), t.minLimitLeft(q, backends)
 	if limit > 0 {
 		limit += rand.N(limit) // one has room for few at a time
 	}
@@ -161,7 +161,7 @@
 	if s.MaxConnections == 0 {
 		return math.MaxInt
 	}
-	_, of := t.Place()
+	_, of := t.MemberIndex()
 	return max(1, s.MaxConnections/max(1, of))
 }
 
@@ -169,7 +169,7 @@
 func (t *Table) best(s *version.RoutedService, c []candidate, now time.Duration) (candidate, bool) {
 	best := -1
 	for i := range c {
-		if !t.warmEnough(s, c[i].index, now) {
+		if !t.warmingAllows(s, c[i].index, now) {
 			continue
 		}
 		if best < 0 || c[i].cost < c[best].cost {
@@ -183,26 +183,26 @@
 }
 
 // warmEnough reports whether the backend server's warming leaves room for a request.
-func (t *Table) warmEnough(s *version.RoutedService, index int32, now time.Duration) bool {
+func (t *Table) warmingAllows(s *version.RoutedService, index int32, now time.Duration) bool {
 	u := t.state(index)
 	if s.Warming.Rate == 0 || now >= u.coldUntil {
 		return true
 	}
-	place, of := t.Place()
-	return u.turns.open(place, of, now)
+	place, of := t.MemberIndex()
+	return u.turns.allowed(place, of, now)
 }
 
 // take notes that a request goes to a backend server.
-func (t *Table) take(q *Query, c candidate, s *version.RoutedService, now time.Duration) *Pick {
+func (t *Table) assign(q *Query, c candidate, s *version.RoutedService, now time.Duration) *Pick {
 	v := &t.routing.Backends[c.index]
 	u := t.state(c.index)
 	u.inFlight++
-	*u.flights++
+	*u.softwareInFlight++
 	if u.notices != nil {
-		u.notices.backoff.sent(now)
+		u.notices.backoff.recordSent(now)
 	}
 	if s.Warming.Rate > 0 && now < u.coldUntil {
-		u.turns.use(now)
+		u.turns.take(now)
 	}
 	object := uint64(0)
 	if q.Route.Sticky {
@@ -210,7 +210,7 @@
 	}
 	return &Pick{
 		Name: v.Name, Address: v.Address, Software: v.Software, Incarnation: v.Incarnation, Region: t.routing.Regions[v.Region], Pool: u.pool,
-		Rank: c.place, Unseen: c.unseen, Cold: now < u.coldUntil, Wait: c.wait, Needs: t.needs(c, now),
-		table: t, u: u, object: object, life: v.Life, started: now,
+		Rank: c.rank, Unseen: c.unseen, Cold: now < u.coldUntil, Wait: c.wait, ExpectedTime: t.expectedTime(c, now),
+		table: t, backend: u, object: object, startHash: v.Life, started: now,
 	}
 }
--- a/process/balance/departure.go
+++ b/process/balance/departure.go
@@ -13,15 +13,15 @@
 // it was last told. Origin: those who were told by the server itself repeat it at each beat,
 // to some of a region of 100; 20 beats reach any one with 0.99. One request then learns it
 // anew.
-const rumourFor = 10 * time.Second
+const leavingGossipTTL = 10 * time.Second
 
 // departure is what is known of a start of a backend server that leaves by its own word. The
 // zero value is one that said nothing.
 type departure struct {
-	since     time.Duration // when it said so first, as far as is known; zero: never
-	own       bool          // it said so to this instance
-	heard     time.Duration // when another instance told it last; zero: never
-	rowLeaves bool          // its row has said so as well
+	since      time.Duration // when it said so first, as far as is known; zero: never
+	own        bool          // it said so to this instance
+	lastGossip time.Duration // when another instance told it last; zero: never
+	rowLeaving bool          // its row has said so as well
 }
 
 // eligibility returns that for new requests. What was said to this
@@ -29,7 +29,7 @@
 // no rumour can refuse a request.
 func (d *departure) eligibility(now, within time.Duration) eligibility {
 	switch {
-	case d.since == 0 || !d.own && now-d.heard > rumourFor:
+	case d.since == 0 || !d.own && now-d.lastGossip > leavingGossipTTL:
 		return eligible
 	case d.own && now-d.since >= within:
 		return ineligible
@@ -38,7 +38,7 @@
 }
 
 // told notes that the backend server said so to this instance, and reports whether that is new.
-func (d *departure) told(now time.Duration) bool {
+func (d *departure) recordAnswer(now time.Duration) bool {
 	if d.own {
 		return false
 	}
@@ -50,13 +50,13 @@
 }
 
 // hear takes up the word of another instance, which has an age, and reports whether it is new.
-func (d *departure) hear(age, now time.Duration) bool {
-	fresh := d.since == 0 || !d.own && now-d.heard > rumourFor
+func (d *departure) recordGossip(age, now time.Duration) bool {
+	fresh := d.since == 0 || !d.own && now-d.lastGossip > leavingGossipTTL
 	if fresh {
 		d.since = now - age
 	}
 	d.since = min(d.since, now-age)
-	d.heard = now
+	d.lastGossip = now
 	return fresh
 }
 
@@ -64,12 +64,12 @@
 // now does not, is the newer word. One that did not say so yet is older than the answer,
 // however new its other fields are: the server writes them all the time, and tells the
 // store that it leaves only once that answers.
-func (d *departure) seeRow(leaves bool) {
+func (d *departure) reconcileRow(leaves bool) {
 	switch {
 	case d.since == 0:
 	case leaves:
-		d.rowLeaves = true
-	case d.rowLeaves:
+		d.rowLeaving = true
+	case d.rowLeaving:
 		*d = departure{}
 	}
 }
@@ -77,19 +77,19 @@
 // worthTelling reports whether others should know: what was said to this instance until the
 // row says so, and what others told while it is new, so that no rumour is passed on for
 // ever.
-func (d *departure) worthTelling(rowLeaves bool, now time.Duration) bool {
-	return d.since != 0 && !rowLeaves && (d.own || now-d.since < observedFor)
+func (d *departure) shouldAnnounce(rowLeaves bool, now time.Duration) bool {
+	return d.since != 0 && !rowLeaves && (d.own || now-d.since < observationTTL)
 }
 
 // units returns the age of the word as observations carry it.
-func (d *departure) units(now time.Duration) byte {
+func (d *departure) ageUnits(now time.Duration) byte {
 	return byte(min((now-d.since)/observationUnit, math.MaxUint8))
 }
 
 // hearLeaving takes up the word of another instance that a backend server said that it leaves,
 // some time ago. The caller holds the lock.
-func (t *Table) hearLeaving(index int32, age, now time.Duration) {
-	if t.noticesOf(t.state(index), now).leaving.hear(age, now) {
-		t.noticed(t.routing.Backends[index].Name, request.Notice{Leaving: true}, false)
+func (t *Table) applyLeaving(index int32, age, now time.Duration) {
+	if t.noticesOf(t.state(index), now).leaving.recordGossip(age, now) {
+		t.reportNotice(t.routing.Backends[index].Name, request.Notice{Leaving: true}, false)
 	}
 }
--- a/process/balance/fixture_test.go
+++ b/process/balance/fixture_test.go
@@ -16,18 +16,18 @@
 )
 
 // place is a table with a clock that the test moves.
-type place struct {
+type fixture struct {
 	*Table
-	now       time.Duration
-	place, of int
-	config    *version.Config
-	ports     uint16 // taken by backend servers
+	now          time.Duration
+	index, count int
+	config       *version.Config
+	ports        uint16 // taken by backend servers
 }
 
-func newPlace(instances int) *place {
-	p := &place{now: time.Hour, of: instances, config: &version.Config{Seq: 1, Resources: map[version.Key]version.Resource{}}}
+func newFixture(instances int) *fixture {
+	p := &fixture{now: time.Hour, count: instances, config: &version.Config{Seq: 1, Resources: map[version.Key]version.Resource{}}}
 	p.Table = &Table{
-		Now: func() time.Duration { return p.now }, Place: func() (int, int) { return p.place, p.of }, Region: "r0",
+		Now: func() time.Duration { return p.now }, MemberIndex: func() (int, int) { return p.index, p.count }, Region: "r0",
 		NewPool: func(a string) *conn.Pool { return &conn.Pool{Address: a} },
 	}
 	for i := range 3 {
@@ -43,16 +43,16 @@
 	return p
 }
 
-func (p *place) put(r version.Resource) { p.config.Resources[r.Key] = r }
+func (p *fixture) put(r version.Resource) { p.config.Resources[r.Key] = r }
 
-func (p *place) route(split ...version.Weighted) {
+func (p *fixture) route(split ...version.Weighted) {
 	p.put(version.Resource{Key: version.Key{Kind: version.KindRoute, Name: "r"}, Route: &version.Route{
 		Host: "a", Prefix: "/", Class: request.ClassRead, Repeatable: true, Sticky: true, Split: split,
 		Timeout: version.Duration(time.Second), Objective: version.Duration(400 * time.Millisecond), Attempts: 2,
 	}})
 }
 
-func (p *place) backend(name string, region int, change func(*version.Backend)) {
+func (p *fixture) backend(name string, region int, change func(*version.Backend)) {
 	p.ports++
 	address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 9, 0, 1}), p.ports)
 	u := &version.Backend{Service: "s", Hall: fmt.Sprintf("hr%d", region), Address: address, Slots: 6}
@@ -62,13 +62,13 @@
 	p.put(version.Resource{Key: version.Key{Kind: version.KindBackend, Name: name}, Backend: u})
 }
 
-func (p *place) install() { p.Install(version.CompileRouting(p.config, nil)) }
+func (p *fixture) install() { p.Install(version.CompileRouting(p.config, nil)) }
 
-func (p *place) query(object uint64) *Query {
+func (p *fixture) query(object uint64) *Query {
 	return &Query{Route: p.Routing().Route("a", "/"), Object: object, Left: time.Second}
 }
 
-func (p *place) pick(t *testing.T, object uint64) *Pick {
+func (p *fixture) pick(t *testing.T, object uint64) *Pick {
 	t.Helper()
 	k, refusal := p.Pick(p.query(object))
 	assert.Assert(t, k != nil, "refused: %v", refusal)
@@ -76,7 +76,7 @@
 }
 
 // pickOther picks a backend server other than one that had the request already.
-func (p *place) pickOther(t *testing.T, object uint64, tried string) *Pick {
+func (p *fixture) pickOther(t *testing.T, object uint64, tried string) *Pick {
 	t.Helper()
 	q := p.query(object)
 	q.Tried = []string{tried}
@@ -86,10 +86,10 @@
 }
 
 // stateOf returns what is known of a backend server.
-func (p *place) stateOf(name string) *backend { return p.state(p.routing.Find(name)) }
+func (p *fixture) stateOf(name string) *backend { return p.state(p.routing.Find(name)) }
 
 // lifeOf returns what identifies the present start of a backend server.
-func (p *place) lifeOf(name string) uint64 {
+func (p *fixture) startHashOf(name string) uint64 {
 	for i := range p.routing.Backends {
 		if p.routing.Backends[i].Name == name {
 			return p.routing.Backends[i].Life
--- a/process/balance/hall.go
+++ b/process/balance/hall.go
@@ -9,20 +9,20 @@
 
 // otherHallShare is the least part of its weight that a backend server of another hall of the region
 // keeps for uploads, so that these come after those of the own hall, and before all of no weight.
-const otherHallShare = 0.01
+const minOtherHallShare = 0.01
 
 // weightsFor returns the weights of a service's backend servers for the requests of a route. Bodies
 // of uploads are large, so those stay in the hall as far as its backend servers are its share of the
 // region: each hall has a home of its own for their objects. The caller holds the lock.
 func (t *Table) weightsFor(route *version.RouteView, part *version.RoutePart, s *version.RoutedService) weights {
-	w := t.weightsOf(part, s)
+	w := t.regionWeights(part, s)
 	if w.Weights == nil || route.Class != request.ClassUpload || t.Hall == "" {
 		return w
 	}
 	if near, known := t.hallWeights[w.Weights]; known {
 		return weights{near}
 	}
-	near := t.nearHall(w.Weights, s)
+	near := t.preferHall(w.Weights, s)
 	if t.hallWeights == nil {
 		t.hallWeights = make(map[*version.Weights]*version.Weights)
 	}
@@ -32,7 +32,7 @@
 
 // nearHall returns weights by which what goes to the region goes to the own hall as far as that has
 // its share of the region's weight. The caller holds the lock.
-func (t *Table) nearHall(w *version.Weights, s *version.RoutedService) *version.Weights {
+func (t *Table) preferHall(w *version.Weights, s *version.RoutedService) *version.Weights {
 	own, region := 0.0, 0.0
 	halls := make(map[string]bool)
 	for k, i := range s.Backends {
@@ -51,7 +51,7 @@
 	}
 	stays := min(1, own*float64(len(halls))/region)
 	nearer := stays * region / own
-	further := max(otherHallShare, (1-stays)*region/(region-own))
+	further := max(minOtherHallShare, (1-stays)*region/(region-own))
 	out := &version.Weights{Backends: make([]float64, len(w.Backends))}
 	for k, i := range s.Backends {
 		v := &t.routing.Backends[i]
--- a/process/balance/hall_test.go
+++ b/process/balance/hall_test.go
@@ -14,9 +14,9 @@
 
 // uploadsOf returns, by hall, where the uploads of many objects go from a hall of the region r0, in
 // which each of some halls has so many backend servers.
-func uploadsOf(t *testing.T, class request.Class, hall string, servers map[string]int) map[string]float64 {
+func hallShares(t *testing.T, class request.Class, hall string, servers map[string]int) map[string]float64 {
 	t.Helper()
-	p := newPlace(1)
+	p := newFixture(1)
 	p.Hall = hall
 	for name, n := range servers {
 		p.put(version.Resource{Key: version.Key{Kind: version.KindHall, Name: name}, Hall: &version.Hall{Region: "r0"}})
@@ -42,13 +42,13 @@
 // them crossed to the other hall, for which no caller gained anything.
 func TestUploadsStayInTheHall(t *testing.T) {
 	even := map[string]int{"a": 8, "b": 8}
-	got := uploadsOf(t, request.ClassUpload, "a", even)
+	got := hallShares(t, request.ClassUpload, "a", even)
 	assert.Assert(t, got["b"] < 0.03 && got["a"] > 0.8, "%v", got)
-	before := uploadsOf(t, request.ClassRead, "a", even)
+	before := hallShares(t, request.ClassRead, "a", even)
 	assert.Assert(t, before["b"] > 0.3 && before["a"] > 0.3, "%v", before)
 	assert.Assert(t, got["hr1"] < before["hr1"]+0.03, "%v, others %v", got, before)
-	few := uploadsOf(t, request.ClassUpload, "a", map[string]int{"a": 4, "b": 12})
+	few := hallShares(t, request.ClassUpload, "a", map[string]int{"a": 4, "b": 12})
 	assert.Assert(t, few["a"] > 0.35 && few["a"] < 0.6, "%v", few)
-	none := uploadsOf(t, request.ClassUpload, "c", even)
+	none := hallShares(t, request.ClassUpload, "c", even)
 	assert.Assert(t, none["a"] > 0.3 && none["b"] > 0.3, "%v", none)
 }
--- a/process/balance/home.go
+++ b/process/balance/home.go
@@ -16,23 +16,23 @@
 // targetHomes keeps the homes of objects among the backend servers of roll-outs'
 // targets, until the routing changes. The zero value is empty.
 type targetHomes struct {
-	of map[homeOf]int32 // to the index of the backend server, or None
+	byKey map[homeKey]int32 // to the index of the backend server, or None
 }
 
 // homeOf is an object in a part of a route.
-type homeOf struct {
+type homeKey struct {
 	part   *version.RoutePart
 	object uint64
 }
 
-func (h *targetHomes) clear() { h.of = nil }
+func (h *targetHomes) clear() { h.byKey = nil }
 
 // keep notes a home.
-func (h *targetHomes) keep(key homeOf, index int32) {
-	if h.of == nil || len(h.of) >= maxTargetHomes {
-		h.of = make(map[homeOf]int32)
+func (h *targetHomes) keep(key homeKey, index int32) {
+	if h.byKey == nil || len(h.byKey) >= maxTargetHomes {
+		h.byKey = make(map[homeKey]int32)
 	}
-	h.of[key] = index
+	h.byKey[key] = index
 }
 
 // TargetHome returns the hash of the backend server of a roll-out's target at which the
@@ -56,8 +56,8 @@
 	if q.Object == 0 || !q.Route.Sticky {
 		return t.anyHome(q, part)
 	}
-	key := homeOf{part, q.Object}
-	index, known := t.homes.of[key]
+	key := homeKey{part, q.Object}
+	index, known := t.homes.byKey[key]
 	if !known {
 		index = t.home(&of, part, func(int32) bool { return true })
 		if part == q.Route.Parts[q.Part].Target {
@@ -67,7 +67,7 @@
 	if index == version.None {
 		return 0, false
 	}
-	if u := t.states[index]; u != nil && (u.failures > 0 || u.eligibility(t.Now(), t.LeaveWithin) != eligible) {
+	if u := t.states[index]; u != nil && (u.failures > 0 || u.eligibility(t.Now(), t.LeavingGrace) != eligible) {
 		index = t.usableHome(&of, part)
 	}
 	if index == version.None {
@@ -84,7 +84,7 @@
 	for k, n := rand.IntN(max(1, len(s.Backends))), 0; n < len(s.Backends); n++ {
 		i := s.Backends[(k+n)%len(s.Backends)]
 		v := &t.routing.Backends[i]
-		if !v.Closed && (q.Route.Home == nil || q.Route.Home[v.Region]) && t.takes(i, now) {
+		if !v.Closed && (q.Route.Home == nil || q.Route.Home[v.Region]) && t.isEligible(i, now) {
 			return v.Hash, true
 		}
 	}
@@ -95,7 +95,7 @@
 // requests. The caller holds the lock.
 func (t *Table) usableHome(q *Query, part *version.RoutePart) int32 {
 	now := t.Now()
-	return t.home(q, part, func(i int32) bool { return t.takes(i, now) })
+	return t.home(q, part, func(i int32) bool { return t.isEligible(i, now) })
 }
 
 // home returns the index of the first backend server in the near order of an object, as search
--- a/process/balance/home_test.go
+++ b/process/balance/home_test.go
@@ -11,7 +11,7 @@
 	"shalewick/version"
 )
 
-func (p *place) home(t *testing.T, object uint64) uint64 {
+func (p *fixture) home(t *testing.T, object uint64) uint64 {
 	t.Helper()
 	hash, ok := p.TargetHome(p.query(object))
 	assert.Assert(t, ok)
@@ -28,21 +28,21 @@
 		k, _ := p.Pick(p.target(object + 1))
 		k.Done(Abandoned, nil)
 		for range 2 { // reckoned, and kept
-			assert.Equal(t, p.home(t, object+1), k.life)
+			assert.Equal(t, p.home(t, object+1), k.startHash)
 		}
-		homes[k.life] = true
+		homes[k.startHash] = true
 	}
 	assert.Equal(t, len(homes), 4, "the target's servers of this region")
 }
 
 // TestHomeFollowsWhoTakesWork checks that the home moves away from a backend server that
 // fails, and back, and that a change of the routing counts at once.
-func TestHomeFollowsWhoTakesWork(t *testing.T) {
+func TestHomeMovesAwayFromUnusableBackend(t *testing.T) {
 	p := twoVersions(3, 2)
 	p.admit("v1", "v2")
 	first := p.home(t, 7)
 	k, _ := p.Pick(p.target(7))
-	assert.Equal(t, k.life, first)
+	assert.Equal(t, k.startHash, first)
 	k.Done(Unreachable, nil)
 	second := p.home(t, 7)
 	assert.Assert(t, second != first)
@@ -54,17 +54,17 @@
 	p.put(version.Resource{Key: version.Key{Kind: version.KindDrain, Name: "d"}, Drain: &version.Drain{Backend: k.Name}})
 	p.install()
 	k, _ = p.Pick(p.target(7))
-	assert.Assert(t, k.life != first)
-	assert.Equal(t, p.home(t, 7), k.life)
+	assert.Assert(t, k.startHash != first)
+	assert.Equal(t, p.home(t, 7), k.startHash)
 	p.config.Resources[version.Key{Kind: version.KindRoute, Name: "r"}].Route.Homes = []string{"r2"}
 	p.install()
 	k, _ = p.Pick(p.target(7))
 	assert.Equal(t, k.Region, "r2")
-	assert.Equal(t, p.home(t, 7), k.life)
+	assert.Equal(t, p.home(t, 7), k.startHash)
 }
 
 // TestNoHome lists the queries that have none.
-func TestNoHome(t *testing.T) {
+func TestQueriesWithoutHome(t *testing.T) {
 	p := twoVersions(3, 1)
 	p.admit("v1", "v2")
 	stale := p.query(7)
@@ -86,7 +86,7 @@
 // TestRequestWithoutAnObjectMayGoAnywhere checks that requests without an object, or on a
 // route that keeps none in one place, get any backend server of the target that may serve
 // them.
-func TestRequestWithoutAnObjectMayGoAnywhere(t *testing.T) {
+func TestRequestWithoutObjectGoesToAnyBackend(t *testing.T) {
 	p := twoVersions(3, 4)
 	route := p.config.Resources[version.Key{Kind: version.KindRoute, Name: "r"}].Route
 	for _, sticky := range []bool{true, false} {
@@ -97,10 +97,10 @@
 		route.Sticky = sticky
 		route.Homes = nil
 		p.admit("v1", "v2")
-		assert.Equal(t, len(p.anyHomes(t, object)), 12, "the target's in all regions")
+		assert.Equal(t, len(p.homesOf(t, object)), 12, "the target's in all regions")
 		route.Homes = []string{"r2"}
 		p.admit("v1", "v2")
-		for hash := range p.anyHomes(t, object) {
+		for hash := range p.homesOf(t, object) {
 			i := indexByHash(p.routing)[uint32(hash)]
 			assert.Equal(t, p.routing.Backends[i].Software, "v2")
 			assert.Equal(t, p.routing.Regions[p.routing.Backends[i].Region], "r2")
@@ -109,7 +109,7 @@
 }
 
 // anyHomes returns the homes that an object gets in many queries.
-func (p *place) anyHomes(t *testing.T, object uint64) map[uint64]bool {
+func (p *fixture) homesOf(t *testing.T, object uint64) map[uint64]bool {
 	out := make(map[uint64]bool)
 	for range 500 {
 		out[p.home(t, object)] = true
@@ -124,7 +124,7 @@
 	first := p.home(t, 1)
 	for object := range uint64(3 * maxTargetHomes) {
 		p.home(t, object+1)
-		assert.Assert(t, len(p.homes.of) <= maxTargetHomes)
+		assert.Assert(t, len(p.homes.byKey) <= maxTargetHomes)
 	}
 	assert.Equal(t, p.home(t, 1), first)
 }
--- a/process/balance/limit.go
+++ b/process/balance/limit.go
@@ -10,12 +10,12 @@
 )
 
 // Limitable returns the start of the backend server as rate limits know it.
-func (p *Pick) Limitable() ratelimit.Backend {
-	return ratelimit.Backend{Start: p.life, Name: p.Name, Region: p.Region}
+func (p *Pick) RateLimitBackend() ratelimit.Backend {
+	return ratelimit.Backend{Start: p.startHash, Name: p.Name, Region: p.Region}
 }
 
 // limitable returns the start of a backend server as rate limits know it.
-func (t *Table) limitable(v *version.RoutedBackend) ratelimit.Backend {
+func (t *Table) rateLimitBackend(v *version.RoutedBackend) ratelimit.Backend {
 	return ratelimit.Backend{Start: v.Life, Name: v.Name, Region: t.routing.Regions[v.Region]}
 }
 
@@ -24,7 +24,7 @@
 	if t.Limits == nil {
 		return false
 	}
-	if q.Unlimited {
+	if q.SkipLimited {
 		return t.Limits.Limited(v.Life)
 	}
 	return t.Limits.Blocked(v.Life, q.Priority) > 0
@@ -32,7 +32,7 @@
 
 // limitLeft returns the shortest time until one of some backend servers may have room within its
 // rate limit for the request of a query. The caller holds the lock.
-func (t *Table) limitLeft(q *Query, backends []int32) time.Duration {
+func (t *Table) minLimitLeft(q *Query, backends []int32) time.Duration {
 	least := time.Duration(0)
 	if t.Limits == nil {
 		return least
@@ -48,7 +48,7 @@
 
 // limitUnits returns how long ago a backend server said that it is limited, as observations carry
 // it; not if others need not hear of that. The caller holds the lock.
-func (t *Table) limitUnits(index int32, now time.Duration) (units byte, tell bool) {
+func (t *Table) limitAgeUnits(index int32, now time.Duration) (units byte, tell bool) {
 	if t.Limits == nil {
 		return 0, false
 	}
@@ -58,8 +58,8 @@
 
 // hearLimited takes up that another instance was told by a backend server that it is limited. The
 // caller holds the lock.
-func (t *Table) hearLimited(index int32, age, now time.Duration) {
+func (t *Table) applyLimited(index int32, age, now time.Duration) {
 	if t.Limits != nil {
-		t.Limits.HearLimited(t.limitable(&t.routing.Backends[index]), now-age)
+		t.Limits.HearLimited(t.rateLimitBackend(&t.routing.Backends[index]), now-age)
 	}
 }
--- a/process/balance/load_test.go
+++ b/process/balance/load_test.go
@@ -74,7 +74,7 @@
 
 // model is the whole of it.
 type model struct {
-	regions  []*place
+	regions  []*fixture
 	backends map[string]*modelBackend
 	pending  answers
 	now      time.Duration
@@ -85,7 +85,7 @@
 func newModel(policy Policy, seed uint64, backends ...int) *model {
 	m := &model{backends: make(map[string]*modelBackend), random: rand.New(rand.NewPCG(seed, 1)), now: time.Hour}
 	for r := range backends {
-		p := newPlace(len(backends))
+		p := newFixture(len(backends))
 		p.Table.Policy = policy
 		p.Table.Region = fmt.Sprintf("r%d", r)
 		p.Table.Now = func() time.Duration { return m.now }
@@ -119,9 +119,9 @@
 
 // outcome counts what became of the requests of one region in a window.
 type outcome struct {
-	asked, refused int
-	late           int            // answered after the objective
-	region         map[string]int // where those that were taken ran
+	sent, refused int
+	late          int            // answered after the objective
+	region        map[string]int // where those that were taken ran
 }
 
 // objectsPerRegion is the number of objects that are asked for in each region.
@@ -150,11 +150,11 @@
 	return out
 }
 
-func (m *model) send(p *place, object uint64, o *outcome) {
+func (m *model) send(p *fixture, object uint64, o *outcome) {
 	if o.region == nil {
 		o.region = make(map[string]int)
 	}
-	o.asked++
+	o.sent++
 	q := p.query(object)
 	route := *q.Route
 	route.Objective = version.Duration(objective)
@@ -178,7 +178,7 @@
 	asked, refused := 0, 0
 	for _, w := range windows[from:] {
 		for _, o := range w {
-			asked += o.asked
+			asked += o.sent
 			refused += o.refused
 		}
 	}
@@ -187,15 +187,15 @@
 
 // mostShifted returns the largest part of a region's requests that ran in other
 // regions than those of the window before.
-func mostShifted(windows [][]outcome, from int) float64 {
+func maxShift(windows [][]outcome, from int) float64 {
 	most := 0.0
 	for i := from + 1; i < len(windows); i++ {
 		for r := range windows[i] {
 			now, before := windows[i][r], windows[i-1][r]
 			moved := 0.0
 			for region, n := range now.region {
-				share := float64(n) / float64(now.asked-now.refused)
-				moved += max(0, share-float64(before.region[region])/float64(before.asked-before.refused))
+				share := float64(n) / float64(now.sent-now.refused)
+				moved += max(0, share-float64(before.region[region])/float64(before.sent-before.refused))
 			}
 			most = max(most, moved)
 		}
@@ -206,7 +206,7 @@
 // TestUnevenDemandIsSpreadWithoutSwings plays regions whose demand differs and
 // turns round slowly, at half of the capacity, with two backend servers in one region
 // and nine in each other.
-func TestUnevenDemandIsSpreadWithoutSwings(t *testing.T) {
+func TestUnevenDemandIsSpreadWithoutOscillation(t *testing.T) {
 	const (
 		mean   = 180.0 // requests a second and region
 		period = 36.0  // seconds
@@ -222,7 +222,7 @@
 		refusedStill += refusedShare(newModel(still, seed, 9, 9, 2).play(36*time.Second, rate), 3) / plays
 		windows := newModel(DefaultPolicy(), seed, 9, 9, 2).play(36*time.Second, rate)
 		refused += refusedShare(windows, 3) / plays
-		shifted = max(shifted, mostShifted(windows, 3))
+		shifted = max(shifted, maxShift(windows, 3))
 	}
 	t.Logf("refused: %.4f with shares that stay, %.4f with those that follow the load; at most %.3f of a region's requests moved in 2 s",
 		refusedStill, refused, shifted)
--- a/process/balance/notice.go
+++ b/process/balance/notice.go
@@ -12,13 +12,13 @@
 // startOf identifies one start of a backend server. One that has another address, other
 // software, or says that it was born at another time, was started anew, and knows nothing of
 // before.
-type startOf struct {
+type startKey struct {
 	name, address, software string
 	incarnation             int64
 }
 
-func startOfBackend(v *version.RoutedBackend) startOf {
-	return startOf{v.Name, v.Address, v.Software, v.Incarnation}
+func startKeyOf(v *version.RoutedBackend) startKey {
+	return startKey{v.Name, v.Address, v.Software, v.Incarnation}
 }
 
 // noticeState is what is known of the notices (request.Notice) of one start of a backend
@@ -26,14 +26,14 @@
 // the store is away a row goes on saying "ready", and the server itself knows better. See
 // docs/design/notices.md.
 type noticeState struct {
-	leaving departure
-	backoff backoff
-	listed  time.Duration // when a routing had the backend server last
+	leaving    departure
+	backoff    backoff
+	lastListed time.Duration // when a routing had the backend server last
 }
 
 // noticeKept is how long notices are remembered of a backend server whose row is gone: rows lapse
 // while the store is away and come back as they were.
-const noticeKept = time.Minute
+const noticeRetention = time.Minute
 
 // eligibility is whether a backend server may get new requests by its own notices.
 type eligibility uint8
@@ -58,14 +58,14 @@
 
 // takes reports whether the backend server of an index is one to choose among all others. The
 // caller holds the lock.
-func (t *Table) takes(index int32, now time.Duration) bool {
+func (t *Table) isEligible(index int32, now time.Duration) bool {
 	u := t.states[index]
-	return u == nil || u.usable(now) && u.eligibility(now, t.LeaveWithin) == eligible
+	return u == nil || u.usable(now) && u.eligibility(now, t.LeavingGrace) == eligible
 }
 
 // Heed takes up what the head of an answer says its server wants from now on. It is called
 // before the answer is passed on, and before Done.
-func (p *Pick) Heed(n request.Notice) {
+func (p *Pick) ApplyNotice(n request.Notice) {
 	if n == (request.Notice{}) {
 		return
 	}
@@ -73,14 +73,14 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Now()
-	known := t.noticesOf(p.u, now)
-	began := n.Leaving && known.leaving.told(now)
+	known := t.noticesOf(p.backend, now)
+	began := n.Leaving && known.leaving.recordAnswer(now)
 	if n.RetryAfter > 0 {
-		p.turnedAway = true
-		began = known.backoff.ask(n.RetryAfter, now) || began
+		p.backoffRequested = true
+		began = known.backoff.extend(n.RetryAfter, now) || began
 	}
 	if began {
-		t.noticed(p.Name, n, true)
+		t.reportNotice(p.Name, n, true)
 	}
 }
 
@@ -91,7 +91,7 @@
 	t := p.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return p.u.eligibility(t.Now(), t.LeaveWithin) != ineligible
+	return p.backend.eligibility(t.Now(), t.LeavingGrace) != ineligible
 }
 
 // noticesOf returns what is known of the notices of a backend server, to be added to. The caller
@@ -101,11 +101,11 @@
 		return u.notices
 	}
 	if t.notices == nil {
-		t.notices = make(map[startOf]*noticeState)
+		t.notices = make(map[startKey]*noticeState)
 	}
 	n := t.notices[u.start]
 	if n == nil {
-		n = &noticeState{listed: now}
+		n = &noticeState{lastListed: now}
 		t.notices[u.start] = n
 	}
 	u.notices = n
@@ -113,30 +113,30 @@
 }
 
 // seeRows compares notices with the rows of a new routing. The caller holds the lock.
-func (t *Table) seeRows(now time.Duration) {
+func (t *Table) reconcileRows(now time.Duration) {
 	for start, n := range t.notices {
 		i := t.routing.Find(start.name)
-		if i == version.None || startOfBackend(&t.routing.Backends[i]) != start {
+		if i == version.None || startKeyOf(&t.routing.Backends[i]) != start {
 			continue
 		}
 		t.state(i).notices = n
-		n.listed = now
-		n.leaving.seeRow(t.routing.Backends[i].Leaving)
+		n.lastListed = now
+		n.leaving.reconcileRow(t.routing.Backends[i].Leaving)
 	}
 }
 
 // forgetNotices drops those of backend servers that no routing has had for long, so that memory
 // is bounded however many follow each other. The caller holds the lock.
-func (t *Table) forgetNotices(now time.Duration) {
+func (t *Table) pruneNotices(now time.Duration) {
 	for start, n := range t.notices {
-		if now-n.listed > noticeKept {
+		if now-n.lastListed > noticeRetention {
 			delete(t.notices, start)
 		}
 	}
 }
 
 // noticed tells of a notice that is new.
-func (t *Table) noticed(backend string, n request.Notice, own bool) {
+func (t *Table) reportNotice(backend string, n request.Notice, own bool) {
 	if t.OnNotice != nil {
 		t.OnNotice(backend, n, own)
 	}
@@ -152,7 +152,7 @@
 		if u == nil || u.notices == nil || t.routing.Backends[i].Closed {
 			continue
 		}
-		if u.notices.leaving.eligibility(now, t.LeaveWithin) != eligible {
+		if u.notices.leaving.eligibility(now, t.LeavingGrace) != eligible {
 			leaving++
 		}
 		if u.notices.backoff.eligibility(now) != eligible {
--- a/process/balance/observe_test.go
+++ b/process/balance/observe_test.go
@@ -13,16 +13,16 @@
 
 // twoInstances returns two tables of the same backend servers. The second can reach
 // those that open says.
-func twoInstances(backends ...string) (a, b *place, open map[string]bool) {
+func twoInstances(backends ...string) (a, b *fixture, open map[string]bool) {
 	open = make(map[string]bool)
-	a, b = newPlace(2), newPlace(2)
-	for _, p := range []*place{a, b} {
+	a, b = newFixture(2), newFixture(2)
+	for _, p := range []*fixture{a, b} {
 		for _, name := range backends {
 			p.backend(name, 0, nil)
 		}
 		p.install()
 	}
-	b.Reach = func(pool *conn.Pool) error {
+	b.Probe = func(pool *conn.Pool) error {
 		for i, u := range b.states {
 			if u != nil && u.pool == pool && open[b.routing.Backends[i].Name] {
 				return nil
@@ -33,10 +33,10 @@
 	return a, b, open
 }
 
-const tellAll = 1 << 10 // bytes
+const noSizeLimit = 1 << 10 // bytes
 
 // firstAt returns an object whose first choice is a backend server.
-func (p *place) firstAt(t *testing.T, name string) uint64 {
+func (p *fixture) firstAt(t *testing.T, name string) uint64 {
 	for object := uint64(1); object < 1000; object++ {
 		k := p.pick(t, object)
 		k.Done(Abandoned, nil)
@@ -50,62 +50,62 @@
 
 // TestOneInstancesFailureSparesTheOthers checks that a backend server that one instance
 // could not reach gets no request of another one until a connection was opened.
-func TestOneInstancesFailureSparesTheOthers(t *testing.T) {
+func TestGossipedFailurePreventsRequests(t *testing.T) {
 	a, b, open := twoInstances("u", "v", "w", "x")
 	object := b.firstAt(t, "u")
 	a.pickOf(t, "u").Done(Unreachable, nil)
-	b.Hear(a.Observations(tellAll))
+	b.ApplyObservations(a.Observations(noSizeLimit))
 	k := b.pick(t, object)
 	assert.Assert(t, k.Name != "u")
 	k.Done(Abandoned, nil)
-	b.awaitReached("u")
+	b.awaitProbe("u")
 	k = b.pick(t, object)
 	assert.Assert(t, k.Name != "u", "it could not be reached")
 	k.Done(Abandoned, nil)
 	open["u"] = true
-	b.now += b.Policy.SuspendMost
+	b.now += b.Policy.MaxSuspension
 	b.pick(t, object).Done(Abandoned, nil)
-	b.awaitReached("u")
+	b.awaitProbe("u")
 	assert.Equal(t, b.pick(t, object).Name, "u")
 }
 
 // pickOf picks a backend server by some object.
-func (p *place) pickOf(t *testing.T, name string) *Pick { return p.pick(t, p.firstAt(t, name)) }
+func (p *fixture) pickOf(t *testing.T, name string) *Pick { return p.pick(t, p.firstAt(t, name)) }
 
 // TestOwnAnswerOutweighsOlderWord checks that what was seen before an own answer is
 // not taken up, nor what is old.
-func TestOwnAnswerOutweighsOlderWord(t *testing.T) {
+func TestOwnAnswerOverridesOlderGossip(t *testing.T) {
 	a, b, _ := twoInstances("u", "v", "w", "x")
 	a.pickOf(t, "u").Done(Unreachable, nil)
-	told := a.Observations(tellAll)
+	told := a.Observations(noSizeLimit)
 	assert.Equal(t, len(told), observationBytes)
-	a.now += observedFor
-	assert.Equal(t, len(a.Observations(tellAll)), 0, "it is too old to be told")
-	a.now -= observedFor / 2
-	told = a.Observations(tellAll)
+	a.now += observationTTL
+	assert.Equal(t, len(a.Observations(noSizeLimit)), 0, "it is too old to be told")
+	a.now -= observationTTL / 2
+	told = a.Observations(noSizeLimit)
 	b.pickOf(t, "u").Done(Answered, &Report{Running: 1, Slots: 6})
-	b.Hear(told)
+	b.ApplyObservations(told)
 	assert.Equal(t, b.stateOf("u").failures, 0)
 }
 
 // TestInstanceThatReachesNobodyIsNotBelieved checks both sides: one to which most
 // backend servers of a service fail does not tell it, and of those that fail by the word
 // of others no more than a part are doubted.
-func TestInstanceThatReachesNobodyIsNotBelieved(t *testing.T) {
+func TestIsolatedInstanceIsIgnored(t *testing.T) {
 	names := []string{"u", "v", "w", "x", "y", "z"}
 	a, b, _ := twoInstances(names...)
 	var told []byte
 	for i, name := range names {
-		a.stateOf(name).failed(a.now)
+		a.stateOf(name).recordFailure(a.now)
 		if i < 2 {
-			told = append(told, a.Observations(tellAll)...)
+			told = append(told, a.Observations(noSizeLimit)...)
 		}
 	}
-	assert.Equal(t, len(a.Observations(tellAll)), 0)
+	assert.Equal(t, len(a.Observations(noSizeLimit)), 0)
 	for i := range names {
 		a.stateOf(names[i]).failures = 0
 	}
-	b.Hear(a.Observations(tellAll))
+	b.ApplyObservations(a.Observations(noSizeLimit))
 	doubted := 0
 	for _, name := range names {
 		if b.stateOf(name).failures > 0 {
@@ -113,37 +113,37 @@
 		}
 	}
 	assert.Equal(t, doubted, 2, "of %d", len(names))
-	b.Hear(told)
-	b.Hear([]byte{1, 2, 3})
+	b.ApplyObservations(told)
+	b.ApplyObservations([]byte{1, 2, 3})
 }
 
 // TestLoadThatOthersSawCounts checks that a backend server that told another instance
 // that it is full makes a request wait no longer than one that is free, and that
 // the word of its own is taken over from then on.
-func TestLoadThatOthersSawCounts(t *testing.T) {
+func TestGossipedLoadIsUsed(t *testing.T) {
 	a, b, _ := twoInstances("u", "v", "w", "x")
 	object := b.firstAt(t, "u")
 	a.pickOf(t, "u").Done(Answered, &Report{Running: 6, Waiting: 40, Slots: 6})
-	b.Hear(a.Observations(tellAll))
+	b.ApplyObservations(a.Observations(noSizeLimit))
 	k := b.pick(t, object)
 	assert.Assert(t, k.Name != "u", "it is full")
 	k.Done(Abandoned, nil)
 	a.pickOf(t, "v").Done(Answered, &Report{Running: 1, Slots: 6})
-	assert.Equal(t, len(a.Observations(tellAll)), observationBytes, "one that is free is not told")
+	assert.Equal(t, len(a.Observations(noSizeLimit)), observationBytes, "one that is free is not told")
 	assert.Equal(t, len(a.Observations(observationBytes-1)), 0)
 }
 
 // BenchmarkObservations measures what telling costs an instance that knows of many
 // backend servers.
 func BenchmarkObservations(b *testing.B) {
-	p := newPlace(1)
+	p := newFixture(1)
 	for i := range 1077 {
 		p.backend(string(rune('a'+i%26))+string(rune('0'+i/26)), 0, nil)
 	}
 	p.install()
 	for i, u := range p.states {
 		if i%6 == 0 {
-			u.observed = observation{at: p.now, load: unreachable}
+			u.observed = observation{at: p.now, load: loadUnreachable}
 		}
 	}
 	for b.Loop() {
@@ -154,10 +154,10 @@
 func FuzzHear(f *testing.F) {
 	f.Add([]byte{1, 2, 3, 4, 5, 6})
 	f.Fuzz(func(t *testing.T, text []byte) {
-		p := newPlace(1)
+		p := newFixture(1)
 		p.backend("u", 0, nil)
 		p.install()
-		p.Hear(text)
+		p.ApplyObservations(text)
 		if k, _ := p.Pick(p.query(1)); k != nil {
 			k.Done(Abandoned, nil)
 		}
--- a/process/balance/outcome.go
+++ b/process/balance/outcome.go
@@ -27,16 +27,16 @@
 	p.table.mu.Lock()
 	defer p.table.mu.Unlock()
 	p.held = true
-	p.u.sending++
+	p.backend.sending++
 }
 
 // Release ends what Hold began. It is called once.
 func (p *Pick) Release() {
 	p.table.mu.Lock()
 	defer p.table.mu.Unlock()
-	p.u.inFlight--
-	p.u.sending--
-	*p.u.flights--
+	p.backend.inFlight--
+	p.backend.sending--
+	*p.backend.softwareInFlight--
 }
 
 // Done tells what came of the request. Report is the backend server's word on its
@@ -46,46 +46,46 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Now()
-	u := p.u
+	u := p.backend
 	if !p.held {
 		u.inFlight--
-		*u.flights--
+		*u.softwareInFlight--
 	}
-	if p.turnedAway {
-		t.turnedAway(p, now)
+	if p.backoffRequested {
+		t.recordBackoffAnswer(p, now)
 		return
 	}
 	if u.notices != nil && (o == Answered || o == Refused) {
-		u.notices.backoff.took(p.started)
+		u.notices.backoff.recordAccepted(p.started)
 	}
-	if o == Refused && report.idle() {
-		t.refusedIdle(p, now)
+	if o == Refused && report.hasFreeSlots() {
+		t.recordIdleRefusal(p, now)
 		return
 	}
 	if report != nil {
-		u.report(*report, now)
-		u.share.note(&t.Policy, *report, now)
+		u.recordReport(*report, now)
+		u.share.record(&t.Policy, *report, now)
 	}
 	switch o {
 	case Answered:
-		p.recovered()
+		p.recordRecovery()
 		u.answeredAt = now
-		u.observe(report, now)
-		u.learn(now-p.started, report.paceOr(u.pace.expected(now, t.Policy.PaceLife)))
-		t.seen.note(p.object, p.life, now)
+		u.observeAnswer(report, now)
+		u.updateWork(now-p.started, report.slowdownOr(u.slowdown.expected(now, t.Policy.SlowdownDecay)))
+		t.seen.record(p.object, p.startHash, now)
 	case Refused:
 		u.answeredAt = now
-		p.recovered()
+		p.recordRecovery()
 		if report == nil {
 			report = &Report{Running: 1 << 6}
-			u.report(*report, now)
+			u.recordReport(*report, now)
 		}
-		u.observe(report, now)
+		u.observeAnswer(report, now)
 	case Unreachable:
 		t.suspend(p, now)
 	case Lost:
-		u.lost++
-		if u.lost >= t.Policy.LostInARow {
+		u.lostInARow++
+		if u.lostInARow >= t.Policy.LostThreshold {
 			t.suspend(p, now)
 		}
 	case Abandoned:
@@ -97,19 +97,19 @@
 // From some refusals in a row on it is the last choice, for times that double; one alone may
 // be the request's fault, or that of a deadline that passed on the way. It lives, so that
 // it is not suspended: what no other can take it still gets.
-func (t *Table) refusedIdle(p *Pick, now time.Duration) {
-	u := p.u
+func (t *Table) recordIdleRefusal(p *Pick, now time.Duration) {
+	u := p.backend
 	u.answeredAt = now
-	refused := u.refused + 1
-	p.recovered()
-	u.refused = refused
-	over := u.refused - t.Policy.RefusedInARow
+	refused := u.refusedInARow + 1
+	p.recordRecovery()
+	u.refusedInARow = refused
+	over := u.refusedInARow - t.Policy.RefusedThreshold
 	if over < 0 {
 		return
 	}
-	pause := min(t.Policy.SuspendLeast<<min(over, 5), t.Policy.SuspendMost)
+	pause := min(t.Policy.MinSuspension<<min(over, 5), t.Policy.MaxSuspension)
 	if t.noticesOf(u, now).backoff.avoid(pause, now) && t.OnAvoid != nil {
-		t.OnAvoid(p.Name, u.refused, pause)
+		t.OnAvoid(p.Name, u.refusedInARow, pause)
 	}
 }
 
@@ -117,31 +117,31 @@
 // server that turns everything away is idle and quick, so its load report and the time that
 // it took would send it more than any other gets (0.47 of all requests in place of 0.27, as
 // six of twenty did it).
-func (t *Table) turnedAway(p *Pick, now time.Duration) {
-	p.u.answeredAt = now
-	p.recovered()
+func (t *Table) recordBackoffAnswer(p *Pick, now time.Duration) {
+	p.backend.answeredAt = now
+	p.recordRecovery()
 }
 
 // suspend notes a failure, unless the backend server has answered since.
 func (t *Table) suspend(p *Pick, now time.Duration) {
-	if p.u.answeredAt >= p.started {
+	if p.backend.answeredAt >= p.started {
 		return
 	}
-	pause := p.u.failed(now)
-	t.tell(p.Name, p.u.failures, pause)
+	pause := p.backend.recordFailure(now)
+	t.reportSuspension(p.Name, p.backend.failures, pause)
 }
 
 // recovered notes that the backend server answers.
-func (p *Pick) recovered() {
-	if p.u.failures > 0 {
-		p.table.tell(p.Name, 0, 0)
+func (p *Pick) recordRecovery() {
+	if p.backend.failures > 0 {
+		p.table.reportSuspension(p.Name, 0, 0)
 	}
-	p.u.failures = 0
-	p.u.lost = 0
-	p.u.refused = 0
+	p.backend.failures = 0
+	p.backend.lostInARow = 0
+	p.backend.refusedInARow = 0
 }
 
-func (t *Table) tell(backend string, failures int, pause time.Duration) {
+func (t *Table) reportSuspension(backend string, failures int, pause time.Duration) {
 	if t.OnSuspend != nil {
 		t.OnSuspend(backend, failures, pause)
 	}
@@ -151,6 +151,6 @@
 func (p *Pick) Gone() {
 	p.table.mu.Lock()
 	defer p.table.mu.Unlock()
-	p.u.failures = max(p.u.failures, 3)
-	p.u.suspended = p.table.Now() + p.table.Policy.SuspendMost
+	p.backend.failures = max(p.backend.failures, 3)
+	p.backend.suspendedUntil = p.table.Now() + p.table.Policy.MaxSuspension
 }
--- a/process/balance/reach.go
+++ b/process/balance/reach.go
@@ -7,27 +7,27 @@
 // reach opens a connection to a backend server that was suspended, if that is due, so
 // that no request has to wait for one that can't be reached. The caller holds
 // the lock.
-func (t *Table) reach(name string, u *backend, now time.Duration) {
-	if u.failures == 0 || now < u.suspended || u.reached || u.reaching {
+func (t *Table) probe(name string, u *backend, now time.Duration) {
+	if u.failures == 0 || now < u.suspendedUntil || u.probed || u.probing {
 		return
 	}
-	if t.Reach == nil {
-		u.reached = true
+	if t.Probe == nil {
+		u.probed = true
 		return
 	}
-	u.reaching = true
-	t.reaching++
+	u.probing = true
+	t.probing++
 	go func() {
-		err := t.Reach(u.pool)
+		err := t.Probe(u.pool)
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		u.reaching = false
-		t.reaching--
+		u.probing = false
+		t.probing--
 		if err != nil {
-			pause := u.failed(t.Now())
-			t.tell(name, u.failures, pause)
+			pause := u.recordFailure(t.Now())
+			t.reportSuspension(name, u.failures, pause)
 			return
 		}
-		u.reached = true
+		u.probed = true
 	}()
 }
--- a/process/balance/refusal_test.go
+++ b/process/balance/refusal_test.go
@@ -19,7 +19,7 @@
 // here one of six refuses all, without a word of rest, and the others are half busy: each
 // request that it gets costs its caller one of two attempts, and all a retry of a bounded
 // number.
-func TestIdleBackendThatRefusesDrawsNoLoad(t *testing.T) {
+func TestIdleBackendThatRefusesAttractsNoLoad(t *testing.T) {
 	const (
 		backends = 6
 		requests = 4000
@@ -29,7 +29,7 @@
 		// then one after each pause, of which 25 of the least would fit.
 		most = 27
 	)
-	p := newPlace(1)
+	p := newFixture(1)
 	p.route(version.Weighted{Service: "t", Weight: 1})
 	for i := range backends {
 		p.backend(fmt.Sprintf("u%d", i), 0, func(b *version.Backend) { b.Service = "t" })
@@ -68,27 +68,27 @@
 
 // TestIdleBackendThatRefusesIsStillAsked checks that one that refused gets what no other can
 // take, and is one among all again with its next answer.
-func TestIdleBackendThatRefusesIsStillAsked(t *testing.T) {
-	p := placeOf("u", "v")
+func TestIdleBackendThatRefusesIsLastResort(t *testing.T) {
+	p := fixtureWith("u", "v")
 	for range 2 {
 		p.firstPick(t, "u").Done(Refused, &Report{Slots: 6})
 	}
 	byName, refused := p.picks()
 	assert.Equal(t, byName["u"]+refused, 0)
-	p.row("v", func(b *version.Backend) { b.Leaving = true })
+	p.changeRow("v", func(b *version.Backend) { b.Leaving = true })
 	p.now += time.Millisecond
 	k := p.pick(t, 1)
 	assert.Assert(t, k.Name == "u" && k.LastResort)
 	k.Done(Answered, &Report{Slots: 6})
-	p.row("v", func(b *version.Backend) { b.Leaving = false })
+	p.changeRow("v", func(b *version.Backend) { b.Leaving = false })
 	byName, _ = p.picks()
 	assert.Assert(t, byName["u"] > 100)
 }
 
 // TestRefusalOfAFullBackendIsNoFailure checks that a backend server that refuses since it has
 // no room keeps its objects: it may have some again at once.
-func TestRefusalOfAFullBackendIsNoFailure(t *testing.T) {
-	p := placeOf("u", "v")
+func TestRefusalByFullBackendIsNoFailure(t *testing.T) {
+	p := fixtureWith("u", "v")
 	for range 5 {
 		p.pickOf(t, "u").Done(Refused, &Report{Running: 6, Waiting: 1, Slots: 6})
 		p.now += 3 * time.Second // the report grows old
--- a/process/balance/report.go
+++ b/process/balance/report.go
@@ -16,17 +16,17 @@
 	Running, Waiting, Slots int
 	// Pace is how long work takes on its host now, relative to the usual: 2 is twice as
 	// long. Zero: it did not say.
-	Pace float64
+	Slowdown float64
 }
 
 const (
 	// reportFields is the number of figures that a report has at least.
 	reportFields = 3
 	// paceUnit is what a report's fourth figure says for usual work.
-	paceUnit = 100
+	slowdownUnit = 100
 	// leastPace and mostPace bound what is taken up: beyond them a figure tells no
 	// more than that the host is idle, or stands still.
-	leastPace, mostPace = 0.1, 100
+	minSlowdown, maxSlowdown = 0.1, 100
 )
 
 // ParseReport reads a report: the requests that run and that wait, and the slots, divided
@@ -57,39 +57,39 @@
 	if err != nil || math.IsNaN(pace) || math.IsInf(pace, 0) || pace <= 0 {
 		return r, errors.Errorf("load report %.40q: the fourth figure is no pace", text)
 	}
-	r.Pace = min(max(pace/paceUnit, leastPace), mostPace)
+	r.Slowdown = min(max(pace/slowdownUnit, minSlowdown), maxSlowdown)
 	return r, nil
 }
 
 // idle reports whether it says that slots are free. Nil is no word.
-func (r *Report) idle() bool { return r != nil && r.Running+r.Waiting < r.Slots }
+func (r *Report) hasFreeSlots() bool { return r != nil && r.Running+r.Waiting < r.Slots }
 
 // paceOr returns the pace that a report tells, or another one. Nil is no word.
-func (r *Report) paceOr(other float64) float64 {
-	if r == nil || r.Pace == 0 {
+func (r *Report) slowdownOr(other float64) float64 {
+	if r == nil || r.Slowdown == 0 {
 		return other
 	}
-	return r.Pace
+	return r.Slowdown
 }
 
 // pace is what was last told of how long work takes on a backend server's host. The zero
 // value is a host of which nothing was told.
-type pace struct {
-	told float64
+type slowdown struct {
+	last float64
 	at   time.Duration
 }
 
 // note takes up a report.
-func (p *pace) note(r Report, now time.Duration) {
-	if r.Pace != 0 {
-		*p = pace{told: r.Pace, at: now}
+func (p *slowdown) record(r Report, now time.Duration) {
+	if r.Slowdown != 0 {
+		*p = slowdown{last: r.Slowdown, at: now}
 	}
 }
 
 // expected returns the pace to reckon with: what was told returns to the usual as it ages.
-func (p pace) expected(now, life time.Duration) float64 {
-	if p.told == 0 {
+func (p slowdown) expected(now, life time.Duration) float64 {
+	if p.last == 0 {
 		return 1
 	}
-	return 1 + (p.told-1)*math.Exp(-float64(now-p.at)/float64(life))
+	return 1 + (p.last-1)*math.Exp(-float64(now-p.at)/float64(life))
 }
--- a/process/balance/report_test.go
+++ b/process/balance/report_test.go
@@ -14,15 +14,15 @@
 // TestReportIsRead checks the forms that a load report may have. Reports of four figures were
 // dropped whole, so that nothing was known of the load of servers that tell their host's pace,
 // and requests went to full ones.
-func TestReportIsRead(t *testing.T) {
+func TestParseReport(t *testing.T) {
 	for text, want := range map[string]*Report{
 		"":              nil,
 		"3,0,8":         {Running: 3, Slots: 8},
-		"3,1,8,100":     {Running: 3, Waiting: 1, Slots: 8, Pace: 1},
-		" 3, 1 ,8, 250": {Running: 3, Waiting: 1, Slots: 8, Pace: 2.5},
-		"3,1,8,62.5":    {Running: 3, Waiting: 1, Slots: 8, Pace: 0.625},
-		"0,0,1,1e9":     {Slots: 1, Pace: mostPace},
-		"0,0,1,1":       {Slots: 1, Pace: leastPace},
+		"3,1,8,100":     {Running: 3, Waiting: 1, Slots: 8, Slowdown: 1},
+		" 3, 1 ,8, 250": {Running: 3, Waiting: 1, Slots: 8, Slowdown: 2.5},
+		"3,1,8,62.5":    {Running: 3, Waiting: 1, Slots: 8, Slowdown: 0.625},
+		"0,0,1,1e9":     {Slots: 1, Slowdown: maxSlowdown},
+		"0,0,1,1":       {Slots: 1, Slowdown: minSlowdown},
 	} {
 		r, err := ParseReport(text)
 		assert.NilError(t, err, text)
@@ -32,7 +32,7 @@
 
 // TestBadReportIsDroppedAlone checks that a report is dropped if one of its counts can't be
 // used, and that a bad pace does not take the counts with it.
-func TestBadReportIsDroppedAlone(t *testing.T) {
+func TestParseReportErrors(t *testing.T) {
 	for _, text := range []string{"3", "3,0", "3,0,8,100,1", "a,0,8", "-1,0,8", "3,,8,100", "3,0,8.5", "99999999999999999999,0,8", ",,"} {
 		r, err := ParseReport(text)
 		assert.Assert(t, err != nil && r == nil, "%q: %v", text, r)
@@ -54,7 +54,7 @@
 			return
 		}
 		whole := r.Running >= 0 && r.Waiting >= 0 && r.Slots >= 0
-		if !whole || r.Pace != 0 && !(r.Pace >= leastPace && r.Pace <= mostPace) {
+		if !whole || r.Slowdown != 0 && !(r.Slowdown >= minSlowdown && r.Slowdown <= maxSlowdown) {
 			t.Fatalf("%q: %+v", text, r)
 		}
 	})
@@ -62,55 +62,55 @@
 
 // TestPaceAges checks that what was told of a host is believed less as it ages, since hosts
 // change their pace many times a second.
-func TestPaceAges(t *testing.T) {
-	var p pace
-	life := DefaultPolicy().PaceLife
+func TestSlowdownDecays(t *testing.T) {
+	var p slowdown
+	life := DefaultPolicy().SlowdownDecay
 	assert.Equal(t, p.expected(time.Hour, life), 1.0)
-	p.note(Report{Pace: 2.5}, time.Hour)
+	p.record(Report{Slowdown: 2.5}, time.Hour)
 	assert.Equal(t, p.expected(time.Hour, life), 2.5)
 	assert.Assert(t, p.expected(time.Hour+life, life) < 1.6)
 	assert.Assert(t, p.expected(time.Hour+10*life, life) < 1.001)
-	p.note(Report{Running: 1}, time.Hour+life) // says nothing of the pace
+	p.record(Report{Running: 1}, time.Hour+life) // says nothing of the pace
 	assert.Equal(t, p.expected(time.Hour, life), 2.5)
 }
 
 // TestSlowHostGetsLess checks that a request goes to another server while the host of the
 // object's first one is slow, and back once that is long ago.
-func TestSlowHostGetsLess(t *testing.T) {
-	p := newPlace(1)
+func TestSlowHostGetsFewerRequests(t *testing.T) {
+	p := newFixture(1)
 	for _, name := range []string{"u", "v"} {
 		p.backend(name, 0, nil)
 	}
 	p.install()
 	first := p.pick(t, 7)
 	home := first.Name
-	first.Done(Answered, &Report{Slots: 6, Pace: 1})
+	first.Done(Answered, &Report{Slots: 6, Slowdown: 1})
 	other := p.pickOther(t, 7, home)
-	other.Done(Answered, &Report{Slots: 6, Pace: 1}) // has seen the object as well
+	other.Done(Answered, &Report{Slots: 6, Slowdown: 1}) // has seen the object as well
 	slow := p.pick(t, 7)
 	assert.Equal(t, slow.Name, home)
-	slow.Done(Answered, &Report{Slots: 6, Pace: 4})
+	slow.Done(Answered, &Report{Slots: 6, Slowdown: 4})
 	moved := p.pick(t, 7)
 	assert.Assert(t, moved.Name != home)
 	moved.Done(Abandoned, nil)
-	p.now += 5 * DefaultPolicy().PaceLife
+	p.now += 5 * DefaultPolicy().SlowdownDecay
 	back := p.pick(t, 7)
 	assert.Equal(t, back.Name, home)
 }
 
 // TestNoisyHostTeachesNoSlowness checks that a server whose host is slow for half of the time is
 // not taken for a slow server: what its answers took is set against the pace of their time.
-func TestNoisyHostTeachesNoSlowness(t *testing.T) {
+func TestHostSlowdownDoesNotAffectTypicalWork(t *testing.T) {
 	work := func(pace func(i int) float64) time.Duration {
-		p := newPlace(1)
+		p := newFixture(1)
 		p.backend("u", 0, nil)
 		p.install()
 		for i := range 400 {
 			k := p.pick(t, 7)
 			p.now += time.Duration(100 * pace(i) * float64(time.Millisecond))
-			k.Done(Answered, &Report{Slots: 6, Pace: pace(i)})
+			k.Done(Answered, &Report{Slots: 6, Slowdown: pace(i)})
 		}
-		return p.states[0].usualWork()
+		return p.states[0].typicalWork()
 	}
 	calm := work(func(int) float64 { return 1 })
 	noisy := work(func(i int) float64 { return 1 + 1.5*float64(i/4%2) })
--- a/process/balance/restart_test.go
+++ b/process/balance/restart_test.go
@@ -12,7 +12,7 @@
 )
 
 // startAgain lets a backend server start again under its name.
-func (p *place) startAgain(name string, incarnation int64) {
+func (p *fixture) restart(name string, incarnation int64) {
 	key := version.Key{Kind: version.KindBackend, Name: name}
 	b := *p.config.Resources[key].Backend
 	b.Incarnation, b.Cold = incarnation, version.Duration(4*time.Second)
@@ -22,8 +22,8 @@
 
 // warmed returns a place whose backend server u has seen an object, has failed once, and
 // has a request in flight.
-func warmed(t *testing.T) (p *place, inFlight *Pick) {
-	p = newPlace(1)
+func fixtureInUse(t *testing.T) (p *fixture, inFlight *Pick) {
+	p = newFixture(1)
 	for _, name := range []string{"u", "v"} {
 		p.backend(name, 0, func(b *version.Backend) { b.Incarnation = 1 })
 	}
@@ -35,22 +35,22 @@
 
 // TestBackendThatStartsAgainIsAnother checks that nothing that was learnt of its former life
 // counts: objects, failures, connections, what is in flight, that it was warm.
-func TestBackendThatStartsAgainIsAnother(t *testing.T) {
-	p, inFlight := warmed(t)
+func TestRestartDiscardsState(t *testing.T) {
+	p, inFlight := fixtureInUse(t)
 	before := p.stateOf("u")
 	object := inFlight.object
-	assert.Assert(t, p.seen.has(object, p.lifeOf("u"), p.Now(), p.Policy.SeenFor))
+	assert.Assert(t, p.seen.has(object, p.startHashOf("u"), p.Now(), p.Policy.SeenTTL))
 	p.now += time.Millisecond
 	p.pickOf(t, "u").Done(Unreachable, nil)
 	assert.Assert(t, before.failures > 0)
 
-	p.startAgain("u", 2)
+	p.restart("u", 2)
 	now := p.stateOf("u")
 	assert.Assert(t, now != before && now.pool != before.pool)
 	assert.Equal(t, now.failures, 0)
 	assert.Equal(t, now.inFlight, 0)
 	assert.Assert(t, now.coldUntil > p.Now())
-	assert.Assert(t, !p.seen.has(object, p.lifeOf("u"), p.Now(), p.Policy.SeenFor))
+	assert.Assert(t, !p.seen.has(object, p.startHashOf("u"), p.Now(), p.Policy.SeenTTL))
 
 	inFlight.Done(Unreachable, nil) // the end of a request to the former life
 	assert.Equal(t, now.failures, 0)
@@ -61,21 +61,21 @@
 // machine was set back, one that is not said any more and one that is said from now on are other
 // lives as well: only equality matters, and a life taken for another one costs a warm-up, where
 // another one taken for it would be sent what the former life had promised.
-func TestAnyOtherBirthIsAnotherLife(t *testing.T) {
+func TestAnyChangedIncarnationIsARestart(t *testing.T) {
 	for name, births := range map[string]struct{ before, after int64 }{
 		"steps back": {before: 3, after: 2}, "is not said any more": {before: 3, after: 0}, "is said from now on": {before: 0, after: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPlace(1)
+			p := newFixture(1)
 			p.backend("u", 0, func(b *version.Backend) { b.Incarnation = births.before })
 			p.install()
 			p.pickOf(t, "u").Done(Unreachable, nil)
 			before := p.stateOf("u")
-			p.startAgain("u", births.after)
+			p.restart("u", births.after)
 			now := p.stateOf("u")
 			assert.Assert(t, now != before && now.pool != before.pool)
 			assert.Equal(t, now.failures, 0)
-			p.startAgain("u", births.after)
+			p.restart("u", births.after)
 			assert.Assert(t, p.stateOf("u") == now, "the same row is the same life")
 		})
 	}
@@ -83,23 +83,23 @@
 
 // TestWordOfAFormerLifeChangesNothing checks that what another instance observed of a backend
 // server before it started again is not taken for its present life, and the other way round.
-func TestWordOfAFormerLifeChangesNothing(t *testing.T) {
+func TestGossipAboutFormerIncarnationIsIgnored(t *testing.T) {
 	a, b, _ := twoInstances("u", "v", "w", "x")
 	a.pickOf(t, "u").Done(Unreachable, nil)
-	told := a.Observations(tellAll)
-	b.startAgain("u", 7)
-	b.Hear(told)
+	told := a.Observations(noSizeLimit)
+	b.restart("u", 7)
+	b.ApplyObservations(told)
 	assert.Equal(t, b.stateOf("u").failures, 0)
 	b.pickOf(t, "u").Done(Unreachable, nil)
-	told = b.Observations(tellAll)
+	told = b.Observations(noSizeLimit)
 	c, _, _ := twoInstances("u", "v", "w", "x") // has not heard of the start
-	c.Hear(told)
+	c.ApplyObservations(told)
 	assert.Equal(t, c.stateOf("u").failures, 0)
 }
 
 // TestSameLifeStaysWhatItWas checks that another row of the same start changes nothing.
-func TestSameLifeStaysWhatItWas(t *testing.T) {
-	p, inFlight := warmed(t)
+func TestSameIncarnationKeepsState(t *testing.T) {
+	p, inFlight := fixtureInUse(t)
 	before := p.stateOf("u")
 	key := version.Key{Kind: version.KindBackend, Name: "u"}
 	b := *p.config.Resources[key].Backend
--- a/process/balance/seen.go
+++ b/process/balance/seen.go
@@ -5,7 +5,7 @@
 import "time"
 
 // maxSeen bounds the pairs of object and backend server that are kept.
-const maxSeen = 1 << 16
+const maxSeenPairs = 1 << 16
 
 // seenObjects are the objects that backend servers have worked on for this instance.
 // The zero value is empty.
@@ -16,11 +16,11 @@
 func pair(object, backend uint64) uint64 { return object*0x9e3779b97f4a7c15 ^ backend }
 
 // note takes down that a backend server worked on an object. Object zero is none.
-func (s *seenObjects) note(object, backend uint64, now time.Duration) {
+func (s *seenObjects) record(object, backend uint64, now time.Duration) {
 	if object == 0 {
 		return
 	}
-	if s.at == nil || len(s.at) >= maxSeen {
+	if s.at == nil || len(s.at) >= maxSeenPairs {
 		s.at = make(map[uint64]time.Duration) // learned again soon
 	}
 	s.at[pair(object, backend)] = now
--- a/process/balance/sending_test.go
+++ b/process/balance/sending_test.go
@@ -14,9 +14,9 @@
 // slot, so that the wait for the next was reckoned in seconds, at backend servers that did
 // nothing. What proved it: 577 of 582 quick callers refused beside 2,000 that read a byte a
 // second, at one of three instances; none with their work taken as done.
-func TestAnswersThatAreSentTakeNoSlot(t *testing.T) {
+func TestHeldAnswersOccupyNoSlot(t *testing.T) {
 	const answers = 50
-	p := newPlace(1)
+	p := newFixture(1)
 	p.backend("u", 0, nil)
 	p.install()
 	for i := range answers {
@@ -27,6 +27,6 @@
 	}
 	u := p.stateOf("u")
 	assert.Equal(t, u.inFlight, answers)
-	assert.Equal(t, u.working(), 0)
+	assert.Equal(t, u.ownLoad(), 0)
 
 }
--- a/process/balance/share.go
+++ b/process/balance/share.go
@@ -21,7 +21,7 @@
 }
 
 // note takes up a load report.
-func (x *share) note(p *Policy, r Report, now time.Duration) {
+func (x *share) record(p *Policy, r Report, now time.Duration) {
 	if r.Slots <= 0 {
 		return
 	}
@@ -29,42 +29,42 @@
 	if x.loadAt == 0 {
 		x.load = load
 	} else {
-		gain := 1 - math.Exp(-float64(now-x.loadAt)/float64(p.ShareMemory))
+		gain := 1 - math.Exp(-float64(now-x.loadAt)/float64(p.LoadSmoothing))
 		x.load += gain * (load - x.load)
 	}
 	x.loadAt = now
 }
 
 // adapt moves the share by one step.
-func (x *share) adapt(p *Policy, mean float64, now time.Duration) {
-	if x.loadAt == 0 || now-x.loadAt > p.ShareMemory {
+func (x *share) step(p *Policy, mean float64, now time.Duration) {
+	if x.loadAt == 0 || now-x.loadAt > p.LoadSmoothing {
 		x.kept = min(1, x.kept+p.ShareStep/2) // nothing is known, so it is tried again
 		return
 	}
-	busy := max(p.ShareBusy, mean*p.ShareOver)
+	busy := max(p.BusyLoad, mean*p.BusyRatio)
 	switch {
 	case x.load > busy:
-		x.kept = max(p.ShareLeast, x.kept*(1-p.ShareStep*min(1, x.load/busy-1)*2))
-	case x.load < busy*p.ShareBack:
+		x.kept = max(p.MinShare, x.kept*(1-p.ShareStep*min(1, x.load/busy-1)*2))
+	case x.load < busy*p.RecoverRatio:
 		x.kept = min(1, x.kept*(1+p.ShareStep/2))
 	}
 }
 
 // adaptShares moves the shares of a service's backend servers if a step is due, and lets
 // connections be opened to those that were suspended. The caller holds the lock.
-func (t *Table) adaptShares(s *version.RoutedService, now time.Duration) {
+func (t *Table) stepShares(s *version.RoutedService, now time.Duration) {
 	known := t.service(s)
-	if now < known.adaptAt {
+	if now < known.nextShareStep {
 		return
 	}
-	known.adaptAt = now + t.Policy.ShareEvery
+	known.nextShareStep = now + t.Policy.ShareInterval
 	sum, reports := 0.0, 0
 	for _, i := range s.Backends {
 		u := t.states[i]
-		if u != nil && t.reaching < mostReached && !t.routing.Backends[i].Closed && u.eligibility(now, t.LeaveWithin) != ineligible {
-			t.reach(t.routing.Backends[i].Name, u, now)
+		if u != nil && t.probing < maxProbes && !t.routing.Backends[i].Closed && u.eligibility(now, t.LeavingGrace) != ineligible {
+			t.probe(t.routing.Backends[i].Name, u, now)
 		}
-		if u != nil && u.share.loadAt != 0 && now-u.share.loadAt <= t.Policy.ShareMemory && !t.routing.Backends[i].Closed {
+		if u != nil && u.share.loadAt != 0 && now-u.share.loadAt <= t.Policy.LoadSmoothing && !t.routing.Backends[i].Closed {
 			sum += u.share.load
 			reports++
 		}
@@ -74,7 +74,7 @@
 	}
 	for _, i := range s.Backends {
 		if u := t.states[i]; u != nil {
-			u.share.adapt(&t.Policy, sum/float64(reports), now)
+			u.share.step(&t.Policy, sum/float64(reports), now)
 		}
 	}
 }
--- a/process/balance/share_test.go
+++ b/process/balance/share_test.go
@@ -12,8 +12,8 @@
 // TestBusyBackendGivesUpObjectsSlowly checks that a backend server that says it is
 // busier than the others gives objects up a few at a time, that no others move,
 // and that it gets the same ones back.
-func TestBusyBackendGivesUpObjectsSlowly(t *testing.T) {
-	p := newPlace(1)
+func TestBusyBackendShedsObjectsGradually(t *testing.T) {
+	p := newFixture(1)
 	for _, name := range []string{"a", "b", "c", "d"} {
 		p.backend(name, 0, nil)
 	}
@@ -42,7 +42,7 @@
 	last := before
 	for range 5 {
 		for range 8 { // two seconds
-			p.now += p.Policy.ShareEvery
+			p.now += p.Policy.ShareInterval
 			report(Report{Running: 6, Waiting: 4, Slots: 6})
 		}
 		p.now += 5 * time.Second // so that what is out and was reported counts no more
@@ -59,7 +59,7 @@
 		last = now
 	}
 	for range 200 {
-		p.now += p.Policy.ShareEvery
+		p.now += p.Policy.ShareInterval
 		report(Report{Running: 1, Slots: 6})
 	}
 	assert.DeepEqual(t, places(), before)
@@ -67,8 +67,8 @@
 
 // TestVersionsInQuickSuccessionMoveNoSharesFaster checks that installing a version
 // does not let the next step of the shares come sooner.
-func TestVersionsInQuickSuccessionMoveNoSharesFaster(t *testing.T) {
-	p := newPlace(1)
+func TestInstallDoesNotSpeedUpShareSteps(t *testing.T) {
+	p := newFixture(1)
 	for _, name := range []string{"a", "b", "c", "d"} {
 		p.backend(name, 0, nil)
 	}
@@ -81,7 +81,7 @@
 		}
 		k.Done(Answered, &r)
 	}
-	p.now += p.Policy.ShareEvery
+	p.now += p.Policy.ShareInterval
 	for range 10 {
 		p.now += time.Millisecond
 		p.install()
--- a/process/balance/shared_test.go
+++ b/process/balance/shared_test.go
@@ -16,7 +16,7 @@
 
 // TestFirstChoicesAreThoseOfTheWholeOrder compares the choices with those that
 // sorting gives.
-func TestFirstChoicesAreThoseOfTheWholeOrder(t *testing.T) {
+func TestFirstChoicesMatchFullSort(t *testing.T) {
 	table := &Table{Policy: DefaultPolicy()}
 	nearest, others := table.Policy.NearChoices, table.Policy.FarChoices
 	rapid.Check(t, func(r *rapid.T) {
@@ -47,10 +47,10 @@
 
 // sharer is one instance of a model in which several share the warming rate of
 // a backend server, each by what it believes of the others.
-type sharer struct {
-	*place
-	starts, ends time.Duration // when it lives
-	learns       time.Duration // when it has read which others there are
+type member struct {
+	*fixture
+	startsAt, endsAt time.Duration // when it lives
+	readsMembersAt   time.Duration // when it has read which others there are
 }
 
 // TestWarmingRateHoldsWhileInstancesComeAndGo plays instances that start, end and
@@ -66,32 +66,32 @@
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(1, 24).Draw(r, "instances")
 		allAtOnce := rapid.Bool().Draw(r, "all start while it is cold")
-		sharers := make([]*sharer, n)
+		sharers := make([]*member, n)
 		for i := range sharers {
-			x := &sharer{place: newPlace(1), ends: lasts}
+			x := &member{fixture: newFixture(1), endsAt: lasts}
 			ms := func(low, high int, name string) time.Duration {
 				return time.Duration(rapid.IntRange(low, high).Draw(r, fmt.Sprint(name, i))) * time.Millisecond
 			}
 			if allAtOnce {
-				x.starts = ms(0, 300, "start")
-				x.learns = x.starts + ms(0, 600, "learns")
+				x.startsAt = ms(0, 300, "start")
+				x.readsMembersAt = x.startsAt + ms(0, 600, "learns")
 			} else if rapid.IntRange(0, 3).Draw(r, fmt.Sprint("late", i)) == 0 {
-				x.starts = ms(0, 2000, "start")
-				x.learns = x.starts + ms(0, 600, "learns")
+				x.startsAt = ms(0, 2000, "start")
+				x.readsMembersAt = x.startsAt + ms(0, 600, "learns")
 			}
 			if rapid.IntRange(0, 3).Draw(r, fmt.Sprint("dies", i)) == 0 {
-				x.ends = x.starts + ms(0, 3000, "ends")
+				x.endsAt = x.startsAt + ms(0, 3000, "ends")
 			}
 			sharers[i] = x
 		}
 		var sent []time.Duration
 		for now := time.Duration(0); now < lasts; now += step {
 			for i, x := range sharers {
-				if now < x.starts || now >= x.ends {
+				if now < x.startsAt || now >= x.endsAt {
 					continue
 				}
 				x.now = time.Hour + now
-				x.believe(sharers, i, now)
+				x.updateMembership(sharers, i, now)
 				if x.Routing() == nil {
 					x.backend("cold", 0, func(u *version.Backend) { u.Cold = version.Duration(lasts - now) })
 					x.install()
@@ -104,7 +104,7 @@
 				}
 			}
 		}
-		if most := mostInASecond(sent); float64(most) > rate*overage+slack {
+		if most := maxPerSecond(sent); float64(most) > rate*overage+slack {
 			r.Fatalf("%d instances: %d in one second", n, most)
 		}
 	})
@@ -114,29 +114,29 @@
 // before it has read their rows and a little longer (cluster.Members.Place), when
 // it has heard of all who read theirs meanwhile; it learns of a later start when
 // that one has read the rows, and of an end a second late.
-func (x *sharer) believe(all []*sharer, self int, now time.Duration) {
+func (x *member) updateMembership(all []*member, self int, now time.Duration) {
 	const (
 		settle   = 300 * time.Millisecond
 		datagram = 100 * time.Millisecond
 		late     = time.Second
 	)
-	x.place.place, x.place.of = 0, 0
-	if now < x.learns+settle {
+	x.fixture.index, x.fixture.count = 0, 0
+	if now < x.readsMembersAt+settle {
 		return
 	}
-	x.place.of = 1
+	x.fixture.count = 1
 	for i, other := range all {
-		if i == self || now > other.ends+late {
+		if i == self || now > other.endsAt+late {
 			continue
 		}
-		read := other.starts+datagram <= x.learns
-		told := now >= other.learns+datagram
+		read := other.startsAt+datagram <= x.readsMembersAt
+		told := now >= other.readsMembersAt+datagram
 		if !read && !told {
 			continue
 		}
-		x.place.of++
+		x.fixture.count++
 		if i < self {
-			x.place.place++
+			x.fixture.index++
 		}
 	}
 }
--- a/process/balance/software.go
+++ b/process/balance/software.go
@@ -9,15 +9,15 @@
 )
 
 // softwareOf names a version of a service's software.
-type softwareOf struct{ service, software string }
+type softwareKey struct{ service, software string }
 
 // service returns what is known of a service with one version of its software. The
 // caller holds the lock.
 func (t *Table) service(s *version.RoutedService) *service {
 	if t.services == nil {
-		t.services = make(map[softwareOf]*service)
+		t.services = make(map[softwareKey]*service)
 	}
-	key := softwareOf{s.Name, s.Software}
+	key := softwareKey{s.Name, s.Software}
 	known := t.services[key]
 	if known == nil {
 		known = &service{}
@@ -30,28 +30,28 @@
 // have, so that memory is bounded however many versions follow each other. What is known
 // of a roll-out's target stays when it is promoted: the key is the same. The caller
 // holds the lock.
-func (t *Table) keepServices(r *version.Routing) {
-	keep := make(map[softwareOf]bool, len(r.Services))
+func (t *Table) pruneServices(r *version.Routing) {
+	keep := make(map[softwareKey]bool, len(r.Services))
 	for i := range r.Services {
 		s := &r.Services[i]
-		keep[softwareOf{s.Name, s.Software}] = true
-		t.takeOver(s)
+		keep[softwareKey{s.Name, s.Software}] = true
+		t.inherit(s)
 	}
 	for key := range t.services {
 		if !keep[key] {
 			delete(t.services, key)
 		}
 	}
-	for key, n := range t.flights {
-		if *n == 0 && !keep[key] && !announces(r, key) {
-			delete(t.flights, key)
+	for key, n := range t.inFlight {
+		if *n == 0 && !keep[key] && !runsSoftware(r, key) {
+			delete(t.inFlight, key)
 		}
 	}
 }
 
 // announces reports whether a routing has a backend server of a service that runs a version of
 // its software, which is not told apart there.
-func announces(r *version.Routing, key softwareOf) bool {
+func runsSoftware(r *version.Routing, key softwareKey) bool {
 	return slices.ContainsFunc(r.Backends, func(v version.RoutedBackend) bool {
 		return v.Software == key.software && r.Services[v.Service].Name == key.service
 	})
@@ -59,9 +59,9 @@
 
 // takeOver lets what is known of a service whose versions were not told apart until now
 // stand for the version in force. The caller holds the lock.
-func (t *Table) takeOver(s *version.RoutedService) {
-	whole := t.services[softwareOf{service: s.Name}]
-	key := softwareOf{s.Name, s.Software}
+func (t *Table) inherit(s *version.RoutedService) {
+	whole := t.services[softwareKey{service: s.Name}]
+	key := softwareKey{s.Name, s.Software}
 	if whole != nil && t.services[key] == nil && !s.OfTarget {
 		t.services[key] = whole
 	}
@@ -69,14 +69,14 @@
 
 // flight returns the count of the requests in flight at a version of a service's
 // software. The caller holds the lock.
-func (t *Table) flight(key softwareOf) *int {
-	if t.flights == nil {
-		t.flights = make(map[softwareOf]*int)
+func (t *Table) inFlightCounter(key softwareKey) *int {
+	if t.inFlight == nil {
+		t.inFlight = make(map[softwareKey]*int)
 	}
-	n := t.flights[key]
+	n := t.inFlight[key]
 	if n == nil {
 		n = new(int)
-		t.flights[key] = n
+		t.inFlight[key] = n
 	}
 	return n
 }
@@ -89,7 +89,7 @@
 	defer t.mu.Unlock()
 	target, runs := t.target(service)
 	sum := 0
-	for key, n := range t.flights {
+	for key, n := range t.inFlight {
 		if key.service == service && !(runs && key.software == target) {
 			sum += *n
 		}
--- a/process/balance/software_test.go
+++ b/process/balance/software_test.go
@@ -20,14 +20,14 @@
 }
 
 // admit sets which versions of the service s may get requests.
-func (p *place) admit(inForce, target string) {
+func (p *fixture) admit(inForce, target string) {
 	p.config.Software = map[string]version.Software{"s": {InForce: inForce, Target: target}}
 	p.install()
 }
 
 // twoVersions is a place with n backend servers of each of two versions in each region.
-func twoVersions(instances, n int) *place {
-	p := newPlace(instances)
+func twoVersions(instances, n int) *fixture {
+	p := newFixture(instances)
 	for i := range n {
 		for region := range 3 {
 			p.backend(fmt.Sprintf("v1-%d-%d", region, i), region, software("v1"))
@@ -38,12 +38,12 @@
 }
 
 // target returns a query for the target that the service s has now.
-func (p *place) target(object uint64) *Query {
+func (p *fixture) target(object uint64) *Query {
 	return p.targetOf(object, p.config.Software["s"].Target)
 }
 
 // targetOf returns a query for a version that a roll-out brings.
-func (p *place) targetOf(object uint64, software string) *Query {
+func (p *fixture) targetOf(object uint64, software string) *Query {
 	q := p.query(object)
 	q.Target = software
 	return q
@@ -55,7 +55,7 @@
 func TestChosenBackendHasAnAdmittedVersion(t *testing.T) {
 	versions := []string{"", "v1", "v2", "v3"}
 	rapid.Check(t, func(r *rapid.T) {
-		p := newPlace(3)
+		p := newFixture(3)
 		p.put(version.Resource{Key: version.Key{Kind: version.KindService, Name: "a"}, Service: &version.Service{}})
 		p.put(version.Resource{Key: version.Key{Kind: version.KindRoute, Name: "a"}, Route: &version.Route{
 			Host: "b", Prefix: "/", Class: request.ClassRead, Sticky: true, Split: []version.Weighted{{Service: "a", Weight: 1}},
@@ -116,7 +116,7 @@
 					if !bound && q.Target != "" {
 						r.Fatalf("%s got a request for a target that nobody ordered", k.Name)
 					}
-					if hasHome && object != 0 && q.Target != "" && q.Target == may.Target && k.Rank == 0 && k.life != home {
+					if hasHome && object != 0 && q.Target != "" && q.Target == may.Target && k.Rank == 0 && k.startHash != home {
 						r.Fatalf("the first choice %s is not the home", k.Name)
 					}
 					k.Done(Answered, nil)
@@ -128,7 +128,7 @@
 
 // TestAttemptAtATargetThatWasCompletedIsServed checks an attempt that began while the
 // version was tried, and is chosen for when the version is in force: it must not be refused.
-func TestAttemptAtATargetThatWasCompletedIsServed(t *testing.T) {
+func TestAttemptAtCompletedTargetIsServed(t *testing.T) {
 	p := twoVersions(3, 1)
 	p.admit("v1", "v2")
 	q := p.target(7)
@@ -150,7 +150,7 @@
 
 // TestTargetThatStandsByMovesNoChoice compares the choices with and without the backend
 // servers of a target, for the same objects at the same load.
-func TestTargetThatStandsByMovesNoChoice(t *testing.T) {
+func TestIdleTargetChangesNoChoice(t *testing.T) {
 	alone, beside := twoVersions(3, 4), twoVersions(3, 4)
 	beside.backend("v2-more", 0, software("v2"))
 	alone.admit("v1", "")
@@ -170,7 +170,7 @@
 
 // TestNothingIsChosenForATargetThatIsNotThere checks that a query for the target finds
 // no place when no roll-out runs any more, or none of the target's servers is there.
-func TestNothingIsChosenForATargetThatIsNotThere(t *testing.T) {
+func TestAbsentTargetIsRefused(t *testing.T) {
 	p := twoVersions(3, 1)
 	p.admit("v1", "v2")
 	q := p.target(7)
@@ -188,7 +188,7 @@
 
 // TestRequestOfBeforeARolloutFindsItsTarget checks a query with the view of a routing that
 // had no target yet, which may have to go there once nothing goes to the version before.
-func TestRequestOfBeforeARolloutFindsItsTarget(t *testing.T) {
+func TestQueryOlderThanRolloutFindsTarget(t *testing.T) {
 	p := twoVersions(3, 1)
 	p.admit("v1", "")
 	q := p.targetOf(7, "v2")
@@ -197,7 +197,7 @@
 	assert.Equal(t, k.Software, "v2")
 	_, ok := p.TargetHome(q)
 	assert.Assert(t, ok)
-	assert.Equal(t, len(p.homes.of), 0)
+	assert.Equal(t, len(p.homes.byKey), 0)
 	p.admit("v1", "v3")
 	k, _ = p.Pick(p.target(7))
 	assert.Assert(t, k == nil, "none of its backend servers is there")
@@ -205,7 +205,7 @@
 
 // TestQueryForOneTargetFindsNoOther checks a query that was made for the target of an
 // order that another one has replaced.
-func TestQueryForOneTargetFindsNoOther(t *testing.T) {
+func TestQueryForReplacedTargetIsRefused(t *testing.T) {
 	p := twoVersions(3, 1)
 	p.backend("v3", 0, software("v3"))
 	p.admit("v1", "v2")
@@ -249,8 +249,8 @@
 
 // TestServerStartedAnewWithOtherSoftwareIsAnother checks that requests in flight count
 // for the version that they were sent to, when the name and address stay.
-func TestServerStartedAnewWithOtherSoftwareIsAnother(t *testing.T) {
-	p := newPlace(1)
+func TestRestartWithOtherSoftwareDiscardsState(t *testing.T) {
+	p := newFixture(1)
 	p.backend("u", 0, software("v1"))
 	p.admit("v1", "v2")
 	old := p.pick(t, 1)
@@ -268,7 +268,7 @@
 
 // TestWhatIsKnownOfTheTargetStaysWhenItIsPromoted checks the usual work, the objects
 // seen, the failures and the connections of the target's backend servers.
-func TestWhatIsKnownOfTheTargetStaysWhenItIsPromoted(t *testing.T) {
+func TestPromotedTargetKeepsState(t *testing.T) {
 	p := twoVersions(3, 1)
 	p.admit("v1", "v2")
 	first, _ := p.Pick(p.target(7))
@@ -290,8 +290,8 @@
 }
 
 // TestMemoryOfVersionsIsBounded checks that versions that are gone leave nothing behind.
-func TestMemoryOfVersionsIsBounded(t *testing.T) {
-	p := newPlace(1)
+func TestStateOfRemovedVersionsIsDropped(t *testing.T) {
+	p := newFixture(1)
 	for i := range 300 {
 		v := fmt.Sprintf("v%d", i)
 		p.backend("u", 0, software(v))
@@ -299,12 +299,12 @@
 		p.pick(t, 1).Done(Answered, nil)
 	}
 	assert.Assert(t, len(p.services) <= 2, "%d", len(p.services))
-	assert.Assert(t, len(p.flights) <= 2, "%d", len(p.flights))
+	assert.Assert(t, len(p.inFlight) <= 2, "%d", len(p.inFlight))
 }
 
 // TestVersionsToldApartLaterKeepWhatIsKnown checks that the usual work of a service
 // stands for the version in force once its versions are told apart.
-func TestVersionsToldApartLaterKeepWhatIsKnown(t *testing.T) {
+func TestVersionInForceInheritsServiceState(t *testing.T) {
 	p := twoVersions(1, 1)
 	p.install()
 	k := p.pick(t, 1)
@@ -319,20 +319,20 @@
 
 // TestTargetObeysWhatBindsTheVersionInForce checks homes, drains, cold turns, connections
 // and suspension for both.
-func TestTargetObeysWhatBindsTheVersionInForce(t *testing.T) {
+func TestTargetObeysSameLimitsAsVersionInForce(t *testing.T) {
 	for _, target := range []string{"", "v2"} {
-		query := func(p *place, object uint64) *Query {
+		query := func(p *fixture, object uint64) *Query {
 			q := p.query(object)
 			q.Target = target
 			return q
 		}
-		refused := func(p *place) Why {
+		refused := func(p *fixture) Explanation {
 			k, refusal := p.Pick(query(p, 7))
 			assert.Assert(t, k == nil)
-			return refusal.Why
+			return refusal.Explanation
 		}
-		one := func(change func(*version.Backend)) *place {
-			p := newPlace(1)
+		one := func(change func(*version.Backend)) *fixture {
+			p := newFixture(1)
 			for _, v := range []string{"v1", "v2"} {
 				p.backend(v, 0, func(b *version.Backend) {
 					b.Software = v
@@ -346,7 +346,7 @@
 		p := one(nil)
 		p.config.Resources[version.Key{Kind: version.KindRoute, Name: "r"}].Route.Homes = []string{"r1"}
 		p.admit("v1", "v2")
-		assert.Equal(t, refused(p).Foreign, 1)
+		assert.Equal(t, refused(p).OutsideHomes, 1)
 
 		p = one(nil)
 		p.put(version.Resource{Key: version.Key{Kind: version.KindDrain, Name: "d"}, Drain: &version.Drain{Region: "r0"}})
--- a/process/balance/suspend_test.go
+++ b/process/balance/suspend_test.go
@@ -13,14 +13,14 @@
 	"shalewick/version"
 )
 
-func TestFailedBackendIsSuspendedAndTriedAgain(t *testing.T) {
-	p := newPlace(1)
+func TestFailedBackendIsSuspendedAndRetried(t *testing.T) {
+	p := newFixture(1)
 	p.backend("a", 0, nil)
 	p.install()
 	p.pick(t, 1).Done(Unreachable, nil)
 	k, _ := p.Pick(p.query(1))
 	assert.Assert(t, k == nil, "suspended")
-	p.now += p.Policy.SuspendLeast
+	p.now += p.Policy.MinSuspension
 	trial := p.pick(t, 1)
 	k, _ = p.Pick(p.query(2))
 	assert.Assert(t, k == nil, "one trial at a time")
@@ -30,8 +30,8 @@
 
 // TestOneLostAnswerMovesNoObject checks that a backend server keeps its objects when
 // one of its answers is lost, and is suspended when the next one is, too.
-func TestOneLostAnswerMovesNoObject(t *testing.T) {
-	p := newPlace(1)
+func TestSingleLostAnswerDoesNotSuspend(t *testing.T) {
+	p := newFixture(1)
 	p.backend("a", 0, nil)
 	p.backend("b", 0, nil)
 	p.install()
@@ -50,10 +50,10 @@
 
 // TestSuspendedBackendIsReachedBeforeARequestTriesIt checks that no request goes
 // to a backend server that was suspended until a connection to it was opened.
-func TestSuspendedBackendIsReachedBeforeARequestTriesIt(t *testing.T) {
-	p := newPlace(1)
+func TestSuspendedBackendIsProbedBeforeRequest(t *testing.T) {
+	p := newFixture(1)
 	result := make(chan error)
-	p.Reach = func(*conn.Pool) error { return <-result }
+	p.Probe = func(*conn.Pool) error { return <-result }
 	p.backend("a", 0, nil)
 	p.install()
 	p.pick(t, 1).Done(Unreachable, nil)
@@ -64,25 +64,25 @@
 		}
 		return k == nil
 	}
-	p.now += p.Policy.SuspendLeast
+	p.now += p.Policy.MinSuspension
 	assert.Assert(t, refused(), "it is being reached")
 	result <- errors.New("no route")
-	p.awaitReached("a")
-	p.now += p.Policy.SuspendLeast
+	p.awaitProbe("a")
+	p.now += p.Policy.MinSuspension
 	assert.Assert(t, refused(), "suspended for longer")
-	p.now += p.Policy.SuspendMost
+	p.now += p.Policy.MaxSuspension
 	assert.Assert(t, refused(), "it is being reached again")
 	result <- nil
-	p.awaitReached("a")
+	p.awaitProbe("a")
 	assert.Assert(t, !refused())
 }
 
 // TestLeavingBackendIsNotReached checks that no connection is opened to a suspended
 // backend that gets no further requests.
-func TestLeavingBackendIsNotReached(t *testing.T) {
-	p := newPlace(1)
+func TestLeavingBackendIsNotProbed(t *testing.T) {
+	p := newFixture(1)
 	opened := make(chan struct{}, 1)
-	p.Reach = func(*conn.Pool) error {
+	p.Probe = func(*conn.Pool) error {
 		opened <- struct{}{}
 		return nil
 	}
@@ -94,18 +94,18 @@
 		u.Address = p.config.Resources[version.Key{Kind: version.KindBackend, Name: "a"}].Backend.Address
 	})
 	p.install()
-	p.now += p.Policy.SuspendMost
+	p.now += p.Policy.MaxSuspension
 	k, _ := p.Pick(p.query(1))
 	assert.Assert(t, k == nil)
-	assert.Assert(t, !p.stateOf("a").reaching)
+	assert.Assert(t, !p.stateOf("a").probing)
 	assert.Equal(t, len(opened), 0)
 }
 
 // awaitReached waits until a backend server is not being reached any more.
-func (p *place) awaitReached(name string) {
+func (p *fixture) awaitProbe(name string) {
 	for {
 		p.mu.Lock()
-		reaching := p.stateOf(name).reaching
+		reaching := p.stateOf(name).probing
 		p.mu.Unlock()
 		if !reaching {
 			return
@@ -116,8 +116,8 @@
 
 // TestAnswerMeanwhileExcusesAFailure checks that a request that failed does
 // not suspend a backend server that answered another one since.
-func TestAnswerMeanwhileExcusesAFailure(t *testing.T) {
-	p := newPlace(1)
+func TestLaterAnswerCancelsFailure(t *testing.T) {
+	p := newFixture(1)
 	p.backend("a", 0, nil)
 	p.install()
 	lost, other := p.pick(t, 1), p.pick(t, 2)
--- a/process/balance/table.go
+++ b/process/balance/table.go
@@ -18,7 +18,7 @@
 	Now func() time.Duration
 	// Place returns the place of this instance, from 0, among those that share
 	// what must be shared, and their number; zero: not known yet.
-	Place func() (place, of int)
+	MemberIndex func() (place, of int)
 	// Region and Hall are the names of the region and the hall of this instance. If Region is
 	// empty, the configuration tells it by the hall.
 	Region string
@@ -39,12 +39,12 @@
 	Limits *ratelimit.Limiter
 	// LeaveWithin is how long after a backend server said in an answer that it leaves it may
 	// still get requests that no other one can take; afterwards it gets none.
-	LeaveWithin time.Duration
+	LeavingGrace time.Duration
 	// NewPool returns connections to an address.
 	NewPool func(address string) *conn.Pool
 	// Reach, if set, opens a connection to a backend server that was suspended before a
 	// request tries it. It is called without locks, and may take long.
-	Reach func(p *conn.Pool) error
+	Probe func(p *conn.Pool) error
 	// Policy holds the figures of choices. The zero value means DefaultPolicy.
 	Policy Policy
 
@@ -53,20 +53,20 @@
 	region   int32
 	states   []*backend       // by index in the routing; nil: nothing is known of it
 	byHash   map[uint32]int32 // to index, by the bytes of the hash that observations carry; nil: not built
-	reaching int              // connections that are being opened to suspended backend servers
-	services map[softwareOf]*service
-	flights  map[softwareOf]*int // requests in flight
+	probing  int              // connections that are being opened to suspended backend servers
+	services map[softwareKey]*service
+	inFlight map[softwareKey]*int // requests in flight
 	homes    targetHomes
 	scratch  []candidate // memory of candidates, kept between decisions
 	// hallWeights are the weights for uploads by those that they were made from.
 	hallWeights map[*version.Weights]*version.Weights
-	looked      int // backend servers that choices looked at
+	examined    int // backend servers that choices looked at
 	// Memory of the distances of groups from an object.
 	nearGroups, farGroups [version.GroupCount]float64
 	splits                map[string][]float64 // credit of each part, by route
 	seen                  seenObjects
 	// notices are those that backend servers told.
-	notices map[startOf]*noticeState
+	notices map[startKey]*noticeState
 }
 
 // Install makes a routing the one that is decided on. What is known of backend servers that
@@ -77,24 +77,24 @@
 	t.useDefaults()
 	now := t.Now()
 	states := make([]*backend, len(r.Backends))
-	t.keepServices(r)
-	old := replaced{routing: t.routing, states: t.states}
+	t.pruneServices(r)
+	old := oldRouting{routing: t.routing, states: t.states}
 	for i := range r.Backends {
 		v := &r.Backends[i]
-		was, u := old.next(v)
+		was, u := old.match(v)
 		if u == nil && needsState(was, v) {
 			u = t.newBackend(v, &r.Services[v.Service])
 			u.drained = was != nil && was.Drained
 		}
-		if u != nil && u.install(v, now) {
+		if u != nil && u.applyRow(v, now) {
 			u.turns = turns{policy: &t.Policy, rate: r.Services[v.Service].Warming.Rate}
 		}
 		states[i] = u
 	}
-	old.end()
+	old.releaseRest()
 	t.routing, t.states, t.byHash = r, states, nil
-	t.seeRows(now)
-	t.forgetNotices(now)
+	t.reconcileRows(now)
+	t.pruneNotices(now)
 	t.homes.clear()
 	clear(t.hallWeights)
 	t.region = r.Region(t.Region)
@@ -107,7 +107,7 @@
 }
 
 // replaced walks along a routing that another one takes the place of.
-type replaced struct {
+type oldRouting struct {
 	routing *version.Routing // nil: there was none
 	states  []*backend
 	at      int
@@ -115,17 +115,17 @@
 
 // next returns what the old routing said of a backend server of the new one, and its state, if it
 // is the same start; nil otherwise. Those that the new one does not have are given up.
-func (o *replaced) next(v *version.RoutedBackend) (was *version.RoutedBackend, u *backend) {
+func (o *oldRouting) match(v *version.RoutedBackend) (was *version.RoutedBackend, u *backend) {
 	for o.routing != nil && o.at < len(o.states) {
 		was, u = &o.routing.Backends[o.at], o.states[o.at]
 		if was.Name > v.Name {
 			return nil, nil
 		}
 		o.at++
-		if was.Name == v.Name && startOfBackend(was) == startOfBackend(v) {
+		if was.Name == v.Name && startKeyOf(was) == startKeyOf(v) {
 			return was, u
 		}
-		u.giveUp()
+		u.closeIdle()
 		if was.Name == v.Name {
 			return nil, nil
 		}
@@ -134,14 +134,14 @@
 }
 
 // end gives up what is left.
-func (o *replaced) end() {
+func (o *oldRouting) releaseRest() {
 	for _, u := range o.states[o.at:] {
-		u.giveUp()
+		u.closeIdle()
 	}
 }
 
 // giveUp closes the idle connections to a backend server that is gone. Nil has none.
-func (u *backend) giveUp() {
+func (u *backend) closeIdle() {
 	if u != nil {
 		u.pool.CloseIdle()
 	}
@@ -170,8 +170,8 @@
 // the lock.
 func (t *Table) newBackend(v *version.RoutedBackend, s *version.RoutedService) *backend {
 	return &backend{
-		service: t.service(s), flights: t.flight(softwareOf{s.Name, v.Software}), policy: &t.Policy,
-		pool: t.NewPool(v.Address), start: startOfBackend(v), share: share{kept: 1}, notices: t.notices[startOfBackend(v)],
+		service: t.service(s), softwareInFlight: t.inFlightCounter(softwareKey{s.Name, v.Software}), policy: &t.Policy,
+		pool: t.NewPool(v.Address), start: startKeyOf(v), share: share{kept: 1}, notices: t.notices[startKeyOf(v)],
 	}
 }
 
@@ -184,7 +184,7 @@
 
 // install takes up what a routing says, and reports whether the backend server has
 // become cold by it.
-func (u *backend) install(v *version.RoutedBackend, now time.Duration) bool {
+func (u *backend) applyRow(v *version.RoutedBackend, now time.Duration) bool {
 	before := u.coldUntil
 	if v.Cold != u.cold {
 		u.cold = v.Cold
@@ -194,7 +194,7 @@
 		}
 	}
 	if u.drained && !v.Drained {
-		u.coldUntil = max(u.coldUntil, now+u.policy.AfterDrain)
+		u.coldUntil = max(u.coldUntil, now+u.policy.ColdAfterDrain)
 	}
 	u.drained = v.Drained
 	if v.Closed {
@@ -226,7 +226,7 @@
 	// Tried are the names of the backend servers that had the request already.
 	Tried []string
 	// Unlimited leaves out backend servers that name a rate limit.
-	Unlimited bool
+	SkipLimited bool
 	// Left is the time until the request's deadline.
 	Left time.Duration
 	// Elapsed is the time since the request came.
@@ -255,28 +255,28 @@
 	LastResort bool
 	// Wait is the estimated time until it begins with the request, and Needs that until
 	// it has answered.
-	Wait, Needs time.Duration
+	Wait, ExpectedTime time.Duration
 
-	table   *Table
-	u       *backend
-	object  uint64 // zero: none
-	life    uint64 // of the backend server
-	started time.Duration
-	held    bool // Hold was called
+	table     *Table
+	backend   *backend
+	object    uint64 // zero: none
+	startHash uint64 // of the backend server
+	started   time.Duration
+	held      bool // Hold was called
 	// turnedAway is set if the answer asked for a backoff.
-	turnedAway bool
+	backoffRequested bool
 }
 
 // Refusal says why nothing was chosen.
 type Refusal struct {
 	Code request.Code
 	// Retry is when to come back.
-	Retry time.Duration
+	RetryAfter time.Duration
 	// NoRollout is set if a query for a target was refused since the routing has no
 	// roll-out of the service, so that only the version in force may get requests.
 	NoRollout bool
 	// Why is what the choice saw.
-	Why Why
+	Explanation Explanation
 }
 
 // Split chooses the part of a route for a request by the weights of its route, so that
--- a/process/edge/edge.go
+++ b/process/edge/edge.go
@@ -167,14 +167,14 @@
 	e.limits = e.newLimits()
 	e.table = &balance.Table{
 		Limits: e.limits,
-		Now:    e.now, Place: e.place, Region: e.settings.Region, Hall: e.settings.Hall, OnSuspend: e.logSuspension,
-		OnNotice: e.logNotice, OnAvoid: e.logAvoided, LeaveWithin: e.settings.DrainWithin / leaveShare,
-		Reach: func(p *conn.Pool) error { return p.Open(context.Background()) },
+		Now:    e.now, MemberIndex: e.place, Region: e.settings.Region, Hall: e.settings.Hall, OnSuspend: e.logSuspension,
+		OnNotice: e.logNotice, OnAvoid: e.logAvoided, LeavingGrace: e.settings.DrainWithin / leaveShare,
+		Probe: func(p *conn.Pool) error { return p.Open(context.Background()) },
 		NewPool: func(address string) *conn.Pool {
 			return &conn.Pool{Address: address, Dialer: dialer, IdleTime: backendIdle}
 		},
 	}
-	e.beats.Observations, e.beats.Hear, e.beats.Ask = e.table.Observations, e.table.Hear, e.askPeer
+	e.beats.Observations, e.beats.Hear, e.beats.Ask = e.table.Observations, e.table.ApplyObservations, e.askPeer
 	e.quota = e.newQuota()
 	e.rollouts = e.newRollouts()
 	e.quarantine = e.newQuarantine()
--- a/process/edge/spare_test.go
+++ b/process/edge/spare_test.go
@@ -124,7 +124,7 @@
 	}
 	k, refusal := func() (*balance.Pick, balance.Refusal) {
 		e.table.Install(r)
-		e.table.Place = func() (int, int) { return 0, 1 }
+		e.table.MemberIndex = func() (int, int) { return 0, 1 }
 		e.table.NewPool = func(address string) *conn.Pool { return &conn.Pool{Address: address} }
 		return e.table.Pick(&balance.Query{Route: r.Route("t", "/"), Left: time.Second})
 	}()
--- a/process/entry/routes.go
+++ b/process/entry/routes.go
@@ -49,8 +49,8 @@
 	x := &routes{e: e}
 	dialer := conn.NewDialer(routeDial, routeSilence)
 	x.table = &balance.Table{
-		Now: e.now, Place: x.place, Hall: e.settings.Hall,
-		Reach: func(p *conn.Pool) error { return p.Open(context.Background()) },
+		Now: e.now, MemberIndex: x.place, Hall: e.settings.Hall,
+		Probe: func(p *conn.Pool) error { return p.Open(context.Background()) },
 		NewPool: func(address string) *conn.Pool {
 			return &conn.Pool{Address: address, Dialer: dialer, IdleTime: routeIdle}
 		},
--- a/process/proxy/attempt.go
+++ b/process/proxy/attempt.go
@@ -138,8 +138,8 @@
 	pick, refusal := t.pickPermitted(ctx)
 	if pick == nil {
 		t.rolled.Done(rollout.Outcome{Inconclusive: true})
-		t.c.why = &refusal.Why
-		return nil, t.result(refusal.Code, refusal.Retry)
+		t.c.why = &refusal.Explanation
+		return nil, t.result(refusal.Code, refusal.RetryAfter)
 	}
 	t.query.Tried = append(t.query.Tried, pick.Name)
 	sent := time.Now()
@@ -226,7 +226,7 @@
 	t.p.Metrics.Notice(t.c.service, n)
 	t.c.met.Leaving = t.c.met.Leaving || n.Leaving
 	t.c.met.RetryAfter = max(t.c.met.RetryAfter, n.RetryAfter)
-	pick.Heed(n)
+	pick.ApplyNotice(n)
 	return n
 }
 
--- a/process/proxy/limit.go
+++ b/process/proxy/limit.go
@@ -18,9 +18,9 @@
 // pickPermitted chooses a backend server as pick does. For one that names a rate limit it gets a
 // permit.
 func (t *trial) pickPermitted(ctx context.Context) (*balance.Pick, balance.Refusal) {
-	defer func() { t.query.Unlimited = false }()
+	defer func() { t.query.SkipLimited = false }()
 	for tries := 0; ; tries++ {
-		t.query.Unlimited = tries == permitTries
+		t.query.SkipLimited = tries == permitTries
 		pick, refusal := t.pick()
 		if pick == nil || t.permitted(ctx, pick) {
 			return pick, refusal
@@ -33,13 +33,13 @@
 // permitted reports whether the request may go to a backend server, which may name a rate limit.
 func (t *trial) permitted(ctx context.Context, pick *balance.Pick) bool {
 	t.permit = 0
-	if t.p.Limits == nil || !t.p.Limits.Limited(pick.Limitable().Start) {
+	if t.p.Limits == nil || !t.p.Limits.Limited(pick.RateLimitBackend().Start) {
 		return true
 	}
-	if t.query.Unlimited {
+	if t.query.SkipLimited {
 		return false // its limit began after the pick
 	}
-	at, ok := t.p.Limits.Acquire(ctx, pick.Limitable(), t.query.Priority)
+	at, ok := t.p.Limits.Acquire(ctx, pick.RateLimitBackend(), t.query.Priority)
 	t.permit = at
 	return ok
 }
@@ -47,13 +47,13 @@
 // withinLimit reports whether the request may leave now for a backend server, whose rate limit may
 // have begun after the pick.
 func (t *trial) withinLimit(pick *balance.Pick) bool {
-	return t.p.Limits == nil || t.p.Limits.Valid(pick.Limitable().Start, t.permit)
+	return t.p.Limits == nil || t.p.Limits.Valid(pick.RateLimitBackend().Start, t.permit)
 }
 
 // returnPermit gives back a permit with which nothing was sent.
 func (t *trial) returnPermit(pick *balance.Pick) {
 	if t.p.Limits != nil {
-		t.p.Limits.Return(pick.Limitable().Start, t.permit)
+		t.p.Limits.Return(pick.RateLimitBackend().Start, t.permit)
 	}
 }
 
@@ -73,7 +73,7 @@
 		t.p.Metrics.RateLimit(t.c.service)
 	}
 	if t.p.Limits != nil {
-		t.p.Limits.Answered(pick.Limitable(), limit, t.sentAt)
+		t.p.Limits.Answered(pick.RateLimitBackend(), limit, t.sentAt)
 	}
 	return limit
 }
--- a/process/proxy/limit_test.go
+++ b/process/proxy/limit_test.go
@@ -104,7 +104,7 @@
 	assert.Assert(t, pick != nil)
 	trial := &trial{p: f.proxy, c: &call{}}
 	assert.Assert(t, trial.permitted(t.Context(), pick) && trial.withinLimit(pick))
-	limiter.Answered(pick.Limitable(), 0.001, f.proxy.Now())
+	limiter.Answered(pick.RateLimitBackend(), 0.001, f.proxy.Now())
 	assert.Assert(t, !trial.withinLimit(pick))
 }
 
--- a/process/proxy/proxy.go
+++ b/process/proxy/proxy.go
@@ -115,11 +115,11 @@
 	lease    *held.Lease // of what is held of it
 	cut      atomic.Bool // its caller was cut off
 	body     *body
-	print    request.Fingerprint // zero: the body was not read
-	why      *balance.Why        // what the last choice saw, if it found no backend server
-	attempts int                 // of which a byte may have left
-	runs     int                 // of them, those that may have run
-	met      request.Notice      // what answers to its attempts asked for
+	print    request.Fingerprint  // zero: the body was not read
+	why      *balance.Explanation // what the last choice saw, if it found no backend server
+	attempts int                  // of which a byte may have left
+	runs     int                  // of them, those that may have run
+	met      request.Notice       // what answers to its attempts asked for
 }
 
 // ServeHTTP serves one request.
--- a/process/proxy/proxy_test.go
+++ b/process/proxy/proxy_test.go
@@ -45,7 +45,7 @@
 	now := func() time.Duration { return time.Since(begun) + time.Hour }
 	one := func() int { return 1 }
 	f.table = &balance.Table{
-		Now: now, Place: func() (int, int) { return 0, 1 }, Region: "north",
+		Now: now, MemberIndex: func() (int, int) { return 0, 1 }, Region: "north",
 		NewPool: func(a string) *conn.Pool {
 			return &conn.Pool{Address: a, Dialer: conn.NewDialer(200*time.Millisecond, time.Second)}
 		},
--- a/process/proxy/rollout.go
+++ b/process/proxy/rollout.go
@@ -108,7 +108,7 @@
 // tooShort reports whether a caller's own deadline left an attempt that was sent at a
 // time less than usual answers there take, so that it tells nothing of the backend server.
 func (c *call) tooShort(pick *balance.Pick, sent time.Time) bool {
-	return c.own && c.deadline.Sub(sent) < pick.Needs
+	return c.own && c.deadline.Sub(sent) < pick.ExpectedTime
 }
 
 // line begins a log line on an attempt at a backend server.
