--- a/process/balance/admit.go
+++ b/process/balance/admit.go
@@ -10,19 +10,19 @@
 	"shalewick/version"
 )
 
-// leastTime is the time below which a request is not sent, since the backend server
-// could not answer it before its deadline: the usual work there, once it is
-// known. It is at most the objective, so that a backend server that was slow is tried
-// again by requests that have their usual time.
+// minTime is the time below which a request is not sent, because the backend server could not
+// answer it before its deadline: the typical processing time there, once it is known. It is at
+// most the route's objective, so that a backend server that was slow is still tried by requests
+// with the usual time left.
 func (t *Table) minTime(q *Query, c candidate) time.Duration {
 	return min(t.state(c.index).work, time.Duration(q.Route.Objective))
 }
 
-// patience is the wait beyond which a request is refused: it could not be
-// answered within its objective. The most urgent of those that share a service may
-// be answered later than that, since less urgent ones make it wait. One that came
-// back after a refusal may not: its room is taken from a first try, which is worth
-// more to its caller.
+// waitLimit is the longest queueing time that is accepted for a request. Beyond it the request
+// could not be answered within its objective and is refused. The most urgent requests of a service
+// may be answered later than the objective, since less urgent ones delay them. Retries of refused
+// requests have no such exception: their capacity would be taken from first attempts, which are
+// worth more to their callers.
 func (t *Table) waitLimit(q *Query, s *version.RoutedService, c candidate) time.Duration {
 	work := min(t.state(c.index).typicalWork(), time.Duration(t.Policy.MaxWorkShare*float64(q.Route.Objective)))
 	within := time.Duration(q.Route.Objective) - q.Elapsed
@@ -32,13 +32,13 @@
 	return max(0, min(within, q.Left)-work)
 }
 
-// comeBack returns when a refused request should be tried again, spread so
-// that those refused together do not come back together.
-func (t *Table) retryAfter(code request.Code, over time.Duration) time.Duration {
-	least := t.Policy.MinRetryAfter
+// retryAfter returns when a refused request should be tried again, randomised so that requests
+// that were refused together do not return together.
+func (t *Table) retryAfter(code request.Code, excess time.Duration) time.Duration {
+	after := t.Policy.MinRetryAfter
 	if code == request.NoBackend {
-		least = t.Policy.NoBackendRetryAfter
+		after = t.Policy.NoBackendRetryAfter
 	}
-	least += min(over, t.Policy.MaxAddedRetryAfter)
-	return least + rand.N(least)
+	after += min(excess, t.Policy.MaxAddedRetryAfter)
+	return after + rand.N(after)
 }
--- a/process/balance/backoff.go
+++ b/process/balance/backoff.go
@@ -10,35 +10,36 @@
 )
 
 const (
-	// backoffTrial is how long the first request after a backoff is alone: a backend server that
-	// still turns away does so at once, so that one which said nothing for so long has taken
-	// it. Origin: some times the longest way there and back, 80 ms between regions.
+	// trialInterval is how long after a backoff the first request is sent alone. A backend server
+	// that still rejects requests does so at once, so one that has not answered after this time
+	// has accepted it. It is a few times the longest round trip, 80 ms between regions.
 	trialInterval = 250 * time.Millisecond
-	// backoffUnit is the unit of what is left of a backoff, as observations carry it. It is rounded
-	// down, so that a datagram's time on the way makes it longer nowhere.
+	// backoffUnit is the unit of the remaining backoff time in gossip. The time is rounded down,
+	// so that the transit time of a datagram never lengthens a backoff.
 	backoffUnit = 100 * time.Millisecond
-	// untestedFor is how long after a backoff only requests that may be sent once more find out
-	// whether it is over. Origin: with many backend servers and few requests it may take a
-	// second until one comes there; if none comes that may, any has to do.
+	// retryableTrialsFor is how long after a backoff only requests that can be retried elsewhere
+	// test whether the backend server accepts requests again. With many backend servers and few
+	// requests it may take a second until such a request is chosen for it; after this time any
+	// request may be used.
 	retryableTrialsFor = 2 * time.Second
 )
 
-// backoff is how long a backend server is left alone since it turned requests away. The zero
-// value is none.
+// backoff is the time during which a backend server gets no requests because it rejected some. The
+// zero value is no backoff.
 type backoff struct {
-	until time.Duration // it asked this instance for that (Retry-After)
-	// asked is set from then on until it has taken a request; lastTried is when one was sent
-	// to find out.
+	until time.Duration // as requested by an answer to this instance (Retry-After)
+	// unconfirmed is set from that answer until the backend server has accepted a request.
+	// lastTrial is when the last request was sent to test it.
 	unconfirmed bool
 	lastTrial   time.Duration
-	// avoidUntil is until when the backend server is the last choice, though it did not ask this
-	// instance to back off, and avoided when that was decided last.
+	// Until avoidUntil the backend server is the last resort although it requested no backoff from
+	// this instance. avoidedAt is when that was last decided.
 	avoidUntil, avoidedAt time.Duration
 }
 
-// eligibility returns that for new requests. What another instance was asked for is not meant
-// for this one, but a server that turns one away mostly turns away all: it is the last
-// choice, as is one that refuses without saying for how long.
+// eligibility returns the eligibility for new requests. A backoff that another instance received
+// does not bind this one, but a server that rejects one instance mostly rejects all. It therefore
+// becomes the last resort, as does one that refuses without a Retry-After time.
 func (b *backoff) eligibility(now time.Duration) eligibility {
 	switch {
 	case now < b.until:
@@ -49,18 +50,17 @@
 	return eligible
 }
 
-// untested reports whether the backoff is over and it is not known yet that the backend server
-// takes requests again.
+// needsTrial reports whether the backoff has ended and it is not known yet whether the backend
+// server accepts requests again.
 func (b *backoff) needsTrial(now time.Duration) bool {
 	return b.unconfirmed && now-b.until < retryableTrialsFor
 }
 
-// mayBeTurnedAway reports whether a further attempt is left if the one that the query is for
-// is turned away.
+// hasFurtherAttempt reports whether another attempt is left if this one is rejected.
 func (q *Query) hasFurtherAttempt() bool { return q.Route.Attempts > len(q.Tried)+1 }
 
-// eligibilityFor returns that of a backend server with notices for the request of a query. One
-// that may still turn requests away gets none that would then be refused for good.
+// eligibilityFor returns the eligibility of a backend server with notices for one request. A
+// request on its last attempt does not go to one that may still reject it.
 func (t *Table) eligibilityFor(q *Query, u *backend, now time.Duration) eligibility {
 	s := u.eligibility(now, t.LeavingGrace)
 	if s == eligible && u.notices.backoff.needsTrial(now) && !q.hasFurtherAttempt() {
@@ -69,50 +69,51 @@
 	return s
 }
 
-// ask notes that the backend server asked for a backoff, and reports whether none was under
-// way. Of two the one that ends later counts.
+// extend records that the backend server requested a backoff, and reports whether none was in
+// progress. The later end counts.
 func (b *backoff) extend(d, now time.Duration) bool {
-	began := now >= b.until
+	started := now >= b.until
 	b.until = max(b.until, now+d)
 	b.unconfirmed = true
 	b.lastTrial = 0
-	return began
+	return started
 }
 
-// avoid makes the backend server the last choice for a time, and reports whether it was not
-// yet.
+// avoid makes the backend server the last resort for a time, and reports whether it was not
+// before.
 func (b *backoff) avoid(d, now time.Duration) bool {
-	began := now >= b.avoidUntil
+	started := now >= b.avoidUntil
 	b.avoidUntil = max(b.avoidUntil, now+d)
 	b.avoidedAt = now
-	return began
+	return started
 }
 
-// sent notes that a request goes there.
+// recordSent records that a request is sent to the backend server.
 func (b *backoff) recordSent(now time.Duration) {
 	if b.unconfirmed {
 		b.lastTrial = now
 	}
 }
 
-// took notes that the backend server took a request that was sent at a time, or turned it away
-// without asking for a backoff. One that was sent before it asked tells nothing.
-func (b *backoff) recordAccepted(sent time.Duration) {
-	if sent >= b.until {
+// recordAccepted records that the backend server accepted a request, or refused it without
+// requesting a backoff. Requests that were sent before the backoff ended say nothing about it.
+func (b *backoff) recordAccepted(sentAt time.Duration) {
+	if sentAt >= b.until {
 		b.unconfirmed = false
 	}
-	if sent >= b.avoidedAt {
+	if sentAt >= b.avoidedAt {
 		b.avoidUntil = 0
 	}
 }
 
-// units returns what is left of the own backoff as observations carry it; zero: too little to tell.
+// remainingUnits returns the remaining time of this instance's own backoff in the unit of gossip.
+// Zero: too little to announce.
 func (b *backoff) remainingUnits(now time.Duration) byte {
 	return byte(min(max(0, b.until-now)/backoffUnit, math.MaxUint8))
 }
 
-// hearBackoff takes up that a backend server asked another instance to back off, for a time of
-// which some is left. The caller holds the lock.
+// applyBackoff applies the gossip that a backend server requested a backoff from another instance,
+// with its remaining time. The caller holds the lock.
 func (t *Table) applyBackoff(index int32, left, now time.Duration) {
 	b := &t.noticesOf(t.state(index), now).backoff
 	if b.avoid(left, now) {
@@ -120,18 +121,18 @@
 	}
 }
 
-// backoffLeft returns the shortest time until the backoff of one of some backend servers is
-// over. The caller holds the lock.
+// minBackoffLeft returns the shortest remaining backoff among some backend servers. The caller
+// holds the lock.
 func (t *Table) minBackoffLeft(backends []int32, now time.Duration) time.Duration {
-	least := time.Duration(0)
+	shortest := time.Duration(0)
 	for _, i := range backends {
 		u := t.states[i]
 		if u == nil || u.notices == nil || now >= u.notices.backoff.until {
 			continue
 		}
-		if left := u.notices.backoff.until - now; least == 0 || left < least {
-			least = left
+		if left := u.notices.backoff.until - now; shortest == 0 || left < shortest {
+			shortest = left
 		}
 	}
-	return least
+	return shortest
 }
--- a/process/balance/candidate.go
+++ b/process/balance/candidate.go
@@ -14,17 +14,17 @@
 type candidate struct {
 	index     int32
 	near, far float64 // distances in the two orders
-	rank      int     // in the order of choices
+	rank      int     // position among the choices
 	wait      time.Duration
 	cost      time.Duration
-	unseen    bool // the backend server has not worked on the object lately
+	unseen    bool // the backend server has not processed the object lately
 }
 
-// search finds the candidates of one choice. The orders of an object are over all backend servers
-// of a service, but a search looks at few: groups come in the order of their own distances,
-// and none of a group comes before its group does. In both orders the distance of a server
-// is that of its group, times its own over the least of the group, so that each gets the
-// share of objects that its weight is of all (hierarchical weighted rendezvous hashing).
+// search finds the candidates for one request. The orders of an object cover all backend servers
+// of a service, but a search examines few of them: groups are visited by their own distance, and
+// no member of a group comes before its group. In both orders the distance of a server is that of
+// its group, times its own over the smallest in the group, so that each gets a share of the
+// objects in proportion to its weight (hierarchical weighted rendezvous hashing).
 type search struct {
 	t           *Table
 	q           *Query
@@ -32,22 +32,22 @@
 	object      uint64
 	among       eligibility
 	now         time.Duration
-	maxInFlight int // requests at a time at one backend server
+	maxInFlight int // concurrent requests to one backend server
 	weights     weights
 	near        *[version.GroupCount]float64
 	far         *[version.GroupCount]float64
 	visited     [version.GroupCount]bool
 	found       []candidate
 	explanation Explanation
-	// missed is the suspended one that would come first.
+	// suspended is the suspended backend server that would come first, at the distance
+	// suspendedNear; version.None: there is none.
 	suspended     int32
 	suspendedNear float64
 }
 
-// candidates lists the backend servers of one eligibility that may get the request now, the
-// first choices of its object only, and counts those that may not among those that it looked
-// at; whole lets it look at all. The list is good until the next call. The caller holds the
-// lock.
+// candidates lists the first choices for an object among the backend servers of one eligibility,
+// and counts why others among those that it examined may not get the request. If whole is set, all
+// are examined. The list is valid until the next call. The caller holds the lock.
 func (t *Table) candidates(q *Query, part *version.RoutePart, s *version.RoutedService, object uint64, among eligibility, now time.Duration, whole bool) ([]candidate, Explanation) {
 	x := search{
 		t: t, q: q, s: s, object: object, among: among, now: now, maxInFlight: t.connections(s), found: t.scratch[:0],
@@ -73,26 +73,26 @@
 	return c, x.explanation
 }
 
-// weigh estimates what a candidate of a place in the order of choices would cost. The caller
-// holds the lock.
-func (t *Table) estimateCost(q *Query, object uint64, c *candidate, place int, now time.Duration) {
+// estimateCost sets what a candidate of a rank would cost. The caller holds the lock.
+func (t *Table) estimateCost(q *Query, object uint64, c *candidate, rank int, now time.Duration) {
 	v := &t.routing.Backends[c.index]
 	u := t.state(c.index)
 	work := u.currentWork(now)
-	c.rank = place
+	c.rank = rank
 	c.wait = u.expectedWait(now, v.Slots)
-	c.cost = c.wait + time.Duration(place)*t.Policy.RankCost + work - u.typicalWork()
+	c.cost = c.wait + time.Duration(rank)*t.Policy.RankCost + work - u.typicalWork()
 	c.unseen = q.Route.Sticky && !t.seen.has(object, v.Life, now, t.Policy.SeenTTL)
-	if place > 0 && c.unseen {
+	if rank > 0 && c.unseen {
 		c.cost += time.Duration(t.Policy.UnseenCost * float64(work))
 	}
 }
 
-// weights are those of a service's backend servers for the requests of a region. The zero value
-// gives all the weight 1.
+// weights holds the weights of a service's backend servers for the requests of a region. The zero
+// value gives each the weight 1.
 type weights struct{ *version.Weights }
 
-// weightsOf returns the weights of a service's backend servers for requests of this region.
+// regionWeights returns the weights of a service's backend servers for requests of this instance's
+// region.
 func (t *Table) regionWeights(part *version.RoutePart, s *version.RoutedService) weights {
 	if t.region == version.None || len(part.Weights) <= int(t.region) || len(part.Weights[t.region].Backends) != len(s.Backends) {
 		return weights{}
@@ -108,7 +108,7 @@
 	return w.Backends[k]
 }
 
-// groupWeight returns the weight of a group of a service that has members.
+// groupWeight returns the weight of a group that has members.
 func groupWeight(s *version.RoutedService, w weights, group int) float64 {
 	if w.Weights == nil {
 		return float64(len(s.Groups.Members(group)))
@@ -116,11 +116,11 @@
 	return w.Groups[group]
 }
 
-// groupDistance returns the distance of a group of a weight from an object, by its draw. One
-// without weight, as all its members are closed, comes last.
+// groupDistance returns the distance of a group from an object, by the group's hash draw and
+// weight. A group without weight, all of whose members are closed, comes last.
 func groupDistance(draw, weight float64) float64 { return min(draw/weight, math.MaxFloat64) }
 
-// orderGroups sets the distances of the groups. Those that have no members are infinitely far.
+// orderGroups sets the distances of the groups. Empty groups are infinitely far.
 func (x *search) orderGroups() {
 	for g := range version.GroupCount {
 		x.near[g], x.far[g] = math.Inf(1), math.Inf(1)
@@ -132,34 +132,34 @@
 	}
 }
 
-// find visits groups in an order until the first n candidates of that order are known, or all
+// extend visits groups in an order until the first n candidates of that order are known, or all
 // groups were visited.
 func (x *search) extend(order *[version.GroupCount]float64, n int, distance func(*candidate) float64) {
 	for {
-		next, far := -1, math.Inf(1)
+		nextGroup, nextDistance := -1, math.Inf(1)
 		for g, d := range order {
-			if d < far && !x.visited[g] {
-				next, far = g, d
+			if d < nextDistance && !x.visited[g] {
+				nextGroup, nextDistance = g, d
 			}
 		}
-		if next < 0 || x.enough(n, far, distance) {
+		if nextGroup < 0 || x.enough(n, nextDistance, distance) {
 			return
 		}
-		x.visit(next)
+		x.visit(nextGroup)
 	}
 }
 
-// known reports whether n candidates are no further than a distance.
-func (x *search) enough(n int, far float64, distance func(*candidate) float64) bool {
+// enough reports whether at least n candidates are within a distance.
+func (x *search) enough(n int, limit float64, distance func(*candidate) float64) bool {
 	for i := range x.found {
-		if distance(&x.found[i]) <= far {
+		if distance(&x.found[i]) <= limit {
 			n--
 		}
 	}
 	return n <= 0
 }
 
-// visit looks at the members of a group.
+// visit adds the candidates among the members of a group.
 func (x *search) visit(group int) {
 	if x.visited[group] {
 		return
@@ -167,8 +167,8 @@
 	x.visited[group] = true
 	x.t.examined += len(x.s.Groups.Members(group))
 	first := len(x.found)
-	leastNear, leastFar := math.Inf(1), math.Inf(1)
-	missed, missedNear := version.None, 0.0
+	minNear, minFar := math.Inf(1), math.Inf(1)
+	suspended, suspendedNear := version.None, 0.0
 	for _, k := range x.s.Groups.Members(group) {
 		i := x.s.Backends[k]
 		v := &x.t.routing.Backends[i]
@@ -179,7 +179,7 @@
 		u := x.t.states[i]
 		draw := v.Draw(x.object)
 		near, far := draw/x.weights.of(k), draw/float64(v.Slots)
-		leastNear, leastFar = min(leastNear, near), min(leastFar, far)
+		minNear, minFar = min(minNear, near), min(minFar, far)
 		if u != nil {
 			near, far = near/u.share.kept, far/u.share.kept
 		}
@@ -187,22 +187,22 @@
 		case available:
 			x.found = append(x.found, candidate{index: i, near: near, far: far})
 		case suspendedNow:
-			if missed == version.None || near < missedNear {
-				missed, missedNear = i, near
+			if suspended == version.None || near < suspendedNear {
+				suspended, suspendedNear = i, near
 			}
 		}
 	}
 	for i := first; i < len(x.found); i++ {
-		x.found[i].near *= x.near[group] / leastNear
-		x.found[i].far *= x.far[group] / leastFar
+		x.found[i].near *= x.near[group] / minNear
+		x.found[i].far *= x.far[group] / minFar
 	}
-	missedNear *= x.near[group] / leastNear
-	if missed != version.None && (x.suspended == version.None || missedNear < x.suspendedNear) {
-		x.suspended, x.suspendedNear = missed, missedNear
+	suspendedNear *= x.near[group] / minNear
+	if suspended != version.None && (x.suspended == version.None || suspendedNear < x.suspendedNear) {
+		x.suspended, x.suspendedNear = suspended, suspendedNear
 	}
 }
 
-// found is what a search finds of a backend server.
+// candidacy says whether a backend server is a candidate.
 type candidacy uint8
 
 const (
@@ -211,8 +211,8 @@
 	suspendedNow
 )
 
-// state tells whether a backend server that is not closed may get the request, and counts why it
-// may not. Nil: nothing is known of it.
+// classify decides whether a backend server that is not closed may get the request, and counts the
+// reason if it may not. u is nil if there is no state of it.
 func (x *search) classify(v *version.RoutedBackend, u *backend) candidacy {
 	if x.q.Route.Home != nil && !x.q.Route.Home[v.Region] {
 		x.explanation.OutsideHomes++
@@ -240,7 +240,7 @@
 	return excluded
 }
 
-// firstChoices keeps the first of the near order and then the first others of
+// firstChoices keeps the nearest candidates of the near order, followed by the nearest others of
 // the far order.
 func (t *Table) firstChoices(c []candidate) []candidate {
 	near, far := t.Policy.NearChoices, t.Policy.FarChoices
@@ -252,15 +252,15 @@
 	return c[:min(len(c), near+far)]
 }
 
-// least moves the n candidates of the least distance to the front, in order.
+// moveNearestFirst moves the n nearest candidates to the front, in order.
 func moveNearestFirst(c []candidate, n int, distance func(*candidate) float64) {
 	for i := range min(n, len(c)) {
-		first := i
+		nearest := i
 		for k := i + 1; k < len(c); k++ {
-			if distance(&c[k]) < distance(&c[first]) {
-				first = k
+			if distance(&c[k]) < distance(&c[nearest]) {
+				nearest = k
 			}
 		}
-		c[i], c[first] = c[first], c[i]
+		c[i], c[nearest] = c[nearest], c[i]
 	}
 }
--- a/process/balance/choose.go
+++ b/process/balance/choose.go
@@ -11,8 +11,9 @@
 	"shalewick/version"
 )
 
-// Pick chooses a backend server, or says why there is none. Those that want no more requests
-// by their own word come last: they get what no other can take in time, as long as they may.
+// Pick chooses a backend server, or explains why there is none. Backend servers that announced
+// that they want no more requests are the last resort: they get those that no other can accept in
+// time, as long as they may.
 func (t *Table) Pick(q *Query) (*Pick, Refusal) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -43,48 +44,48 @@
 	t.stepShares(s, now)
 	c, _ := t.candidates(q, part, s, object, among, now, false)
 	best, ok := t.best(s, c, now)
-	refused := func() Explanation {
-		_, why := t.candidates(q, part, s, object, among, now, true)
-		return why
+	explain := func() Explanation {
+		_, explanation := t.candidates(q, part, s, object, among, now, true)
+		return explanation
 	}
 	if !ok {
-		why := refused()
-		why.Cold = len(c)
-		retry := t.retryAfter(request.NoBackend, 0)
-		if why.allBlocked() {
-			retry += t.blockedFor(q, s.Backends, now) // no sooner: it would be refused again
+		explanation := explain()
+		explanation.Cold = len(c)
+		retryAfter := t.retryAfter(request.NoBackend, 0)
+		if explanation.allBlocked() {
+			retryAfter += t.blockedFor(q, s.Backends, now) // an earlier retry would be refused again
 		}
-		return nil, Refusal{Code: request.NoBackend, RetryAfter: retry, Explanation: why}
+		return nil, Refusal{Code: request.NoBackend, RetryAfter: retryAfter, Explanation: explanation}
 	}
-	if least := t.minTime(q, best); q.Left < least {
-		why := refused()
-		why.Best, why.Wait, why.WaitLimit = t.routing.Backends[best.index].Name, least, q.Left
-		return nil, Refusal{Code: request.DeadlineNear, Explanation: why}
+	if needed := t.minTime(q, best); q.Left < needed {
+		explanation := explain()
+		explanation.Best, explanation.Wait, explanation.WaitLimit = t.routing.Backends[best.index].Name, needed, q.Left
+		return nil, Refusal{Code: request.DeadlineNear, Explanation: explanation}
 	}
-	patience := t.waitLimit(q, s, best)
-	if over := best.wait - patience; over > 0 {
-		why := refused()
-		why.Best, why.Wait, why.WaitLimit = t.routing.Backends[best.index].Name, best.wait, patience
-		return nil, Refusal{Code: request.QueueFull, RetryAfter: t.retryAfter(request.QueueFull, over), Explanation: why}
+	waitLimit := t.waitLimit(q, s, best)
+	if excess := best.wait - waitLimit; excess > 0 {
+		explanation := explain()
+		explanation.Best, explanation.Wait, explanation.WaitLimit = t.routing.Backends[best.index].Name, best.wait, waitLimit
+		return nil, Refusal{Code: request.QueueFull, RetryAfter: t.retryAfter(request.QueueFull, excess), Explanation: explanation}
 	}
 	return t.assign(q, best, s, now), Refusal{}
 }
 
-// heldBackFor returns when one of some backend servers, all of which are backed off from or
-// limited, may take the request of a query. The caller holds the lock.
+// blockedFor returns the time until one of some backend servers may accept the request, all of
+// which are backing off or rate limited. The caller holds the lock.
 func (t *Table) blockedFor(q *Query, backends []int32, now time.Duration) time.Duration {
-	backoff, limit := t.minBackoffLeft(backends, now), t.minLimitLeft(q, backends)
-	if limit > 0 {
-		limit += rand.N(limit) // one has room for few at a time
+	backoff, limited := t.minBackoffLeft(backends, now), t.minLimitLeft(q, backends)
+	if limited > 0 {
+		limited += rand.N(limited) // a rate limit admits only a few requests at a time
 	}
-	if backoff == 0 || limit == 0 {
-		return max(backoff, limit)
+	if backoff == 0 || limited == 0 {
+		return max(backoff, limited)
 	}
-	return min(backoff, limit)
+	return min(backoff, limited)
 }
 
-// part returns the part of the query's route; nil when the routing has
-// changed so that it is not there any more.
+// part returns the part of the query's route, or nil if the routing has changed and no longer has
+// it.
 func (q *Query) part(r *version.Routing) *version.RoutePart {
 	s := q.service(r)
 	if s == nil {
@@ -97,8 +98,8 @@
 	return p
 }
 
-// service returns the service of the query's part with the version in force; nil when the
-// routing has changed so that it is not there any more.
+// service returns the service of the query's part at the version in force, or nil if the routing
+// has changed and no longer has it.
 func (q *Query) service(r *version.Routing) *version.RoutedService {
 	if r == nil || q.Part >= len(q.Route.Parts) {
 		return nil
@@ -114,8 +115,8 @@
 	return s
 }
 
-// targetIn returns the version that a roll-out of the query's service brings in a routing;
-// "" if none runs there.
+// targetIn returns the software version that a roll-out of the query's service introduces, or ""
+// if none is in progress.
 func (q *Query) targetIn(r *version.Routing) string {
 	s := q.service(r)
 	if s == nil || s.Target == version.None {
@@ -124,21 +125,20 @@
 	return r.Services[s.Target].Software
 }
 
-// noRollout reports whether the query is for a target, and no roll-out of its service runs
-// in the routing.
+// noRollout reports whether the query is for a target although no roll-out of its service is in
+// progress.
 func (q *Query) noRollout(r *version.Routing) bool {
 	return q.Target != "" && q.service(r) != nil && q.targetIn(r) == ""
 }
 
-// targetPart returns the part for the target of a roll-out of a part's service; nil when
-// there is none any more, or it has another target now. A request that came before the
-// roll-out may have waited for its body so long that it has to go there: then the weights
-// are not known.
+// targetPart returns the part for the target of a roll-out of a part's service, or nil if there is
+// none any more or it has another target now. A request that arrived before the roll-out may have
+// waited so long for its body that it has to go to the target; the weights are not known then.
 func targetPart(r *version.Routing, p *version.RoutePart, s *version.RoutedService, software string) *version.RoutePart {
 	if s.Target == version.None {
 		if s.Software == software {
-			// It was completed since the attempt began, or the roll-outs do not know it
-			// yet: refusing would cost each request of that moment its answer.
+			// The roll-out was completed since the attempt began, or the roll-outs do not know of
+			// it yet. Refusing would fail every request of that moment.
 			return p
 		}
 		return nil
@@ -155,17 +155,17 @@
 	return p.Target
 }
 
-// connections returns this instance's share of the connections that a backend server
-// of a service accepts from all instances; each request takes one.
+// connections returns this instance's share of the connections that a backend server of a service
+// accepts from all instances. Each request takes one.
 func (t *Table) connections(s *version.RoutedService) int {
 	if s.MaxConnections == 0 {
 		return math.MaxInt
 	}
-	_, of := t.MemberIndex()
-	return max(1, s.MaxConnections/max(1, of))
+	_, instances := t.MemberIndex()
+	return max(1, s.MaxConnections/max(1, instances))
 }
 
-// best returns the candidate of the lowest cost.
+// best returns the candidate of the lowest cost that its warming admits.
 func (t *Table) best(s *version.RoutedService, c []candidate, now time.Duration) (candidate, bool) {
 	best := -1
 	for i := range c {
@@ -182,17 +182,17 @@
 	return c[best], true
 }
 
-// warmEnough reports whether the backend server's warming leaves room for a request.
+// warmingAllows reports whether a request may be sent as far as warming is concerned.
 func (t *Table) warmingAllows(s *version.RoutedService, index int32, now time.Duration) bool {
 	u := t.state(index)
 	if s.Warming.Rate == 0 || now >= u.coldUntil {
 		return true
 	}
-	place, of := t.MemberIndex()
-	return u.turns.allowed(place, of, now)
+	member, count := t.MemberIndex()
+	return u.turns.allowed(member, count, now)
 }
 
-// take notes that a request goes to a backend server.
+// assign records that a request goes to a backend server.
 func (t *Table) assign(q *Query, c candidate, s *version.RoutedService, now time.Duration) *Pick {
 	v := &t.routing.Backends[c.index]
 	u := t.state(c.index)
--- a/process/balance/departure.go
+++ b/process/balance/departure.go
@@ -9,35 +9,35 @@
 	"shalewick/request"
 )
 
-// rumourFor is how long the word of another instance that a backend server leaves counts after
-// it was last told. Origin: those who were told by the server itself repeat it at each beat,
-// to some of a region of 100; 20 beats reach any one with 0.99. One request then learns it
-// anew.
+// leavingGossipTTL is how long gossip that a backend server is leaving counts after it was last
+// received. Instances that the server itself told repeat it with each heartbeat, to some instances
+// of a region of 100; within 20 heartbeats it reaches any one with probability 0.99. After it
+// expires, one request finds out anew.
 const leavingGossipTTL = 10 * time.Second
 
-// departure is what is known of a start of a backend server that leaves by its own word. The
-// zero value is one that said nothing.
+// departure records the notice that one incarnation of a backend server is leaving. The zero value
+// means that there was none.
 type departure struct {
-	since      time.Duration // when it said so first, as far as is known; zero: never
-	own        bool          // it said so to this instance
-	lastGossip time.Duration // when another instance told it last; zero: never
-	rowLeaving bool          // its row has said so as well
+	since      time.Duration // when it was first known to be leaving; zero: never
+	own        bool          // it was announced to this instance
+	lastGossip time.Duration // when another instance last reported it; zero: never
+	rowLeaving bool          // the row has said so as well
 }
 
-// eligibility returns that for new requests. What was said to this
-// instance binds it; the word of others only makes the backend server the last choice, so that
-// no rumour can refuse a request.
-func (d *departure) eligibility(now, within time.Duration) eligibility {
+// eligibility returns the eligibility for new requests. A notice to this instance is binding.
+// Gossip only makes the backend server the last resort, so that no outdated report can cause a
+// refusal.
+func (d *departure) eligibility(now, grace time.Duration) eligibility {
 	switch {
 	case d.since == 0 || !d.own && now-d.lastGossip > leavingGossipTTL:
 		return eligible
-	case d.own && now-d.since >= within:
+	case d.own && now-d.since >= grace:
 		return ineligible
 	}
 	return lastResort
 }
 
-// told notes that the backend server said so to this instance, and reports whether that is new.
+// recordAnswer records a notice in an answer to this instance, and reports whether it is new.
 func (d *departure) recordAnswer(now time.Duration) bool {
 	if d.own {
 		return false
@@ -49,7 +49,8 @@
 	return true
 }
 
-// hear takes up the word of another instance, which has an age, and reports whether it is new.
+// recordGossip records a report of another instance, which has an age, and reports whether it is
+// new.
 func (d *departure) recordGossip(age, now time.Duration) bool {
 	fresh := d.since == 0 || !d.own && now-d.lastGossip > leavingGossipTTL
 	if fresh {
@@ -60,34 +61,33 @@
 	return fresh
 }
 
-// seeRow compares what was said with a row. A row that said that the backend server leaves, and
-// now does not, is the newer word. One that did not say so yet is older than the answer,
-// however new its other fields are: the server writes them all the time, and tells the
-// store that it leaves only once that answers.
-func (d *departure) reconcileRow(leaves bool) {
+// reconcileRow compares the notice with a row. A row that once said that the backend server is
+// leaving and no longer does is newer than the notice. A row that has not said so yet is older
+// than the notice, however new its other fields are: the server updates the row continually, but
+// writes to the store that it is leaving only once its answers say so.
+func (d *departure) reconcileRow(leaving bool) {
 	switch {
 	case d.since == 0:
-	case leaves:
+	case leaving:
 		d.rowLeaving = true
 	case d.rowLeaving:
 		*d = departure{}
 	}
 }
 
-// worthTelling reports whether others should know: what was said to this instance until the
-// row says so, and what others told while it is new, so that no rumour is passed on for
-// ever.
-func (d *departure) shouldAnnounce(rowLeaves bool, now time.Duration) bool {
-	return d.since != 0 && !rowLeaves && (d.own || now-d.since < observationTTL)
+// shouldAnnounce reports whether to gossip the notice: one to this instance until the row says so,
+// one from gossip only while it is new, so that reports do not circulate for ever.
+func (d *departure) shouldAnnounce(rowLeaving bool, now time.Duration) bool {
+	return d.since != 0 && !rowLeaving && (d.own || now-d.since < observationTTL)
 }
 
-// units returns the age of the word as observations carry it.
+// ageUnits returns the age of the notice in the unit of gossip.
 func (d *departure) ageUnits(now time.Duration) byte {
 	return byte(min((now-d.since)/observationUnit, math.MaxUint8))
 }
 
-// hearLeaving takes up the word of another instance that a backend server said that it leaves,
-// some time ago. The caller holds the lock.
+// applyLeaving applies the gossip that a backend server announced some time ago that it is
+// leaving. The caller holds the lock.
 func (t *Table) applyLeaving(index int32, age, now time.Duration) {
 	if t.noticesOf(t.state(index), now).leaving.recordGossip(age, now) {
 		t.reportNotice(t.routing.Backends[index].Name, request.Notice{Leaving: true}, false)
--- a/process/balance/doc.go
+++ b/process/balance/doc.go
@@ -4,60 +4,63 @@
 Package balance chooses a backend server for each request that a route resource
 directs.
 
-	table.Install(routing)         // a new version, or backend servers that changed
-	pick, why := table.Pick(query) // one decision
-	pick.Done(outcome)             // what came of it
+	table.Install(routing)             // a new version, or changed backend servers
+	pick, refusal := table.Pick(query) // one choice
+	pick.Done(outcome, report)         // its result
 
 Every instance ranks the backend servers of a service for an object in the same
-order (version.RoutedBackend.Distance), so that the requests for one object meet
-at one backend server without instances asking each other. Of the first few in the
-orders the one of the lowest cost is taken: the wait there, and the work on an
-object that it has not seen.
+order (weighted rendezvous hashing, version.RoutedBackend.Distance), so that the
+requests for one object meet at one backend server without coordination between
+instances. Among the first few of the orders the one of the lowest cost is chosen.
+The cost is the queueing time there, and the extra work on an object that the
+backend server has not seen.
 
 # Estimates
 
-What a backend server can do is estimated (estimate.go) from three things: its own load
-reports, which grow old; what this instance has under way there; and the time that
-answers took. One that has not answered yet is taken to be like the others of its
-service.
+The load of a backend server is estimated (estimate.go) from its own load reports,
+which lose weight with age, from this instance's requests in flight there, and from
+the duration of answers. One that has not answered yet is assumed to be like the
+others of its service.
 
 # Shares
 
-A backend server that is busier than the others, by its reports, gives up some of its
-objects, a few at a time and always the same ones (share.go). So demand that is
-uneven, or turns from region to region, is spread without disturbing the objects
-that stay, and far more slowly than operators allow traffic to move.
+A backend server whose reports show it busier than the others sheds some of its
+objects, a few at a time and always the same ones (share.go). Demand that is uneven,
+or shifts from region to region, is thus spread without disturbing the objects that
+stay, and far more slowly than the limits that operators set for shifts of traffic.
 
-# Admission
+# Admission control
 
-A request that could not be answered within its objective is refused at once, with
-a time to come back, one that comes back as any other (admit.go).
-One with less time than the backend server needs is not sent.
+A request that could not be answered within its objective is refused at once, with a
+retry-after time (admit.go); its retry is treated like any other request. One with less
+time left than the backend server needs is not sent.
 
 # Failures
 
-A backend server that can't be reached, or that loses two answers in a row, is suspended
-for a time that doubles (outcome.go). Then a connection is opened to it (reach.go),
-and one request tries it.
+A backend server that can't be reached, or that loses two consecutive answers, is
+suspended for a time that doubles (outcome.go). Then a connection is opened to it
+(reach.go), and a single request tries it.
 
-# What backend servers ask for
+# Notices
 
-A backend server says in its answers that it leaves, or for how long it wants to be left alone
-(notice.go). That holds for its present start and all requests of this instance, whatever its
-row says: it gets nothing more, or only what no other can take (departure.go, backoff.go).
+A backend server announces in its answers that it is leaving, or for how long it wants
+no requests (notice.go). A notice holds for the present incarnation and all requests of
+this instance, whatever the row says: the backend server gets nothing more, or only
+requests that no other can accept (departure.go, backoff.go).
 
-# What others saw
+# Gossip
 
-Instances tell each other which backend servers can't be reached and which have no slot
-free (observe.go), since in a large fleet each meets a backend server once in a minute.
-One that another instance could not reach gets nothing until a connection to it was
-opened; the word of an instance to which most of a service fails is not told.
+Instances gossip which backend servers can't be reached and which have no free slot
+(observe.go), since in a large fleet each instance sends about one request a minute to
+a backend server. One that another instance could not reach gets nothing until a
+connection to it was opened. An instance to which most backend servers of a service
+fail does not report this.
 
 # Warming
 
 A backend server that is cold, or was drained until now, gets a share of its warming
 rate from each instance: the rate divided by the number of instances (turn.go).
 
-All figures stand in Policy; docs/POLICY.md tells what each mechanism is worth.
+All parameters are in Policy; docs/POLICY.md describes the effect of each mechanism.
 */
 package balance
--- a/process/balance/estimate.go
+++ b/process/balance/estimate.go
@@ -11,40 +11,40 @@
 	u.slowdown.record(r, now)
 }
 
-// working is the number of own requests that run or wait at the backend server. Answers that are
-// still being sent do not count: their work is done, and callers that read slowly would seem to
-// fill it.
+// ownLoad is the number of this instance's requests that are running or queued at the backend
+// server. Answers that are still being transferred do not count: they occupy no slot, and slow
+// readers would otherwise make the server look full.
 func (u *backend) ownLoad() int { return u.inFlight - u.sending }
 
-// load estimates the requests that run or wait at the backend server.
+// load estimates the number of requests that are running or queued at the backend server.
 func (u *backend) load(now time.Duration) float64 {
-	own := float64(u.ownLoad())
+	ownLoad := float64(u.ownLoad())
 	age := now - u.reportedAt
 	if u.reportedAt == 0 || age > 4*u.policy.ReportHalfLife {
-		return own
+		return ownLoad
 	}
 	decay := float64(u.policy.ReportHalfLife) / float64(u.policy.ReportHalfLife+age)
 	estimate := u.reported*decay + float64(u.ownLoad()-u.ownAtReport)
-	return max(own, estimate)
+	return max(ownLoad, estimate)
 }
 
-// wait estimates how long a new request would wait for a slot.
+// expectedWait estimates how long a new request would wait for a slot.
 func (u *backend) expectedWait(now time.Duration, slots int) time.Duration {
-	ahead := u.load(now) + 1 - float64(slots)
-	if ahead <= 0 {
+	queued := u.load(now) + 1 - float64(slots)
+	if queued <= 0 {
 		return 0
 	}
-	return time.Duration(ahead / float64(slots) * float64(u.currentWork(now)))
+	return time.Duration(queued / float64(slots) * float64(u.currentWork(now)))
 }
 
-// workNow is the usual time of work as its host's pace makes it now.
+// currentWork is the typical processing time, adjusted to the present slowdown of the host.
 func (u *backend) currentWork(now time.Duration) time.Duration {
 	return time.Duration(u.slowdown.expected(now, u.policy.SlowdownDecay) * float64(u.typicalWork()))
 }
 
-// usualWork is the usual time of an answer on an object that was seen, without
-// waiting. Before its first answer a backend server is taken to be like the others
-// of its service.
+// typicalWork is the typical processing time of a request on an object that was seen, without
+// queueing. Before its first answer a backend server is assumed to be like the others of its
+// service.
 func (u *backend) typicalWork() time.Duration {
 	if u.work != 0 {
 		return u.work
@@ -55,7 +55,7 @@
 	return u.policy.InitialWork
 }
 
-// needs estimates how long a backend server would take to answer a request.
+// expectedTime estimates how long a backend server would take to answer a request.
 func (t *Table) expectedTime(c candidate, now time.Duration) time.Duration {
 	work := t.state(c.index).currentWork(now)
 	if c.unseen {
@@ -64,14 +64,14 @@
 	return c.wait + work
 }
 
-// service is what one process knows of all backend servers of a service that run one
-// version of its software, over all versions of the configuration.
+// service is this process's state of all backend servers of a service that run one software
+// version. It outlives versions of the configuration.
 type service struct {
-	work          time.Duration // usual time of an answer, over all backend servers
-	nextShareStep time.Duration // when shares are due to move next
+	work          time.Duration // typical processing time over all backend servers
+	nextShareStep time.Duration // when the next step of the shares is due
 }
 
-// learn takes up the usual time of an answer of one backend server.
+// updateWork includes the typical processing time of one backend server in the moving average.
 func (s *service) updateWork(work time.Duration, gain float64) {
 	if s.work == 0 {
 		s.work = work
@@ -79,14 +79,14 @@
 	s.work += time.Duration(gain * float64(work-s.work))
 }
 
-// learn notes how long an answer took, at the pace that its host had then: the usual time of
-// work is that of a host at its usual pace.
-func (u *backend) updateWork(took time.Duration, pace float64) {
-	took = time.Duration(float64(took) / pace)
+// updateWork includes the duration of an answer in the moving average. It is divided by the
+// slowdown that the host had, so that the average is that of a host at its usual speed.
+func (u *backend) updateWork(duration time.Duration, slowdown float64) {
+	duration = time.Duration(float64(duration) / slowdown)
 	gain := u.policy.DecreaseGain
-	if took > u.typicalWork() {
+	if duration > u.typicalWork() {
 		gain = u.policy.IncreaseGain
 	}
-	u.work = u.typicalWork() + time.Duration(gain*float64(took-u.typicalWork()))
+	u.work = u.typicalWork() + time.Duration(gain*float64(duration-u.typicalWork()))
 	u.service.updateWork(u.work, u.policy.ServiceGain)
 }
--- a/process/balance/hall.go
+++ b/process/balance/hall.go
@@ -7,33 +7,34 @@
 	"shalewick/version"
 )
 
-// otherHallShare is the least part of its weight that a backend server of another hall of the region
-// keeps for uploads, so that these come after those of the own hall, and before all of no weight.
+// minOtherHallShare is the smallest part of its weight that a backend server in another hall of
+// the region keeps for uploads. It puts those servers after the ones of this hall and before all
+// servers of no weight.
 const minOtherHallShare = 0.01
 
-// weightsFor returns the weights of a service's backend servers for the requests of a route. Bodies
-// of uploads are large, so those stay in the hall as far as its backend servers are its share of the
-// region: each hall has a home of its own for their objects. The caller holds the lock.
+// weightsFor returns the weights of a service's backend servers for the requests of a route.
+// Uploads have large bodies and therefore stay in the hall, up to its share of the region's
+// capacity: an object of uploads has a home in each hall. The caller holds the lock.
 func (t *Table) weightsFor(route *version.RouteView, part *version.RoutePart, s *version.RoutedService) weights {
 	w := t.regionWeights(part, s)
 	if w.Weights == nil || route.Class != request.ClassUpload || t.Hall == "" {
 		return w
 	}
-	if near, known := t.hallWeights[w.Weights]; known {
-		return weights{near}
+	if preferred, known := t.hallWeights[w.Weights]; known {
+		return weights{preferred}
 	}
-	near := t.preferHall(w.Weights, s)
+	preferred := t.preferHall(w.Weights, s)
 	if t.hallWeights == nil {
 		t.hallWeights = make(map[*version.Weights]*version.Weights)
 	}
-	t.hallWeights[w.Weights] = near
-	return weights{near}
+	t.hallWeights[w.Weights] = preferred
+	return weights{preferred}
 }
 
-// nearHall returns weights by which what goes to the region goes to the own hall as far as that has
-// its share of the region's weight. The caller holds the lock.
+// preferHall returns weights by which requests to the region go to this hall, up to its share of
+// the region's weight. The caller holds the lock.
 func (t *Table) preferHall(w *version.Weights, s *version.RoutedService) *version.Weights {
-	own, region := 0.0, 0.0
+	ownWeight, regionWeight := 0.0, 0.0
 	halls := make(map[string]bool)
 	for k, i := range s.Backends {
 		v := &t.routing.Backends[i]
@@ -41,17 +42,17 @@
 			continue
 		}
 		halls[v.Hall] = true
-		region += w.Backends[k]
+		regionWeight += w.Backends[k]
 		if v.Hall == t.Hall {
-			own += w.Backends[k]
+			ownWeight += w.Backends[k]
 		}
 	}
-	if own == 0 || own == region {
+	if ownWeight == 0 || ownWeight == regionWeight {
 		return w
 	}
-	stays := min(1, own*float64(len(halls))/region)
-	nearer := stays * region / own
-	further := max(minOtherHallShare, (1-stays)*region/(region-own))
+	ownShare := min(1, ownWeight*float64(len(halls))/regionWeight)
+	ownFactor := ownShare * regionWeight / ownWeight
+	otherFactor := max(minOtherHallShare, (1-ownShare)*regionWeight/(regionWeight-ownWeight))
 	out := &version.Weights{Backends: make([]float64, len(w.Backends))}
 	for k, i := range s.Backends {
 		v := &t.routing.Backends[i]
@@ -59,9 +60,9 @@
 		switch {
 		case v.Region != t.region:
 		case v.Hall == t.Hall:
-			out.Backends[k] *= nearer
+			out.Backends[k] *= ownFactor
 		default:
-			out.Backends[k] *= further
+			out.Backends[k] *= otherFactor
 		}
 		if !v.Closed {
 			out.Groups[s.Group(v)] += out.Backends[k]
--- a/process/balance/home.go
+++ b/process/balance/home.go
@@ -9,17 +9,17 @@
 	"shalewick/version"
 )
 
-// maxTargetHomes bounds the objects whose homes are kept. Origin: 32 bytes each are
-// half a MB of the 32 MB that an instance may take.
+// maxTargetHomes bounds the cached homes. At 32 bytes each they take 0.5 MB of the 32 MB that an
+// instance may use.
 const maxTargetHomes = 1 << 14
 
-// targetHomes keeps the homes of objects among the backend servers of roll-outs'
-// targets, until the routing changes. The zero value is empty.
+// targetHomes caches the homes of objects among the backend servers of roll-out targets, until the
+// routing changes. The zero value is empty.
 type targetHomes struct {
-	byKey map[homeKey]int32 // to the index of the backend server, or None
+	byKey map[homeKey]int32 // index of the backend server, or None
 }
 
-// homeOf is an object in a part of a route.
+// homeKey identifies an object in a part of a route.
 type homeKey struct {
 	part   *version.RoutePart
 	object uint64
@@ -27,7 +27,7 @@
 
 func (h *targetHomes) clear() { h.byKey = nil }
 
-// keep notes a home.
+// keep caches a home.
 func (h *targetHomes) keep(key homeKey, index int32) {
 	if h.byKey == nil || len(h.byKey) >= maxTargetHomes {
 		h.byKey = make(map[homeKey]int32)
@@ -35,21 +35,20 @@
 	h.byKey[key] = index
 }
 
-// TargetHome returns the hash of the backend server of a roll-out's target at which the
-// query's object has its home: the first in the near order of those that may get
-// requests now. A query without an object that its route keeps in one place may go to
-// any of them: it gets one at random each time, so that services without objects have
-// roll-outs, too. Ok is false if there is none. Unlike the order of choices, the home does
-// not follow how busy backend servers are, so that it stays.
+// TargetHome returns the hash of the backend server of a roll-out's target that is the home of the
+// query's object: the first in the near order of those that may get requests now. A query without
+// an object, or of a route that is not sticky, may go to any of them and gets a random one each
+// time, so that services without objects can have roll-outs, too. ok is false if there is none.
+// Unlike the choice of Pick, the home does not depend on load, so that it is stable.
 func (t *Table) TargetHome(q *Query) (hash uint64, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	of := *q
-	of.Target = q.targetIn(t.routing)
-	if of.Target == "" {
+	query := *q
+	query.Target = q.targetIn(t.routing)
+	if query.Target == "" {
 		return 0, false
 	}
-	part := of.part(t.routing)
+	part := query.part(t.routing)
 	if part == nil {
 		return 0, false
 	}
@@ -59,7 +58,7 @@
 	key := homeKey{part, q.Object}
 	index, known := t.homes.byKey[key]
 	if !known {
-		index = t.home(&of, part, func(int32) bool { return true })
+		index = t.home(&query, part, func(int32) bool { return true })
 		if part == q.Route.Parts[q.Part].Target {
 			t.homes.keep(key, index)
 		}
@@ -68,7 +67,7 @@
 		return 0, false
 	}
 	if u := t.states[index]; u != nil && (u.failures > 0 || u.eligibility(t.Now(), t.LeavingGrace) != eligible) {
-		index = t.usableHome(&of, part)
+		index = t.usableHome(&query, part)
 	}
 	if index == version.None {
 		return 0, false
@@ -76,7 +75,7 @@
 	return t.routing.Backends[index].Hash, true
 }
 
-// anyHome returns the hash of any backend server of a part that may get requests now. The
+// anyHome returns the hash of a random backend server of a part that may get requests now. The
 // caller holds the lock.
 func (t *Table) anyHome(q *Query, part *version.RoutePart) (hash uint64, ok bool) {
 	s := &t.routing.Services[part.Service]
@@ -91,7 +90,7 @@
 	return 0, false
 }
 
-// usableHome returns the home among the backend servers that did not fail lately and want
+// usableHome returns the home among the backend servers that have not failed lately and accept
 // requests. The caller holds the lock.
 func (t *Table) usableHome(q *Query, part *version.RoutePart) int32 {
 	now := t.Now()
@@ -99,18 +98,18 @@
 }
 
 // home returns the index of the first backend server in the near order of an object, as search
-// has it, that takes work, is in a home region of the route and among some. The caller holds
-// the lock.
-func (t *Table) home(q *Query, part *version.RoutePart, among func(index int32) bool) int32 {
+// computes it, that is not closed, is in a home region of the route and for which accept returns
+// true. The caller holds the lock.
+func (t *Table) home(q *Query, part *version.RoutePart, accept func(index int32) bool) int32 {
 	s := &t.routing.Services[part.Service]
 	w := t.weightsFor(q.Route, part, s)
-	best, least := version.None, math.Inf(1)
+	best, minDistance := version.None, math.Inf(1)
 	for g := range version.GroupCount {
 		members := s.Groups.Members(g)
 		if len(members) == 0 {
 			continue
 		}
-		first, firstNear, nearest := version.None, math.Inf(1), math.Inf(1)
+		first, firstDistance, minNear := version.None, math.Inf(1), math.Inf(1)
 		for _, k := range members {
 			i := s.Backends[k]
 			v := &t.routing.Backends[i]
@@ -118,13 +117,13 @@
 				continue
 			}
 			near := v.Draw(q.Object) / w.of(k)
-			nearest = min(nearest, near)
-			if (q.Route.Home == nil || q.Route.Home[v.Region]) && near < firstNear && among(i) {
-				first, firstNear = i, near
+			minNear = min(minNear, near)
+			if (q.Route.Home == nil || q.Route.Home[v.Region]) && near < firstDistance && accept(i) {
+				first, firstDistance = i, near
 			}
 		}
-		if near := groupDistance(version.GroupDraw(q.Object, g), groupWeight(s, w, g)) * firstNear / nearest; first != version.None && near < least {
-			best, least = first, near
+		if near := groupDistance(version.GroupDraw(q.Object, g), groupWeight(s, w, g)) * firstDistance / minNear; first != version.None && near < minDistance {
+			best, minDistance = first, near
 		}
 	}
 	return best
--- a/process/balance/limit.go
+++ b/process/balance/limit.go
@@ -9,17 +9,18 @@
 	"shalewick/version"
 )
 
-// Limitable returns the start of the backend server as rate limits know it.
+// RateLimitBackend returns the incarnation of the backend server as the rate limiter identifies
+// it.
 func (p *Pick) RateLimitBackend() ratelimit.Backend {
 	return ratelimit.Backend{Start: p.startHash, Name: p.Name, Region: p.Region}
 }
 
-// limitable returns the start of a backend server as rate limits know it.
+// rateLimitBackend returns the incarnation of a backend server as the rate limiter identifies it.
 func (t *Table) rateLimitBackend(v *version.RoutedBackend) ratelimit.Backend {
 	return ratelimit.Backend{Start: v.Life, Name: v.Name, Region: t.routing.Regions[v.Region]}
 }
 
-// overLimit reports whether a backend server's rate limit leaves no room for the request of a query.
+// overLimit reports whether a backend server's rate limit excludes it for the request.
 func (t *Table) overLimit(q *Query, v *version.RoutedBackend) bool {
 	if t.Limits == nil {
 		return false
@@ -30,34 +31,34 @@
 	return t.Limits.Blocked(v.Life, q.Priority) > 0
 }
 
-// limitLeft returns the shortest time until one of some backend servers may have room within its
-// rate limit for the request of a query. The caller holds the lock.
+// minLimitLeft returns the shortest time until the rate limit of one of some backend servers may
+// admit the request. The caller holds the lock.
 func (t *Table) minLimitLeft(q *Query, backends []int32) time.Duration {
-	least := time.Duration(0)
+	shortest := time.Duration(0)
 	if t.Limits == nil {
-		return least
+		return shortest
 	}
 	for _, i := range backends {
 		left := t.Limits.Blocked(t.routing.Backends[i].Life, q.Priority)
-		if left > 0 && (least == 0 || left < least) {
-			least = left
+		if left > 0 && (shortest == 0 || left < shortest) {
+			shortest = left
 		}
 	}
-	return least
+	return shortest
 }
 
-// limitUnits returns how long ago a backend server said that it is limited, as observations carry
-// it; not if others need not hear of that. The caller holds the lock.
-func (t *Table) limitAgeUnits(index int32, now time.Duration) (units byte, tell bool) {
+// limitAgeUnits returns how long ago a backend server reported that it is limited, in the unit of
+// gossip, and whether to announce it. The caller holds the lock.
+func (t *Table) limitAgeUnits(index int32, now time.Duration) (units byte, announce bool) {
 	if t.Limits == nil {
 		return 0, false
 	}
-	at, tell := t.Limits.ToldAt(t.routing.Backends[index].Life)
-	return byte((now - at) / observationUnit), tell
+	at, announce := t.Limits.ToldAt(t.routing.Backends[index].Life)
+	return byte((now - at) / observationUnit), announce
 }
 
-// hearLimited takes up that another instance was told by a backend server that it is limited. The
-// caller holds the lock.
+// applyLimited applies the gossip that a backend server reported to another instance that it is
+// limited. The caller holds the lock.
 func (t *Table) applyLimited(index int32, age, now time.Duration) {
 	if t.Limits != nil {
 		t.Limits.HearLimited(t.rateLimitBackend(&t.routing.Backends[index]), now-age)
--- a/process/balance/notice.go
+++ b/process/balance/notice.go
@@ -9,9 +9,8 @@
 	"shalewick/version"
 )
 
-// startOf identifies one start of a backend server. One that has another address, other
-// software, or says that it was born at another time, was started anew, and knows nothing of
-// before.
+// startKey identifies one incarnation of a backend server. A change of the address, the software
+// or the declared start time means that it was restarted and has lost its former state.
 type startKey struct {
 	name, address, software string
 	incarnation             int64
@@ -21,50 +20,50 @@
 	return startKey{v.Name, v.Address, v.Software, v.Incarnation}
 }
 
-// noticeState is what is known of the notices (request.Notice) of one start of a backend
-// server, as it told them to this instance or another one. It holds whatever the row of the backend server says: while
-// the store is away a row goes on saying "ready", and the server itself knows better. See
+// noticeState is what is known of the notices (request.Notice) of one incarnation of a backend
+// server, as it sent them to this instance or another one. It takes precedence over the row: while
+// the store is unavailable a row goes on saying "ready", and the server itself knows better. See
 // docs/design/notices.md.
 type noticeState struct {
 	leaving    departure
 	backoff    backoff
-	lastListed time.Duration // when a routing had the backend server last
+	lastListed time.Duration // when a routing last contained the backend server
 }
 
-// noticeKept is how long notices are remembered of a backend server whose row is gone: rows lapse
-// while the store is away and come back as they were.
+// noticeRetention is how long notices are kept of a backend server whose row is gone: rows expire
+// while the store is unavailable and come back unchanged.
 const noticeRetention = time.Minute
 
-// eligibility is whether a backend server may get new requests by its own notices.
+// eligibility says whether a backend server may get new requests, according to its own notices.
 type eligibility uint8
 
 const (
-	// eligible: there are none that count.
+	// eligible: no notice is in force.
 	eligible eligibility = iota
-	// lastResort: it gets what no other can take.
+	// lastResort: it gets only requests that no other can accept.
 	lastResort
-	// ineligible: it gets nothing.
+	// ineligible: it gets no requests.
 	ineligible
 )
 
-// eligibility returns that for new requests. Within is how long after its word one that leaves
-// may still get what no other can take.
-func (u *backend) eligibility(now, within time.Duration) eligibility {
+// eligibility returns the eligibility for new requests. grace is how long after its notice a
+// leaving backend server may still get requests that no other can accept.
+func (u *backend) eligibility(now, grace time.Duration) eligibility {
 	if u.notices == nil {
 		return eligible
 	}
-	return max(u.notices.leaving.eligibility(now, within), u.notices.backoff.eligibility(now))
+	return max(u.notices.leaving.eligibility(now, grace), u.notices.backoff.eligibility(now))
 }
 
-// takes reports whether the backend server of an index is one to choose among all others. The
-// caller holds the lock.
+// isEligible reports whether a backend server is usable and no notice restricts it. The caller
+// holds the lock.
 func (t *Table) isEligible(index int32, now time.Duration) bool {
 	u := t.states[index]
 	return u == nil || u.usable(now) && u.eligibility(now, t.LeavingGrace) == eligible
 }
 
-// Heed takes up what the head of an answer says its server wants from now on. It is called
-// before the answer is passed on, and before Done.
+// ApplyNotice applies the notice in the header of an answer. It must be called before the answer
+// is passed on, and before Done.
 func (p *Pick) ApplyNotice(n request.Notice) {
 	if n == (request.Notice{}) {
 		return
@@ -74,19 +73,19 @@
 	defer t.mu.Unlock()
 	now := t.Now()
 	known := t.noticesOf(p.backend, now)
-	began := n.Leaving && known.leaving.recordAnswer(now)
+	isNew := n.Leaving && known.leaving.recordAnswer(now)
 	if n.RetryAfter > 0 {
 		p.backoffRequested = true
-		began = known.backoff.extend(n.RetryAfter, now) || began
+		isNew = known.backoff.extend(n.RetryAfter, now) || isNew
 	}
-	if began {
+	if isNew {
 		t.reportNotice(p.Name, n, true)
 	}
 }
 
-// Allowed reports whether the backend server may still get the request, which is asked right
-// before its first byte leaves: the process may have stood still since the choice, or a
-// connection taken long, and another answer told more meanwhile.
+// Allowed reports whether the backend server may still get the request. It is checked right before
+// the first byte is sent: since the choice the process may have been stalled, or opening a
+// connection may have taken long, and another answer may have brought a notice.
 func (p *Pick) Allowed() bool {
 	t := p.table
 	t.mu.Lock()
@@ -94,8 +93,7 @@
 	return p.backend.eligibility(t.Now(), t.LeavingGrace) != ineligible
 }
 
-// noticesOf returns what is known of the notices of a backend server, to be added to. The caller
-// holds the lock.
+// noticesOf returns the notices of a backend server for modification. The caller holds the lock.
 func (t *Table) noticesOf(u *backend, now time.Duration) *noticeState {
 	if u.notices != nil {
 		return u.notices
@@ -112,7 +110,7 @@
 	return n
 }
 
-// seeRows compares notices with the rows of a new routing. The caller holds the lock.
+// reconcileRows compares notices with the rows of a new routing. The caller holds the lock.
 func (t *Table) reconcileRows(now time.Duration) {
 	for start, n := range t.notices {
 		i := t.routing.Find(start.name)
@@ -125,8 +123,8 @@
 	}
 }
 
-// forgetNotices drops those of backend servers that no routing has had for long, so that memory
-// is bounded however many follow each other. The caller holds the lock.
+// pruneNotices drops the notices of backend servers that no routing has contained for long, so
+// that memory is bounded when backend servers are replaced frequently. The caller holds the lock.
 func (t *Table) pruneNotices(now time.Duration) {
 	for start, n := range t.notices {
 		if now-n.lastListed > noticeRetention {
@@ -135,16 +133,16 @@
 	}
 }
 
-// noticed tells of a notice that is new.
+// reportNotice reports a new notice to OnNotice.
 func (t *Table) reportNotice(backend string, n request.Notice, own bool) {
 	if t.OnNotice != nil {
 		t.OnNotice(backend, n, own)
 	}
 }
 
-// Notices returns the number of backend servers that say that they leave, while their rows do
-// not close them, and of those to which requests are held back.
-func (t *Table) Notices() (leaving, resting int) {
+// Notices returns the number of backend servers that announced that they are leaving while their
+// rows do not close them, and the number of those that are backing off.
+func (t *Table) Notices() (leaving, backingOff int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Now()
@@ -156,8 +154,8 @@
 			leaving++
 		}
 		if u.notices.backoff.eligibility(now) != eligible {
-			resting++
+			backingOff++
 		}
 	}
-	return leaving, resting
+	return leaving, backingOff
 }
--- a/process/balance/observe.go
+++ b/process/balance/observe.go
@@ -12,43 +12,43 @@
 	"shalewick/version"
 )
 
-// What instances tell each other of backend servers. In a large fleet an instance sends
-// to one backend server once in a minute: what it learns there is of use to the others,
-// and what they learn is all that it knows.
+// Instances gossip what they observe of backend servers. In a large fleet an instance sends about
+// one request a minute to each backend server, so that most of what it knows of them comes from
+// other instances.
 const (
-	// observedFor is how long an observation is told on. Origin: it reaches a
-	// region of 100 in some 1.5 s.
+	// observationTTL is how long an observation is passed on. It reaches a region of 100 in about
+	// 1.5 s.
 	observationTTL = 3 * time.Second
 	// observationUnit is the unit of the age of an observation.
 	observationUnit = 25 * time.Millisecond
-	// observationBytes is the size of one: four that identify the backend server and its
-	// start, one of the age, one of the load.
+	// observationBytes is the size of an entry: four bytes that identify the incarnation of the
+	// backend server, one for the age, one for the load.
 	observationBytes = 6
-	// unreachable stands in the place of the load for a backend server that could not
-	// be reached, or lost answers in a row; leavingTold for one that said that it leaves, and
-	// backoffTold for one that asked for a backoff: the time is then what is left of it; and
-	// limitTold for one that names a rate limit. Loads stay below them.
+	// Values of the load byte with a special meaning. loadUnreachable: the backend server could
+	// not be reached or lost consecutive answers. loadLeaving: it announced that it is leaving.
+	// loadBackoff: it requested a backoff, and the age byte holds the remaining time. loadLimited:
+	// it names a rate limit. Loads are at most maxLoad.
 	loadUnreachable = 0xff
 	loadLeaving     = 0xfe
 	loadBackoff     = 0xfd
 	loadLimited     = 0xfc
 	maxLoad         = loadLimited - 1
-	// mostDoubted is the share of the backend servers of a service that are doubted on
-	// the word of others at most: if more seem to fail, it may be their links.
+	// maxSuspectShare is the largest share of a service's backend servers that may be suspended
+	// because of gossip. If more seem to fail, the links of the reporting instances may be at
+	// fault.
 	maxSuspectShare = 1.0 / 3
-	// mostReached bounds the suspended backend servers that connections are being opened
-	// to at a time, besides those that a request would go to.
+	// maxProbes bounds the suspended backend servers that are probed at a time, besides those that
+	// a request would go to.
 	maxProbes = 4
 )
 
-// observation is what some instance saw of a backend server.
+// observation is what an instance observed of a backend server.
 type observation struct {
-	at   time.Duration // when it was seen; zero: never
-	load byte          // requests that ran or waited, or unreachable
+	at   time.Duration // when it was made; zero: never
+	load byte          // requests running or queued, or loadUnreachable
 }
 
-// observe notes an answer that this instance got, with the backend server's word on its
-// load, if it gave one.
+// observeAnswer records an answer to this instance, with its load report if it has one.
 func (u *backend) observeAnswer(r *Report, now time.Duration) {
 	u.observed = observation{at: now}
 	if r != nil {
@@ -56,14 +56,13 @@
 	}
 }
 
-// worthTelling reports whether others should know: the backend server can't be reached,
-// or has no slot free.
+// shouldAnnounce reports whether to gossip the observation: the backend server could not be
+// reached, or has no free slot.
 func (o observation) shouldAnnounce(slots int, now time.Duration) bool {
 	return o.at != 0 && now-o.at < observationTTL && (o.load == loadUnreachable || int(o.load) >= slots)
 }
 
-// Observations returns what others should know of backend servers, the newest first, in
-// at most size bytes.
+// Observations returns the gossip about backend servers, the newest first, in at most size bytes.
 func (t *Table) Observations(size int) []byte {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -71,60 +70,60 @@
 		return nil
 	}
 	now := t.Now()
-	var tell []int32
+	var announced []int32
 	for i, u := range t.states {
 		v := &t.routing.Backends[i]
 		if u == nil || !u.observed.shouldAnnounce(v.Slots, now) {
 			continue
 		}
 		if u.observed.load == loadUnreachable && t.failingShare(v.Service) > maxSuspectShare {
-			continue // it may be the links of this instance
+			continue // the links of this instance may be at fault
 		}
-		tell = append(tell, int32(i))
+		announced = append(announced, int32(i))
 	}
-	slices.SortFunc(tell, func(a, b int32) int { return cmp.Compare(t.states[b].observed.at, t.states[a].observed.at) })
+	slices.SortFunc(announced, func(a, b int32) int { return cmp.Compare(t.states[b].observed.at, t.states[a].observed.at) })
 	out := t.encodeNotices(size/2, now)
-	for _, i := range tell[:min(len(tell), (size-len(out))/observationBytes)] {
+	for _, i := range announced[:min(len(announced), (size-len(out))/observationBytes)] {
 		o := t.states[i].observed
 		out = t.appendEntry(out, i, byte((now-o.at)/observationUnit), o.load)
 	}
 	return out
 }
 
-// appendEntry adds one entry on a backend server: a time, whose meaning the load tells, and
-// the load.
+// appendEntry appends an entry for a backend server: a time, whose meaning depends on the load
+// byte, and the load byte.
 func (t *Table) appendEntry(out []byte, index int32, units, load byte) []byte {
 	out = binary.LittleEndian.AppendUint32(out, uint32(t.routing.Backends[index].Life))
 	return append(out, units, load)
 }
 
-// tellNotices returns the entries on what backend servers said that they want, in at most
-// size bytes; if there are more, any of them. The caller holds the lock.
+// encodeNotices returns the entries for notices and rate limits in at most size bytes, a random
+// selection if there are more. The caller holds the lock.
 func (t *Table) encodeNotices(size int, now time.Duration) (out []byte) {
-	var tell []int32
+	var announced []int32
 	for i, u := range t.states {
 		if u == nil {
 			continue
 		}
 		_, limited := t.limitAgeUnits(int32(i), now)
 		if limited || u.notices != nil && u.notices.shouldAnnounce(t.routing.Backends[i].Leaving, now) {
-			tell = append(tell, int32(i))
+			announced = append(announced, int32(i))
 		}
 	}
-	if len(tell)*observationBytes > size {
-		rand.Shuffle(len(tell), func(i, j int) { tell[i], tell[j] = tell[j], tell[i] })
+	if len(announced)*observationBytes > size {
+		rand.Shuffle(len(announced), func(i, j int) { announced[i], announced[j] = announced[j], announced[i] })
 	}
-	room := func() bool { return len(out)+observationBytes <= size }
-	for _, i := range tell {
-		if units, limited := t.limitAgeUnits(i, now); limited && room() {
+	fits := func() bool { return len(out)+observationBytes <= size }
+	for _, i := range announced {
+		if units, limited := t.limitAgeUnits(i, now); limited && fits() {
 			out = t.appendEntry(out, i, units, loadLimited)
 		}
 		n := t.states[i].notices
-		rowLeaves := t.routing.Backends[i].Leaving
-		if n == nil || !n.shouldAnnounce(rowLeaves, now) || !room() {
+		rowLeaving := t.routing.Backends[i].Leaving
+		if n == nil || !n.shouldAnnounce(rowLeaving, now) || !fits() {
 			continue
 		}
-		if n.leaving.shouldAnnounce(rowLeaves, now) {
+		if n.leaving.shouldAnnounce(rowLeaving, now) {
 			out = t.appendEntry(out, i, n.leaving.ageUnits(now), loadLeaving)
 		} else {
 			out = t.appendEntry(out, i, n.backoff.remainingUnits(now), loadBackoff)
@@ -133,13 +132,13 @@
 	return out
 }
 
-// worthTelling reports whether others should know of notices. Of one that leaves and asked
-// for a backoff they are told that it leaves.
-func (n *noticeState) shouldAnnounce(rowLeaves bool, now time.Duration) bool {
-	return n.leaving.shouldAnnounce(rowLeaves, now) || n.backoff.remainingUnits(now) > 0
+// shouldAnnounce reports whether to gossip the notices. Of a backend server that is leaving and
+// requested a backoff only the former is announced.
+func (n *noticeState) shouldAnnounce(rowLeaving bool, now time.Duration) bool {
+	return n.leaving.shouldAnnounce(rowLeaving, now) || n.backoff.remainingUnits(now) > 0
 }
 
-// Hear takes up the observations of another instance.
+// ApplyObservations applies the gossip of another instance.
 func (t *Table) ApplyObservations(text []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -150,8 +149,8 @@
 	if t.byHash == nil {
 		t.byHash = indexByHash(t.routing)
 	}
-	whole := len(text) - len(text)%observationBytes
-	for e := range slices.Chunk(text[:whole], observationBytes) {
+	complete := len(text) - len(text)%observationBytes
+	for e := range slices.Chunk(text[:complete], observationBytes) {
 		i, known := t.byHash[binary.LittleEndian.Uint32(e)]
 		if !known {
 			continue
@@ -170,8 +169,8 @@
 	}
 }
 
-// hear takes up one observation that is newer than what is known. The caller holds
-// the lock.
+// applyObservation applies an observation if it is newer than what is known. The caller holds the
+// lock.
 func (t *Table) applyObservation(index int32, o observation, now time.Duration) {
 	u := t.state(index)
 	v := &t.routing.Backends[index]
@@ -190,7 +189,7 @@
 	}
 }
 
-// reportHeard takes up the load that another instance was told.
+// recordGossipLoad records the load that another instance observed.
 func (u *backend) recordGossipLoad(o observation, slots int) {
 	if o.at > u.reportedAt {
 		u.reported = float64(o.load)
@@ -199,36 +198,35 @@
 	}
 }
 
-// doubt lets the backend server get nothing until a connection to it was opened.
+// suspect stops requests to the backend server until a connection to it was opened.
 func (u *backend) suspect(now time.Duration) {
 	u.failures = 1
 	u.suspendedUntil = now
 	u.probed = false
-	u.pool.CloseIdle() // they may lead to a backend server that is gone
+	u.pool.CloseIdle() // they may lead to a process that is gone
 }
 
-// mayDoubt reports whether one more backend server of a service may be doubted on the
-// word of others. The caller holds the lock.
+// maySuspect reports whether one more backend server of a service may be suspended because of
+// gossip. The caller holds the lock.
 func (t *Table) maySuspect(service int32) bool {
-	one := 1 / float64(len(t.routing.Services[service].Backends))
-	return t.failingShare(service)+one <= maxSuspectShare
+	share := 1 / float64(len(t.routing.Services[service].Backends))
+	return t.failingShare(service)+share <= maxSuspectShare
 }
 
-// failing returns the share of the backend servers of a service that fail. The caller
-// holds the lock.
+// failingShare returns the share of a service's backend servers that are failing. The caller holds
+// the lock.
 func (t *Table) failingShare(service int32) float64 {
 	s := &t.routing.Services[service]
-	n := 0
+	failing := 0
 	for _, i := range s.Backends {
 		if u := t.states[i]; u != nil && u.failures > 0 {
-			n++
+			failing++
 		}
 	}
-	return float64(n) / float64(max(1, len(s.Backends)))
+	return float64(failing) / float64(max(1, len(s.Backends)))
 }
 
-// indexByHash returns the backend servers of a routing by the bytes of the hash that
-// observations carry.
+// indexByHash maps the part of the hash that gossip carries to the index of the backend server.
 func indexByHash(r *version.Routing) map[uint32]int32 {
 	out := make(map[uint32]int32, len(r.Backends))
 	for i := range r.Backends {
--- a/process/balance/outcome.go
+++ b/process/balance/outcome.go
@@ -4,25 +4,25 @@
 
 import "time"
 
-// Outcome is what came of a request at a backend server.
+// Outcome is the result of sending a request to a backend server.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Answered: a whole answer of the backend server.
+	// Answered: the backend server returned a complete answer.
 	Answered Outcome = iota
 	// Refused: the backend server did not run the request.
 	Refused
-	// Unreachable: no connection could be opened, or the one in use is dead.
+	// Unreachable: no connection could be opened, or the existing one is broken.
 	Unreachable
-	// Lost: it was sent, and no whole answer came, or one that is none.
+	// Lost: the request was sent, and no complete or valid answer arrived.
 	Lost
-	// Abandoned: the request ended for a reason that is not the backend server's.
+	// Abandoned: the request ended for a reason unrelated to the backend server.
 	Abandoned
 )
 
-// Hold makes the request count as in flight after Done, until Release: the backend
-// server is still sending the rest of an answer. It takes a connection, and no slot.
+// Hold makes the request count as in flight after Done, until Release, while the backend server is
+// still transferring the rest of an answer. It occupies a connection, but no slot.
 func (p *Pick) Hold() {
 	p.table.mu.Lock()
 	defer p.table.mu.Unlock()
@@ -30,7 +30,7 @@
 	p.backend.sending++
 }
 
-// Release ends what Hold began. It is called once.
+// Release ends the effect of Hold. It must be called once.
 func (p *Pick) Release() {
 	p.table.mu.Lock()
 	defer p.table.mu.Unlock()
@@ -39,8 +39,7 @@
 	*p.backend.softwareInFlight--
 }
 
-// Done tells what came of the request. Report is the backend server's word on its
-// load, if it gave one.
+// Done reports the result of the request. report is the backend server's load report, or nil.
 func (p *Pick) Done(o Outcome, report *Report) {
 	t := p.table
 	t.mu.Lock()
@@ -92,37 +91,36 @@
 	}
 }
 
-// refusedIdle notes a refusal of a backend server whose report says that it has slots free.
-// The report is left out, since it would draw more requests to a server that refuses them.
-// From some refusals in a row on it is the last choice, for times that double; one alone may
-// be the request's fault, or that of a deadline that passed on the way. It lives, so that
-// it is not suspended: what no other can take it still gets.
+// recordIdleRefusal records a refusal by a backend server that reports free slots. The report is
+// ignored, since it would attract more requests to a server that refuses them. After
+// RefusedThreshold consecutive refusals the server is the last resort, for periods that double. A
+// single one may be caused by the request, or by a deadline that passed in transit. The server is
+// live, so it is not suspended and still gets requests that no other can accept.
 func (t *Table) recordIdleRefusal(p *Pick, now time.Duration) {
 	u := p.backend
 	u.answeredAt = now
-	refused := u.refusedInARow + 1
+	refusals := u.refusedInARow + 1
 	p.recordRecovery()
-	u.refusedInARow = refused
-	over := u.refusedInARow - t.Policy.RefusedThreshold
-	if over < 0 {
+	u.refusedInARow = refusals
+	excess := u.refusedInARow - t.Policy.RefusedThreshold
+	if excess < 0 {
 		return
 	}
-	pause := min(t.Policy.MinSuspension<<min(over, 5), t.Policy.MaxSuspension)
+	pause := min(t.Policy.MinSuspension<<min(excess, 5), t.Policy.MaxSuspension)
 	if t.noticesOf(u, now).backoff.avoid(pause, now) && t.OnAvoid != nil {
 		t.OnAvoid(p.Name, u.refusedInARow, pause)
 	}
 }
 
-// turnedAway notes an answer that asked for a backoff. Nothing else is learnt of it: a backend
-// server that turns everything away is idle and quick, so its load report and the time that
-// it took would send it more than any other gets (0.47 of all requests in place of 0.27, as
-// six of twenty did it).
+// recordBackoffAnswer records an answer that requested a backoff. Neither its load report nor its
+// duration is used: a backend server that rejects everything is idle and quick, and would attract
+// more requests than any other (0.47 of all instead of 0.27 when six of twenty did so).
 func (t *Table) recordBackoffAnswer(p *Pick, now time.Duration) {
 	p.backend.answeredAt = now
 	p.recordRecovery()
 }
 
-// suspend notes a failure, unless the backend server has answered since.
+// suspend records a failure, unless the backend server has answered since the request was sent.
 func (t *Table) suspend(p *Pick, now time.Duration) {
 	if p.backend.answeredAt >= p.started {
 		return
@@ -131,7 +129,7 @@
 	t.reportSuspension(p.Name, p.backend.failures, pause)
 }
 
-// recovered notes that the backend server answers.
+// recordRecovery records that the backend server answers.
 func (p *Pick) recordRecovery() {
 	if p.backend.failures > 0 {
 		p.table.reportSuspension(p.Name, 0, 0)
@@ -141,13 +139,14 @@
 	p.backend.refusedInARow = 0
 }
 
+// reportSuspension reports a suspension, or with zero failures a recovery, to OnSuspend.
 func (t *Table) reportSuspension(backend string, failures int, pause time.Duration) {
 	if t.OnSuspend != nil {
 		t.OnSuspend(backend, failures, pause)
 	}
 }
 
-// Gone notes that a backend server is no longer at its address.
+// Gone records that the backend server is no longer at its address.
 func (p *Pick) Gone() {
 	p.table.mu.Lock()
 	defer p.table.mu.Unlock()
--- a/process/balance/policy.go
+++ b/process/balance/policy.go
@@ -4,104 +4,94 @@
 
 import "time"
 
-// Policy holds the figures that choices are made by. It is set by code, not by
-// operators: an experiment or an ablation changes one field. Where a field's
-// origin names the bench, docs/POLICY.md has the plays.
+// Policy holds the parameters of choices. It is set by code, not by operators: an experiment or an
+// ablation changes one field. docs/POLICY.md describes the runs behind the values.
 type Policy struct {
-	// NearChoices and FarChoices are the numbers of backend servers that an object's
-	// requests may go to: the first in the order by region, and the first in
-	// an order that is the same for all regions. Others would have to warm up
-	// for an object that seldom comes to them. Origin: the bench.
+	// NearChoices and FarChoices are the numbers of backend servers that an object's requests may
+	// go to: the first in the order by region, and the first in an order that is the same for all
+	// regions. Further ones would have to warm up for an object that they seldom get.
 	NearChoices, FarChoices int
-	// UnseenCost is what a backend server that has not seen the object costs more,
-	// relative to its usual work. Origin: unseen work takes three times as long.
+	// UnseenCost is the additional cost of a backend server that has not seen the object, relative
+	// to its typical processing time. Unseen objects take three times as long.
 	UnseenCost float64
-	// PlaceCost keeps an object where it is while others are not clearly
-	// better. Origin: the bench.
+	// RankCost is the additional cost of each further rank. It keeps an object where it is while
+	// others are not clearly better.
 	RankCost time.Duration
-	// SeenFor is how long a backend server is taken to remember an object. Origin:
-	// the bench.
+	// SeenTTL is how long a backend server is assumed to remember an object.
 	SeenTTL time.Duration
 
-	// LostInARow is the number of lost answers in a row from which a backend server
-	// is suspended; one that can't be reached is suspended at once. Origin: the
-	// bench.
+	// LostThreshold is the number of consecutive lost answers after which a backend server is
+	// suspended. One that can't be reached is suspended at once.
 	LostThreshold int
-	// RefusedInARow is the number of refusals in a row by a backend server that says that it
-	// has slots free from which it is the last choice. Origin: as LostInARow, one alone may be
-	// the request's fault.
+	// RefusedThreshold is the number of consecutive refusals by a backend server that reports free
+	// slots after which it is the last resort. A single one may be caused by the request.
 	RefusedThreshold int
-	// SuspendLeast and SuspendMost bound for how long a backend server that failed
-	// gets nothing. Origin: a restart takes longer than the first and is
-	// noticed soon after by the second.
+	// MinSuspension and MaxSuspension bound how long a backend server that failed gets no
+	// requests. A restart takes longer than the first and is noticed soon after by the second.
 	MinSuspension, MaxSuspension time.Duration
-	// ReportLife is the time in which a load report loses half of its worth.
-	// Origin: some ten times the usual work.
+	// ReportHalfLife is the time in which a load report loses half of its weight, about ten times
+	// the typical processing time.
 	ReportHalfLife time.Duration
-	// PaceLife is the time in which what was told of a host's pace falls to 1/e of its
-	// worth: hosts change their pace many times a second.
+	// SlowdownDecay is the time in which a reported slowdown decays to 1/e: the speed of a host
+	// changes many times a second.
 	SlowdownDecay time.Duration
-	// QuickGain and SlowGain are the weights of a new answer in the usual time
-	// of work, when it came sooner than usual and when it came later. They
-	// differ since an answer's time may contain waiting, or work on an object
-	// that the backend server had not seen. Origin: the bench.
+	// DecreaseGain and IncreaseGain are the weights of a new answer in the typical processing time
+	// if it was faster or slower than typical. They differ since the duration of an answer may
+	// include queueing, or work on an object that the backend server had not seen.
 	DecreaseGain, IncreaseGain float64
-	// ServiceGain is the weight of a backend server's usual time of work in that of
-	// its service, with each answer.
+	// ServiceGain is the weight of a backend server's typical processing time in that of its
+	// service, for each answer.
 	ServiceGain float64
-	// WorkShare is the part of a route's objective that work is taken to need at
-	// most, when it is decided how long a request may wait: operators set
-	// objectives that usual work meets.
+	// MaxWorkShare is the largest share of a route's objective that processing is assumed to take
+	// in the wait limit: operators set objectives that typical processing meets.
 	MaxWorkShare float64
-	// FirstWork is the assumed time of work before any answer. Origin: between
-	// seen and unseen work of the services that were met.
+	// InitialWork is the processing time that is assumed before any answer, between those of seen
+	// and unseen objects of existing services.
 	InitialWork time.Duration
 
-	// AfterDrain is how long a backend server counts as cold after its place is no
-	// longer drained, unless it says more itself. Origin: the bench.
+	// ColdAfterDrain is how long a backend server counts as cold after its drain has ended, unless
+	// it declares more itself.
 	ColdAfterDrain time.Duration
-	// ColdSlack lengthens the time for which a backend server says it is cold: what
-	// it says is that old when it comes.
+	// ColdSlack extends the time for which a backend server declares itself cold, to make up for
+	// the time that the declaration takes to arrive.
 	ColdSlack time.Duration
-	// ColdShare is the part of a warming rate that all instances together use.
-	// Origin: twice the rate is too much, and some are at work that are not
-	// known yet.
+	// WarmingRateShare is the share of the warming rate that all instances together use. Twice the
+	// rate is too much, and some instances are live that are not known yet.
 	WarmingRateShare float64
-	// FewShare is the number of instances, relative to the rate, up to which a
-	// turn may be taken late: even if all take one in the same second they
+	// FewInstancesRatio is the number of instances, relative to the rate, up to which a turn may
+	// be taken at any time until the next: even if all instances take one in the same second they
 	// stay near the rate.
 	FewInstancesRatio float64
-	// TurnTime is how long a turn is good for when there are more.
+	// TurnWindow is how long a turn may be taken if there are more instances.
 	TurnWindow time.Duration
 
-	// ShareMemory is the time over which a backend server's load is smoothed.
+	// LoadSmoothing is the time constant by which a backend server's load is smoothed.
 	LoadSmoothing time.Duration
-	// ShareEvery is the pause between two steps of the shares of a service.
+	// ShareInterval is the time between two steps of the shares of a service.
 	ShareInterval time.Duration
-	// ShareStep bounds one step, as a part of the share. It keeps what moves
-	// between regions far below what operators allow.
+	// ShareStep bounds one step, relative to the share. It keeps shifts between regions far below
+	// the limits that operators set.
 	ShareStep float64
-	// ShareLeast is the least share.
+	// MinShare is the smallest share.
 	MinShare float64
-	// ShareBusy is the load, relative to the slots, above which a backend server
-	// gives objects up, if it is also ShareOver times the mean of its service.
+	// A backend server sheds objects if its load, relative to its slots, is above BusyLoad and
+	// above BusyRatio times the mean of its service.
 	BusyLoad, BusyRatio float64
-	// ShareBack is the part of that load below which it takes objects back.
+	// RecoverRatio is the fraction of that load below which it takes objects back.
 	RecoverRatio float64
 
-	// UrgentPatience is the time, in objectives, within which a request must be
-	// answered where less urgent routes use the same service: of two that
-	// would be a little late there, the urgent one is taken. Origin: the bench.
+	// UrgentWaitFactor extends the objective of urgent requests, as a factor, where less urgent
+	// routes use the same service: of two requests that would be slightly late there, the urgent
+	// one is accepted.
 	UrgentWaitFactor float64
-	// LeastComeBack and NoneComeBack are the times after which a refused
-	// request should come back, at least: the first when there was no room, the
-	// second when there was no backend server. Origin: the bench.
+	// MinRetryAfter and NoBackendRetryAfter are the shortest retry-after times of refused
+	// requests: the first if there was no capacity, the second if there was no backend server.
 	MinRetryAfter, NoBackendRetryAfter time.Duration
-	// MostOver bounds what is added for the wait that there would have been.
+	// MaxAddedRetryAfter bounds what is added to them for the excess of the wait over its limit.
 	MaxAddedRetryAfter time.Duration
 }
 
-// DefaultPolicy returns the policy in use.
+// DefaultPolicy returns the policy in production use.
 func DefaultPolicy() Policy {
 	return Policy{
 		NearChoices: 2,
--- a/process/balance/reach.go
+++ b/process/balance/reach.go
@@ -4,9 +4,8 @@
 
 import "time"
 
-// reach opens a connection to a backend server that was suspended, if that is due, so
-// that no request has to wait for one that can't be reached. The caller holds
-// the lock.
+// probe opens a connection to a suspended backend server, if that is due, so that no request has
+// to wait for a server that can't be reached. The caller holds the lock.
 func (t *Table) probe(name string, u *backend, now time.Duration) {
 	if u.failures == 0 || now < u.suspendedUntil || u.probed || u.probing {
 		return
--- a/process/balance/report.go
+++ b/process/balance/report.go
@@ -11,41 +11,41 @@
 	"github.com/juju/errors"
 )
 
-// Report is a backend server's word on its load.
+// Report is the load report of a backend server.
 type Report struct {
 	Running, Waiting, Slots int
-	// Pace is how long work takes on its host now, relative to the usual: 2 is twice as
-	// long. Zero: it did not say.
+	// Slowdown is how long processing takes on its host now, relative to usual: 2 is twice as
+	// long. Zero: not reported.
 	Slowdown float64
 }
 
 const (
-	// reportFields is the number of figures that a report has at least.
+	// reportFields is the number of mandatory fields.
 	reportFields = 3
-	// paceUnit is what a report's fourth figure says for usual work.
+	// slowdownUnit is the value of the fourth field at usual speed.
 	slowdownUnit = 100
-	// leastPace and mostPace bound what is taken up: beyond them a figure tells no
-	// more than that the host is idle, or stands still.
+	// minSlowdown and maxSlowdown bound the slowdown. Values beyond them say only that the host is
+	// idle or stalled.
 	minSlowdown, maxSlowdown = 0.1, 100
 )
 
-// ParseReport reads a report: the requests that run and that wait, and the slots, divided
-// by commas, and the pace of the host if there is a fourth figure. An empty text is no
-// report: nil. If the fourth figure alone can't be used, the report is returned without
-// it, beside the error.
+// ParseReport parses a load report: the number of running requests, of queued requests and of
+// slots, separated by commas, optionally followed by the slowdown of the host in percent. An empty
+// text is no report: nil. If only the fourth field is invalid, the report is returned without it,
+// together with the error.
 func ParseReport(text string) (*Report, error) {
 	if text == "" {
 		return nil, nil
 	}
 	fields := strings.Split(text, ",")
 	if len(fields) != reportFields && len(fields) != reportFields+1 {
-		return nil, errors.Errorf("load report %.40q: %d figures", text, len(fields))
+		return nil, errors.Errorf("load report %.40q: %d fields, not 3 or 4", text, len(fields))
 	}
 	var counts [reportFields]int
 	for i := range counts {
 		n, err := strconv.Atoi(strings.TrimSpace(fields[i]))
 		if err != nil || n < 0 {
-			return nil, errors.Errorf("load report %.40q: figure %d is not a count", text, i+1)
+			return nil, errors.Errorf("load report %.40q: field %d is not a count", text, i+1)
 		}
 		counts[i] = n
 	}
@@ -53,18 +53,18 @@
 	if len(fields) == reportFields {
 		return r, nil
 	}
-	pace, err := strconv.ParseFloat(strings.TrimSpace(fields[reportFields]), 64)
-	if err != nil || math.IsNaN(pace) || math.IsInf(pace, 0) || pace <= 0 {
-		return r, errors.Errorf("load report %.40q: the fourth figure is no pace", text)
+	percent, err := strconv.ParseFloat(strings.TrimSpace(fields[reportFields]), 64)
+	if err != nil || math.IsNaN(percent) || math.IsInf(percent, 0) || percent <= 0 {
+		return r, errors.Errorf("load report %.40q: field 4 is not a positive number", text)
 	}
-	r.Slowdown = min(max(pace/slowdownUnit, minSlowdown), maxSlowdown)
+	r.Slowdown = min(max(percent/slowdownUnit, minSlowdown), maxSlowdown)
 	return r, nil
 }
 
-// idle reports whether it says that slots are free. Nil is no word.
+// hasFreeSlots reports whether the report shows free slots. It is false for nil.
 func (r *Report) hasFreeSlots() bool { return r != nil && r.Running+r.Waiting < r.Slots }
 
-// paceOr returns the pace that a report tells, or another one. Nil is no word.
+// slowdownOr returns the reported slowdown, or other if there is none. r may be nil.
 func (r *Report) slowdownOr(other float64) float64 {
 	if r == nil || r.Slowdown == 0 {
 		return other
@@ -72,24 +72,24 @@
 	return r.Slowdown
 }
 
-// pace is what was last told of how long work takes on a backend server's host. The zero
-// value is a host of which nothing was told.
+// slowdown is the last reported slowdown of a backend server's host. The zero value means that
+// none was reported.
 type slowdown struct {
 	last float64
 	at   time.Duration
 }
 
-// note takes up a report.
+// record records the slowdown of a report, if it has one.
 func (p *slowdown) record(r Report, now time.Duration) {
 	if r.Slowdown != 0 {
 		*p = slowdown{last: r.Slowdown, at: now}
 	}
 }
 
-// expected returns the pace to reckon with: what was told returns to the usual as it ages.
-func (p slowdown) expected(now, life time.Duration) float64 {
+// expected returns the slowdown to assume: the reported one decays to 1 with age.
+func (p slowdown) expected(now, decay time.Duration) float64 {
 	if p.last == 0 {
 		return 1
 	}
-	return 1 + (p.last-1)*math.Exp(-float64(now-p.at)/float64(life))
+	return 1 + (p.last-1)*math.Exp(-float64(now-p.at)/float64(decay))
 }
--- a/process/balance/share.go
+++ b/process/balance/share.go
@@ -9,18 +9,17 @@
 	"shalewick/version"
 )
 
-// share is the part of its objects that a backend server keeps. One that is busier
-// than the others of its service, by its own load reports, gives objects up,
-// a few at a time and always the same ones, to whichever are next in their
-// orders; when it is no longer busy it takes them back. The objects that stay
-// are not disturbed, and when all are equally busy none moves.
+// share is the fraction of its objects that a backend server keeps. One that is busier than the
+// others of its service, by its own load reports, sheds objects to the next ones in their orders,
+// a few at a time and always the same ones, and takes them back when it is no longer busy. The
+// objects that stay are not disturbed, and if all are equally busy none moves.
 type share struct {
-	kept   float64       // from Policy.ShareLeast to 1
+	kept   float64       // from Policy.MinShare to 1
 	load   float64       // smoothed load, relative to the slots
-	loadAt time.Duration // of the last report; zero: none yet
+	loadAt time.Duration // time of the last report; zero: none yet
 }
 
-// note takes up a load report.
+// record includes a load report in the smoothed load.
 func (x *share) record(p *Policy, r Report, now time.Duration) {
 	if r.Slots <= 0 {
 		return
@@ -35,10 +34,10 @@
 	x.loadAt = now
 }
 
-// adapt moves the share by one step.
+// step moves the share by one step.
 func (x *share) step(p *Policy, mean float64, now time.Duration) {
 	if x.loadAt == 0 || now-x.loadAt > p.LoadSmoothing {
-		x.kept = min(1, x.kept+p.ShareStep/2) // nothing is known, so it is tried again
+		x.kept = min(1, x.kept+p.ShareStep/2) // no recent report: recover slowly
 		return
 	}
 	busy := max(p.BusyLoad, mean*p.BusyRatio)
@@ -50,8 +49,8 @@
 	}
 }
 
-// adaptShares moves the shares of a service's backend servers if a step is due, and lets
-// connections be opened to those that were suspended. The caller holds the lock.
+// stepShares moves the shares of a service's backend servers by one step if it is due, and probes
+// suspended ones. The caller holds the lock.
 func (t *Table) stepShares(s *version.RoutedService, now time.Duration) {
 	known := t.service(s)
 	if now < known.nextShareStep {
--- a/process/balance/software.go
+++ b/process/balance/software.go
@@ -8,11 +8,10 @@
 	"shalewick/version"
 )
 
-// softwareOf names a version of a service's software.
+// softwareKey identifies a software version of a service.
 type softwareKey struct{ service, software string }
 
-// service returns what is known of a service with one version of its software. The
-// caller holds the lock.
+// service returns the state of a service at one software version. The caller holds the lock.
 func (t *Table) service(s *version.RoutedService) *service {
 	if t.services == nil {
 		t.services = make(map[softwareKey]*service)
@@ -26,10 +25,9 @@
 	return known
 }
 
-// keepServices forgets what is known of services and versions that a routing does not
-// have, so that memory is bounded however many versions follow each other. What is known
-// of a roll-out's target stays when it is promoted: the key is the same. The caller
-// holds the lock.
+// pruneServices drops the state of services and software versions that a routing no longer has, so
+// that memory is bounded however many versions are rolled out. The state of a roll-out's target
+// survives its promotion, because the key is the same. The caller holds the lock.
 func (t *Table) pruneServices(r *version.Routing) {
 	keep := make(map[softwareKey]bool, len(r.Services))
 	for i := range r.Services {
@@ -49,26 +47,26 @@
 	}
 }
 
-// announces reports whether a routing has a backend server of a service that runs a version of
-// its software, which is not told apart there.
+// runsSoftware reports whether a routing has a backend server that runs a software version of a
+// service, also if the routing does not distinguish the service's versions.
 func runsSoftware(r *version.Routing, key softwareKey) bool {
 	return slices.ContainsFunc(r.Backends, func(v version.RoutedBackend) bool {
 		return v.Software == key.software && r.Services[v.Service].Name == key.service
 	})
 }
 
-// takeOver lets what is known of a service whose versions were not told apart until now
-// stand for the version in force. The caller holds the lock.
+// inherit passes the state of a service whose versions were not distinguished so far on to the
+// version in force. The caller holds the lock.
 func (t *Table) inherit(s *version.RoutedService) {
-	whole := t.services[softwareKey{service: s.Name}]
+	combined := t.services[softwareKey{service: s.Name}]
 	key := softwareKey{s.Name, s.Software}
-	if whole != nil && t.services[key] == nil && !s.OfTarget {
-		t.services[key] = whole
+	if combined != nil && t.services[key] == nil && !s.OfTarget {
+		t.services[key] = combined
 	}
 }
 
-// flight returns the count of the requests in flight at a version of a service's
-// software. The caller holds the lock.
+// inFlightCounter returns the counter of requests in flight at a software version of a service.
+// The caller holds the lock.
 func (t *Table) inFlightCounter(key softwareKey) *int {
 	if t.inFlight == nil {
 		t.inFlight = make(map[softwareKey]*int)
@@ -81,25 +79,25 @@
 	return n
 }
 
-// InFlight returns the number of this instance's requests at backend servers of a
-// service, but for those of a roll-out's target. Requests at backend servers that have
-// left the routing count until they end, and so do answers that are held (Pick.Hold).
+// InFlight returns the number of this instance's requests at backend servers of a service, except
+// those of a roll-out's target. Requests at backend servers that have left the routing count until
+// they end, as do answers that are held (Pick.Hold).
 func (t *Table) InFlight(service string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	target, runs := t.target(service)
+	target, active := t.target(service)
 	sum := 0
 	for key, n := range t.inFlight {
-		if key.service == service && !(runs && key.software == target) {
+		if key.service == service && !(active && key.software == target) {
 			sum += *n
 		}
 	}
 	return sum
 }
 
-// target returns the version of the software that a roll-out of a service brings. Runs
-// is false if there is none. The caller holds the lock.
-func (t *Table) target(service string) (software string, runs bool) {
+// target returns the software version that a roll-out of a service introduces. active is false if
+// there is none. The caller holds the lock.
+func (t *Table) target(service string) (software string, active bool) {
 	if t.routing == nil {
 		return "", false
 	}
--- a/process/balance/table.go
+++ b/process/balance/table.go
@@ -13,64 +13,64 @@
 	"shalewick/version"
 )
 
-// Table is the backend servers of one process. The fields are set before use.
+// Table holds the backend servers that one process knows, and chooses among them. The exported
+// fields are set before use.
 type Table struct {
 	Now func() time.Duration
-	// Place returns the place of this instance, from 0, among those that share
-	// what must be shared, and their number; zero: not known yet.
-	MemberIndex func() (place, of int)
-	// Region and Hall are the names of the region and the hall of this instance. If Region is
-	// empty, the configuration tells it by the hall.
+	// MemberIndex returns the index of this instance, from 0, among the live instances and their
+	// count, by which shared quantities are divided. A count of zero: not known yet.
+	MemberIndex func() (index, count int)
+	// Region and Hall are the names of this instance's region and hall. If Region is empty, it is
+	// derived from the hall by the configuration.
 	Region string
 	Hall   string
-	// OnSuspend, if set, is told when a backend server gets nothing for a while, with
-	// the number of failures in a row, and with 0 failures when it answers again.
-	// It must not call the table.
+	// OnSuspend, if set, is called when a backend server is suspended, with the number of
+	// consecutive failures, and with 0 failures when it answers again. It must not call the table.
 	OnSuspend func(backend string, failures int, pause time.Duration)
-	// OnNotice, if set, is told when a backend server begins to leave, or a backoff begins, by its own
-	// word; own: it was told to this instance, not by another one. It must not call the table.
+	// OnNotice, if set, is called when a backend server announces that it is leaving or a backoff
+	// starts. own is set if this instance received the notice itself, not by gossip. It must not
+	// call the table.
 	OnNotice func(backend string, n request.Notice, own bool)
-	// OnAvoid, if set, is told when a backend server becomes the last choice for a while since
-	// it refused a number of requests in a row though it has slots free. It must not call
-	// the table.
+	// OnAvoid, if set, is called when a backend server becomes the last resort for a while because
+	// it refused consecutive requests although it has free slots. It must not call the table.
 	OnAvoid func(backend string, refusals int, pause time.Duration)
-	// Limits, if set, are the rate limits that backend servers name. They are asked with the table
+	// Limits, if set, holds the rate limits that backend servers name. It is called with the table
 	// locked.
 	Limits *ratelimit.Limiter
-	// LeaveWithin is how long after a backend server said in an answer that it leaves it may
-	// still get requests that no other one can take; afterwards it gets none.
+	// LeavingGrace is how long after a notice that it is leaving a backend server may still get
+	// requests that no other can accept. Afterwards it gets none.
 	LeavingGrace time.Duration
-	// NewPool returns connections to an address.
+	// NewPool returns the connection pool for an address.
 	NewPool func(address string) *conn.Pool
-	// Reach, if set, opens a connection to a backend server that was suspended before a
-	// request tries it. It is called without locks, and may take long.
+	// Probe, if set, opens a connection to a suspended backend server before a request tries it.
+	// It is called without locks held, and may take long.
 	Probe func(p *conn.Pool) error
-	// Policy holds the figures of choices. The zero value means DefaultPolicy.
+	// Policy holds the parameters of choices. The zero value means DefaultPolicy.
 	Policy Policy
 
 	mu       sync.Mutex
 	routing  *version.Routing
 	region   int32
-	states   []*backend       // by index in the routing; nil: nothing is known of it
-	byHash   map[uint32]int32 // to index, by the bytes of the hash that observations carry; nil: not built
-	probing  int              // connections that are being opened to suspended backend servers
+	states   []*backend       // by index in the routing; nil: no state
+	byHash   map[uint32]int32 // index by the part of the hash that gossip carries; nil: not built
+	probing  int              // number of probes in progress
 	services map[softwareKey]*service
-	inFlight map[softwareKey]*int // requests in flight
+	inFlight map[softwareKey]*int // number of requests in flight
 	homes    targetHomes
-	scratch  []candidate // memory of candidates, kept between decisions
-	// hallWeights are the weights for uploads by those that they were made from.
+	scratch  []candidate // buffer of candidates, reused between choices
+	// hallWeights caches the weights for uploads by the weights that they were derived from.
 	hallWeights map[*version.Weights]*version.Weights
-	examined    int // backend servers that choices looked at
-	// Memory of the distances of groups from an object.
+	examined    int // number of backend servers that choices examined
+	// Buffers for the distances of groups from an object, reused between choices.
 	nearGroups, farGroups [version.GroupCount]float64
 	splits                map[string][]float64 // credit of each part, by route
 	seen                  seenObjects
-	// notices are those that backend servers told.
+	// notices are also kept for backend servers that the routing does not contain at present.
 	notices map[startKey]*noticeState
 }
 
-// Install makes a routing the one that is decided on. What is known of backend servers that
-// both the old one and the new one have is kept; both are ordered by name.
+// Install makes a routing the current one. The state of backend servers that are also in the
+// previous one is kept; both are sorted by name.
 func (t *Table) Install(r *version.Routing) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -81,10 +81,10 @@
 	old := oldRouting{routing: t.routing, states: t.states}
 	for i := range r.Backends {
 		v := &r.Backends[i]
-		was, u := old.match(v)
-		if u == nil && needsState(was, v) {
+		previous, u := old.match(v)
+		if u == nil && needsState(previous, v) {
 			u = t.newBackend(v, &r.Services[v.Service])
-			u.drained = was != nil && was.Drained
+			u.drained = previous != nil && previous.Drained
 		}
 		if u != nil && u.applyRow(v, now) {
 			u.turns = turns{policy: &t.Policy, rate: r.Services[v.Service].Warming.Rate}
@@ -106,55 +106,56 @@
 	}
 }
 
-// replaced walks along a routing that another one takes the place of.
+// oldRouting iterates over the routing that is being replaced.
 type oldRouting struct {
 	routing *version.Routing // nil: there was none
 	states  []*backend
 	at      int
 }
 
-// next returns what the old routing said of a backend server of the new one, and its state, if it
-// is the same start; nil otherwise. Those that the new one does not have are given up.
-func (o *oldRouting) match(v *version.RoutedBackend) (was *version.RoutedBackend, u *backend) {
+// match returns the previous row and state of a backend server of the new routing if it is the
+// same incarnation, nil otherwise. It closes the idle connections of those that the new routing
+// does not contain.
+func (o *oldRouting) match(v *version.RoutedBackend) (previous *version.RoutedBackend, u *backend) {
 	for o.routing != nil && o.at < len(o.states) {
-		was, u = &o.routing.Backends[o.at], o.states[o.at]
-		if was.Name > v.Name {
+		previous, u = &o.routing.Backends[o.at], o.states[o.at]
+		if previous.Name > v.Name {
 			return nil, nil
 		}
 		o.at++
-		if was.Name == v.Name && startKeyOf(was) == startKeyOf(v) {
-			return was, u
+		if previous.Name == v.Name && startKeyOf(previous) == startKeyOf(v) {
+			return previous, u
 		}
 		u.closeIdle()
-		if was.Name == v.Name {
+		if previous.Name == v.Name {
 			return nil, nil
 		}
 	}
 	return nil, nil
 }
 
-// end gives up what is left.
+// releaseRest closes the idle connections of all that are left.
 func (o *oldRouting) releaseRest() {
 	for _, u := range o.states[o.at:] {
 		u.closeIdle()
 	}
 }
 
-// giveUp closes the idle connections to a backend server that is gone. Nil has none.
+// closeIdle closes the idle connections to a backend server that is gone. u may be nil.
 func (u *backend) closeIdle() {
 	if u != nil {
 		u.pool.CloseIdle()
 	}
 }
 
-// needsState reports whether something must be remembered from now on of a backend server of
-// which nothing is known: since when it is cold. Was is what the routing before said; nil: it
-// did not have it.
-func needsState(was, v *version.RoutedBackend) bool {
-	return v.Cold > 0 || was != nil && was.Drained && !v.Drained
+// needsState reports whether state is needed for a backend server that has none, in order to
+// remember since when it is cold. previous is its row in the previous routing, or nil.
+func needsState(previous, v *version.RoutedBackend) bool {
+	return v.Cold > 0 || previous != nil && previous.Drained && !v.Drained
 }
 
-// state returns what is known of the backend server of an index. The caller holds the lock.
+// state returns the state of a backend server, and creates it if necessary. The caller holds the
+// lock.
 func (t *Table) state(index int32) *backend {
 	u := t.states[index]
 	if u == nil {
@@ -166,8 +167,7 @@
 	return u
 }
 
-// newBackend returns a backend server of which nothing is known yet. The caller holds
-// the lock.
+// newBackend returns the initial state of a backend server. The caller holds the lock.
 func (t *Table) newBackend(v *version.RoutedBackend, s *version.RoutedService) *backend {
 	return &backend{
 		service: t.service(s), softwareInFlight: t.inFlightCounter(softwareKey{s.Name, v.Software}), policy: &t.Policy,
@@ -175,15 +175,15 @@
 	}
 }
 
-// useDefaults sets the policy unless it was set. The caller holds the lock.
+// useDefaults sets the default policy unless one was set. The caller holds the lock.
 func (t *Table) useDefaults() {
 	if t.Policy == (Policy{}) {
 		t.Policy = DefaultPolicy()
 	}
 }
 
-// install takes up what a routing says, and reports whether the backend server has
-// become cold by it.
+// applyRow applies the row of a new routing, and reports whether the backend server has become
+// cold by it.
 func (u *backend) applyRow(v *version.RoutedBackend, now time.Duration) bool {
 	before := u.coldUntil
 	if v.Cold != u.cold {
@@ -203,33 +203,32 @@
 	return u.coldUntil > before && u.coldUntil > now
 }
 
-// Routing returns the routing that is decided on, or nil.
+// Routing returns the current routing, or nil.
 func (t *Table) Routing() *version.Routing {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.routing
 }
 
-// Query is what one decision is about.
+// Query describes the request that a choice is made for.
 type Query struct {
 	Route *version.RouteView
-	// Part is the index of the route's part, as Split returned it.
+	// Part is the index of the route's part, as returned by Split.
 	Part int
-	// Target is the version that a request goes to since a roll-out of the service
-	// brings it; "": to the version in force. Nothing is chosen once the roll-out was
-	// reverted or replaced.
+	// Target is the software version that a roll-out introduces and the request goes to; "": the
+	// version in force. Nothing is chosen once the roll-out was reverted or replaced.
 	Target string
-	// Priority is the rank of the request, 0 the most urgent.
+	// Priority is the priority of the request, 0 the most urgent.
 	Priority int
 	// Object identifies the object that the request concerns; zero: none.
 	Object uint64
-	// Tried are the names of the backend servers that had the request already.
+	// Tried holds the names of the backend servers that the request was sent to already.
 	Tried []string
-	// Unlimited leaves out backend servers that name a rate limit.
+	// SkipLimited excludes backend servers that name a rate limit.
 	SkipLimited bool
 	// Left is the time until the request's deadline.
 	Left time.Duration
-	// Elapsed is the time since the request came.
+	// Elapsed is the time since the request arrived.
 	Elapsed time.Duration
 }
 
@@ -237,50 +236,48 @@
 type Pick struct {
 	Name    string
 	Address string
-	// Software is the version of the software that it runs.
+	// Software is the software version that it runs.
 	Software string
-	// Incarnation tells its starts apart. Zero: it does not say.
+	// Incarnation distinguishes its starts. Zero: not declared.
 	Incarnation int64
 	Region      string
 	Pool        *conn.Pool
-	// Rank is the place of the backend server in the object's order, 0 the first.
+	// Rank is the position of the backend server in the object's order, from 0.
 	Rank int
-	// Unseen is set if the backend server has not worked on the object lately, as far
-	// as this instance knows.
+	// Unseen is set if the backend server has not processed the object lately, as far as this
+	// instance knows.
 	Unseen bool
-	// Cold is set while the backend server counts as cold.
+	// Cold is set if the backend server is still warming up.
 	Cold bool
-	// LastResort is set if it is one that wants no more requests, and no other could take
+	// LastResort is set if the backend server wants no more requests, and no other could accept
 	// this one.
 	LastResort bool
-	// Wait is the estimated time until it begins with the request, and Needs that until
-	// it has answered.
+	// Wait is the estimated queueing time, ExpectedTime the estimated time to the answer.
 	Wait, ExpectedTime time.Duration
 
 	table     *Table
 	backend   *backend
 	object    uint64 // zero: none
-	startHash uint64 // of the backend server
+	startHash uint64 // of the backend server's incarnation
 	started   time.Duration
 	held      bool // Hold was called
-	// turnedAway is set if the answer asked for a backoff.
+	// backoffRequested is set if the answer requested a backoff.
 	backoffRequested bool
 }
 
 // Refusal says why nothing was chosen.
 type Refusal struct {
 	Code request.Code
-	// Retry is when to come back.
+	// RetryAfter is the time after which the request should be tried again.
 	RetryAfter time.Duration
-	// NoRollout is set if a query for a target was refused since the routing has no
-	// roll-out of the service, so that only the version in force may get requests.
-	NoRollout bool
-	// Why is what the choice saw.
+	// NoRollout is set if a query for a target was refused because no roll-out of the service is
+	// in progress, so that only the version in force may get requests.
+	NoRollout   bool
 	Explanation Explanation
 }
 
-// Split chooses the part of a route for a request by the weights of its route, so that
-// the shares hold after every few requests.
+// Split chooses the part of a route for a request, by weight. It is a smooth weighted round robin,
+// so that the shares hold over any few requests.
 func (t *Table) Split(v *version.RouteView) int {
 	if len(v.Parts) == 1 {
 		return 0
@@ -291,7 +288,7 @@
 	if len(credits) != len(v.Parts) {
 		credits = make([]float64, len(v.Parts))
 		for i := range credits {
-			credits[i] = rand.Float64() // instances do not all begin with the same part
+			credits[i] = rand.Float64() // so that instances do not all begin with the same part
 		}
 		t.splits[v.Name] = credits
 	}
--- a/process/balance/why.go
+++ b/process/balance/why.go
@@ -8,26 +8,26 @@
 	"github.com/rs/zerolog"
 )
 
-// Why is what a choice saw when it found no backend server: how many there are, and
-// how many of them could not be taken for each reason.
+// Explanation says why no backend server was chosen: how many there are, and how many were
+// excluded for each reason.
 type Explanation struct {
 	Backends     int
-	Closed       int // leaving by its row, or in a drained place
-	Leaving      int // leaving by its own answers
-	BackedOff    int // asked for a backoff, or refuses though it is idle
-	Limited      int // has no room within the rate limit that it names
-	OutsideHomes int // in a region that is no home of the route
+	Closed       int // leaving by its row, or drained
+	Leaving      int // leaving by its own notice
+	BackedOff    int // requested a backoff, or refuses although it is idle
+	Limited      int // its rate limit has no free capacity
+	OutsideHomes int // not in a home region of the route
 	Suspended    int // failed lately
 	Full         int // this instance's share of its connections is in use
-	Tried        int // had the request already
+	Tried        int // was sent the request already
 	Cold         int // cold, and no turn is left
-	// Best is the backend server that would have answered first, Wait the time until
-	// it would have begun, and Patience the longest wait that leaves time to
-	// answer within the objective. All are zero unless there was one.
+	// Best is the backend server that would have answered first, Wait its estimated queueing time
+	// and WaitLimit the longest wait that leaves time to answer within the objective. All are zero
+	// if there was no such server.
 	Best            string
 	Wait, WaitLimit time.Duration
 
-	lastResort int // that may get what no other can take
+	lastResort int // number that may get requests that no other can accept
 }
 
 // MarshalZerologObject adds the fields that are not zero to a log line.
@@ -48,7 +48,7 @@
 	}
 }
 
-// leftOut counts a backend server that was left out for its notices.
+// countExcluded counts a backend server that was excluded because of its notices.
 func (w *Explanation) countExcluded(u *backend, s eligibility, now time.Duration) {
 	if s == eligible {
 		return
@@ -63,9 +63,9 @@
 	}
 }
 
-// allHeldBack reports whether nothing but backoffs and rate limits kept backend servers from being
-// taken.
+// allBlocked reports whether backoffs and rate limits are the only reasons why no backend server
+// was chosen.
 func (w *Explanation) allBlocked() bool {
-	held := w.BackedOff + w.Limited
-	return held > 0 && held == w.Backends-w.Closed-w.Leaving-w.OutsideHomes
+	blocked := w.BackedOff + w.Limited
+	return blocked > 0 && blocked == w.Backends-w.Closed-w.Leaving-w.OutsideHomes
 }
