--- a/process/balance/backoff_model_test.go
+++ b/process/balance/backoff_model_test.go
@@ -14,63 +14,63 @@
 	"shalewick/version"
 )
 
-// wave is a model of some backend servers that turn everything away for a while, before many
-// instances. Time is the model's own.
+// rejectionModel simulates backend servers of which some reject all requests for a while, and the
+// instances in front of them. It has its own clock.
 type rejectionModel struct {
 	instances, backends, rejecting int
-	rate                           int           // requests a second, over all instances
-	retryAfter                     time.Duration // the time that each refusal asks for
-	gossip                         bool          // instances tell each other
+	rate                           int           // requests per second over all instances
+	retryAfter                     time.Duration // named by each rejection
+	gossip                         bool          // instances exchange observations
 }
 
-// Times of the model.
+// Times of the simulation.
 const (
 	rejectFrom     = time.Second
 	rejectUntil    = 10 * time.Second
 	simulated      = 13 * time.Second
 	simulatedWork  = 100 * time.Millisecond
-	gossipInterval = 500 * time.Millisecond // between two tellings of an instance
+	gossipInterval = 500 * time.Millisecond // between two gossip messages of an instance
 )
 
-// play returns how many refusals instances met, and how many requests were refused for good:
-// a request may be sent twice.
+// play returns how many rejections requests met, and how many requests were refused for good. A
+// request may be sent twice.
 func (w rejectionModel) play(seed uint64) (met, refused int) {
-	random := rand.New(rand.NewPCG(seed, 1))
-	all := make([]*fixture, w.instances)
-	for i := range all {
+	rng := rand.New(rand.NewPCG(seed, 1))
+	instances := make([]*fixture, w.instances)
+	for i := range instances {
 		p := newFixture(w.instances)
 		p.route(version.Weighted{Service: "t", Weight: 1})
 		for k := range w.backends {
 			p.backend(fmt.Sprintf("u%d", k), 0, func(b *version.Backend) { b.Service = "t" })
 		}
 		p.install()
-		all[i] = p
+		instances[i] = p
 	}
-	turns := make(map[string]bool)
+	rejects := make(map[string]bool)
 	for k := range w.rejecting {
-		turns[fmt.Sprintf("u%d", k)] = true
+		rejects[fmt.Sprintf("u%d", k)] = true
 	}
 	type running struct {
 		pick *Pick
 		end  time.Duration
 	}
-	var flying []running
-	begun := all[0].now
-	gap := time.Second / time.Duration(w.rate)
-	for now, beat := time.Duration(0), time.Duration(0); now < simulated; now += gap {
-		for _, p := range all {
-			p.now = begun + now
+	var inFlight []running
+	start := instances[0].now
+	interval := time.Second / time.Duration(w.rate)
+	for now, sinceGossip := time.Duration(0), time.Duration(0); now < simulated; now += interval {
+		for _, p := range instances {
+			p.now = start + now
 		}
-		for len(flying) > 0 && flying[0].end <= now {
-			flying[0].pick.Done(Answered, &Report{Running: 1, Slots: 6})
-			flying = flying[1:]
+		for len(inFlight) > 0 && inFlight[0].end <= now {
+			inFlight[0].pick.Done(Answered, &Report{Running: 1, Slots: 6})
+			inFlight = inFlight[1:]
 		}
-		if beat += gap; w.gossip && beat >= gossipInterval/time.Duration(w.instances) {
-			beat = 0
-			w.exchange(all, random)
+		if sinceGossip += interval; w.gossip && sinceGossip >= gossipInterval/time.Duration(w.instances) {
+			sinceGossip = 0
+			w.exchange(instances, rng)
 		}
-		p := all[random.IntN(len(all))]
-		q := p.query(random.Uint64N(500) + 1)
+		p := instances[rng.IntN(len(instances))]
+		q := p.query(rng.Uint64N(500) + 1)
 		served := false
 		for range 2 {
 			k, _ := p.Pick(q)
@@ -78,13 +78,13 @@
 				break
 			}
 			q.Tried = append(q.Tried, k.Name)
-			if turns[k.Name] && now >= rejectFrom && now < rejectUntil {
+			if rejects[k.Name] && now >= rejectFrom && now < rejectUntil {
 				met++
 				k.ApplyNotice(request.Notice{RetryAfter: w.retryAfter})
 				k.Done(Refused, &Report{Slots: 6})
 				continue
 			}
-			flying = append(flying, running{k, now + simulatedWork})
+			inFlight = append(inFlight, running{k, now + simulatedWork})
 			served = true
 			break
 		}
@@ -95,35 +95,35 @@
 	return met, refused
 }
 
-// tell lets any instance tell some others what it knows: all of them, or those that a beat
-// reaches in a large region.
-func (w rejectionModel) exchange(all []*fixture, random *rand.Rand) {
+// exchange lets a random instance send its observations to some others: to all, or to as many as a
+// heartbeat reaches in a large region.
+func (w rejectionModel) exchange(instances []*fixture, rng *rand.Rand) {
 	const reached, size = 14, 180
-	from := all[random.IntN(len(all))]
-	text := from.Observations(size)
-	for range min(len(all)-1, reached) {
-		all[random.IntN(len(all))].ApplyObservations(text)
+	sender := instances[rng.IntN(len(instances))]
+	text := sender.Observations(size)
+	for range min(len(instances)-1, reached) {
+		instances[rng.IntN(len(instances))].ApplyObservations(text)
 	}
 }
 
-// TestWordOfOthersSparesCallers measures what it is worth that instances tell each other who asked
-// to be left alone: refusals that callers' requests meet, and requests refused for good.
+// TestGossipReducesRejections measures how much gossip about backoffs reduces the rejections that
+// requests meet, and logs the requests that are refused for good.
 func TestGossipReducesRejections(t *testing.T) {
 	for _, w := range []rejectionModel{
 		{instances: 12, backends: 20, rejecting: 6, rate: 240, retryAfter: 3 * time.Second},
 		{instances: 100, backends: 60, rejecting: 18, rate: 1000, retryAfter: 3 * time.Second},
 	} {
 		met, refused := 0, 0
-		metTold, refusedTold := 0, 0
+		metGossip, refusedGossip := 0, 0
 		for seed := range uint64(5) {
 			m, r := w.play(seed)
 			met, refused = met+m, refused+r
 			w.gossip = true
 			m, r = w.play(seed)
-			metTold, refusedTold = metTold+m, refusedTold+r
+			metGossip, refusedGossip = metGossip+m, refusedGossip+r
 			w.gossip = false
 		}
-		t.Logf("%d instances: %d refusals met, %d refused for good; told: %d and %d", w.instances, met, refused, metTold, refusedTold)
-		assert.Assert(t, metTold < met)
+		t.Logf("%d instances: %d refusals met, %d refused for good; with gossip: %d and %d", w.instances, met, refused, metGossip, refusedGossip)
+		assert.Assert(t, metGossip < met)
 	}
 }
--- a/process/balance/backoff_test.go
+++ b/process/balance/backoff_test.go
@@ -13,8 +13,8 @@
 	"shalewick/version"
 )
 
-// turnAway lets a backend server turn a request away and ask for rest. Its load report says
-// that it is idle.
+// requestBackoff lets a backend server reject a request with a Retry-After time. Its load report
+// shows it idle.
 func (p *fixture) requestBackoff(t *testing.T, name string, d time.Duration) {
 	t.Helper()
 	k := p.pickOf(t, name)
@@ -22,13 +22,13 @@
 	k.Done(Refused, &Report{Slots: 6})
 }
 
-// TestBackendGetsTheRestItAsksFor checks that nothing goes there until the rest is over, and
-// then one request at a time until it has taken one.
+// TestBackendIsNotUsedDuringBackoff checks that a backend server gets nothing until its backoff is
+// over, and then one request at a time until it has accepted one.
 func TestBackendIsNotUsedDuringBackoff(t *testing.T) {
 	p := fixtureWith("u", "v")
-	sent := p.pickOf(t, "u") // before it asked
+	earlier := p.pickOf(t, "u") // before the backoff
 	p.requestBackoff(t, "u", 3*time.Second)
-	p.requestBackoffFor(sent, time.Second) // the later end counts
+	p.requestBackoffFor(earlier, time.Second) // the later end counts
 	for range 30 {
 		p.now += 99 * time.Millisecond
 		byName, refused := p.picks()
@@ -43,11 +43,11 @@
 	k.Done(Refused, nil)
 	p.now += 999 * time.Millisecond
 	byName, _ = p.picks()
-	assert.Equal(t, byName["u"], 0, "it asked again")
+	assert.Equal(t, byName["u"], 0, "it requested another backoff")
 	p.now += time.Millisecond
 	p.firstPick(t, "u").Done(Answered, nil)
 	byName, _ = p.picks()
-	assert.Assert(t, byName["u"] > 100, "it takes requests again")
+	assert.Assert(t, byName["u"] > 100, "it accepts requests again")
 }
 
 // firstPick returns the first request that goes to a backend server.
@@ -64,30 +64,31 @@
 	return nil
 }
 
-// turnedAwayAgain lets a request that is under way be turned away, too.
+// requestBackoffFor rejects a request that is in flight with a Retry-After time.
 func (p *fixture) requestBackoffFor(k *Pick, d time.Duration) {
 	k.ApplyNotice(request.Notice{RetryAfter: d})
 	k.Done(Refused, nil)
 }
 
-// TestAnswerSentBeforeItEndsNoRest checks that a request that the backend server ran since
-// before it asked for rest tells nothing, and that one that is sent now is withheld.
+// TestAnswerToOlderRequestEndsNoBackoff checks that the answer to a request that was sent before
+// the backoff does not end it, and that a request that was chosen but not sent yet is withheld.
 func TestAnswerToOlderRequestEndsNoBackoff(t *testing.T) {
 	p := fixtureWith("u", "v")
-	runs, waits := p.pickOf(t, "u"), p.pickOf(t, "u")
+	running, unsent := p.pickOf(t, "u"), p.pickOf(t, "u")
 	p.requestBackoff(t, "u", time.Second)
-	assert.Assert(t, !waits.Allowed())
+	assert.Assert(t, !unsent.Allowed())
 	p.now += 500 * time.Millisecond
-	runs.Done(Answered, &Report{Running: 1, Slots: 6})
+	running.Done(Answered, &Report{Running: 1, Slots: 6})
 	byName, _ := p.picks()
 	assert.Equal(t, byName["u"], 0)
 	p.changeRow("u", func(b *version.Backend) { b.Incarnation = 2 })
 	byName, _ = p.picks()
-	assert.Assert(t, byName["u"] > 0, "it started again")
+	assert.Assert(t, byName["u"] > 0, "it restarted")
 }
 
-// TestRefusalThatAsksForRestTeachesNothing checks that a backend server that turns everything
-// away looks no less busy and no quicker for it, neither here nor to others.
+// TestRetryAfterAnswerLeavesEstimatesUnchanged checks that a backend server that rejects
+// everything does not look less busy or quicker because of it, neither to this instance nor in
+// gossip.
 func TestRetryAfterAnswerLeavesEstimatesUnchanged(t *testing.T) {
 	p := fixtureWith("u", "v")
 	p.pickOf(t, "u").Done(Answered, &Report{Running: 5, Waiting: 2, Slots: 6})
@@ -95,7 +96,7 @@
 	load, work, share := u.load(p.now), u.work, u.share
 	p.requestBackoff(t, "u", time.Second)
 	k := p.pickOf(t, "v")
-	k.backend = u // an answer of the backend server's own, a 503 that it ran
+	k.backend = u // a 503 of the backend server itself, after it ran the request
 	u.inFlight++
 	k.ApplyNotice(request.Notice{RetryAfter: time.Second})
 	k.Done(Answered, &Report{Slots: 6})
@@ -104,13 +105,13 @@
 	assert.Equal(t, u.share, share)
 }
 
-// TestOnlyWhoMayBeSentOnFindsOut checks that a request that is on its last attempt is not
-// the one that finds out whether a rest is over, while others can take it.
-func TestOnlyRetryableRequestsProbeAfterBackoff(t *testing.T) {
+// TestLastAttemptDoesNotTestBackoff checks that a request on its last attempt does not
+// test whether a backoff is over, while others can accept it.
+func TestLastAttemptDoesNotTestBackoff(t *testing.T) {
 	p := fixtureWith("u", "v", "w")
 	p.requestBackoff(t, "u", time.Second)
 	p.now += time.Second
-	last := func(object uint64) string {
+	lastAttempt := func(object uint64) string {
 		q := p.query(object)
 		q.Tried = []string{"w"}
 		k, _ := p.Pick(q)
@@ -119,23 +120,23 @@
 		return k.Name
 	}
 	for object := range uint64(100) {
-		assert.Equal(t, last(object+1), "v")
+		assert.Equal(t, lastAttempt(object+1), "v")
 	}
 	p.changeRow("v", func(b *version.Backend) { b.Leaving = true })
-	assert.Equal(t, last(1), "u", "no other can take it")
+	assert.Equal(t, lastAttempt(1), "u", "no other can accept it")
 	p.changeRow("v", func(b *version.Backend) { b.Leaving = false })
 	p.now += retryableTrialsFor
 	got := 0
 	for object := range uint64(100) {
-		if last(object+1) == "u" {
+		if lastAttempt(object+1) == "u" {
 			got++
 		}
 	}
-	assert.Assert(t, got > 0, "nobody who might came")
+	assert.Assert(t, got > 0, "no retryable request came")
 }
 
-// TestRefusalSaysWhenTheFirstRestIsOver checks the time to come back, and that it is the usual
-// one if other reasons kept a backend server from being taken.
+// TestRetryAfterIsShortestBackoff checks the retry-after time of a refusal, and that it is the
+// usual one if a backend server was excluded for another reason.
 func TestRetryAfterIsShortestBackoff(t *testing.T) {
 	p := fixtureWith("u", "v")
 	p.requestBackoff(t, "u", 5*time.Second)
@@ -152,14 +153,14 @@
 	assert.Assert(t, refusal.RetryAfter < 2*p.Policy.NoBackendRetryAfter, "%s", refusal.RetryAfter)
 }
 
-// TestRestOfAnotherInstanceIsAvoided checks that what another instance was asked for keeps
-// nothing from being served, ends by itself and with an own answer, and is not passed on.
+// TestGossipedBackoffMakesLastResort checks that a backoff learned by gossip refuses no request,
+// ends by itself and with an answer to this instance, and is not passed on.
 func TestGossipedBackoffMakesLastResort(t *testing.T) {
 	a, b, _ := twoInstances("u", "v")
 	a.requestBackoff(t, "u", 1990*time.Millisecond)
-	told := a.Observations(noSizeLimit)
-	assert.Equal(t, len(told), observationBytes)
-	b.ApplyObservations(told)
+	gossip := a.Observations(noSizeLimit)
+	assert.Equal(t, len(gossip), observationBytes)
+	b.ApplyObservations(gossip)
 	byName, refused := b.picks()
 	assert.Equal(t, byName["u"], 0)
 	assert.Equal(t, refused, 0)
@@ -171,61 +172,61 @@
 	k.Done(Answered, nil)
 	b.changeRow("v", func(b *version.Backend) { b.Leaving = false })
 	byName, _ = b.picks()
-	assert.Assert(t, byName["u"] > 0, "it took a request of this instance")
-	b.ApplyObservations(told)
+	assert.Assert(t, byName["u"] > 0, "it accepted a request of this instance")
+	b.ApplyObservations(gossip)
 	b.now += 1800 * time.Millisecond
 	byName, _ = b.picks()
 	assert.Equal(t, byName["u"], 0)
 	b.now += 100 * time.Millisecond
 	byName, _ = b.picks()
-	assert.Assert(t, byName["u"] > 0, "rounded down, it was 1.9 s")
+	assert.Assert(t, byName["u"] > 0, "1.99 s is rounded down to 1.9 s")
 	a.now += 1900 * time.Millisecond
-	assert.Equal(t, len(a.Observations(noSizeLimit)), 0, "too little is left")
+	assert.Equal(t, len(a.Observations(noSizeLimit)), 0, "too little time is left")
 }
 
-// TestNoRequestWithinARest draws answers, rests, rumours, rows, starts and jumps of the clock in
-// any order and checks the promise: no request is chosen, and none that was chosen may be
-// sent, while a start of a backend server wants rest; and once that is over and a request
-// that may be sent on comes alone, it is chosen again.
+// TestNoRequestDuringBackoff draws answers, backoffs, gossip, rows, restarts and clock jumps in
+// any order. No request may be chosen or sent while an incarnation of a backend server is backing
+// off. Once the backoff is over and no other request is in flight, a retryable request must be
+// sent to it.
 func TestNoRequestDuringBackoff(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := fixtureWith("u")
 		until, incarnation := time.Duration(0), int64(1)
-		var flying []*Pick
+		var inFlight []*Pick
 		t.Repeat(map[string]func(*rapid.T){
 			"time":    func(t *rapid.T) { p.now += time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond },
 			"suspend": func(*rapid.T) { p.now += time.Minute },
-			"rumour":  func(*rapid.T) { p.ApplyObservations(p.appendEntry(nil, 0, 20, loadBackoff)) },
+			"gossip":  func(*rapid.T) { p.ApplyObservations(p.appendEntry(nil, 0, 20, loadBackoff)) },
 			"row":     func(*rapid.T) { p.changeRow("u", func(b *version.Backend) { b.Slots++ }) },
-			"start": func(*rapid.T) {
+			"restart": func(*rapid.T) {
 				incarnation++
-				until, flying = 0, nil
+				until, inFlight = 0, nil
 				p.changeRow("u", func(b *version.Backend) { b.Incarnation = incarnation })
 			},
 			"send": func(t *rapid.T) {
 				k, _ := p.Pick(p.query(rapid.Uint64Range(1, 50).Draw(t, "object")))
 				if k == nil {
-					assert.Assert(t, p.now < until || len(flying) > 0, "it is not asked")
+					assert.Assert(t, p.now < until || len(inFlight) > 0, "it gets no request after the backoff")
 					return
 				}
-				assert.Assert(t, p.now >= until, "%s before the end", until-p.now)
-				flying = append(flying, k)
+				assert.Assert(t, p.now >= until, "%s before the end of the backoff", until-p.now)
+				inFlight = append(inFlight, k)
 			},
 			"answer": func(t *rapid.T) {
-				if len(flying) == 0 {
+				if len(inFlight) == 0 {
 					return
 				}
-				k := flying[0]
-				flying = flying[1:]
-				if d := rapid.IntRange(0, 4000).Draw(t, "rest"); d > 0 {
-					rest := time.Duration(d) * time.Millisecond
-					k.ApplyNotice(request.Notice{RetryAfter: rest})
-					until = max(until, p.now+rest)
+				k := inFlight[0]
+				inFlight = inFlight[1:]
+				if d := rapid.IntRange(0, 4000).Draw(t, "backoff"); d > 0 {
+					backoff := time.Duration(d) * time.Millisecond
+					k.ApplyNotice(request.Notice{RetryAfter: backoff})
+					until = max(until, p.now+backoff)
 				}
 				k.Done(Refused, &Report{Slots: 6})
 			},
 			"": func(t *rapid.T) {
-				for _, k := range flying {
+				for _, k := range inFlight {
 					assert.Equal(t, k.Allowed(), p.now >= until)
 				}
 			},
--- a/process/balance/balance_test.go
+++ b/process/balance/balance_test.go
@@ -33,16 +33,15 @@
 	}
 }
 
-// TestOverloadKeepsObjectsAtFewBackends checks a burst beyond what there is room for: it
-// must not spread the objects over all backend servers, where each is worked on as
-// unseen.
+// TestOverloadKeepsObjectsOnFewBackends checks that a burst beyond the capacity does not spread
+// the objects over all backend servers, where each would be processed as unseen.
 func TestOverloadKeepsObjectsOnFewBackends(t *testing.T) {
 	p := newFixture(1)
 	for i := range 20 {
 		p.backend(fmt.Sprintf("u%d", i), i%3, nil)
 	}
 	p.install()
-	places := make(map[uint64]map[string]bool)
+	backendsOf := make(map[uint64]map[string]bool)
 	refused := 0
 	for i := range 2000 {
 		object := uint64(i%70 + 1)
@@ -53,19 +52,19 @@
 			refused++
 			continue
 		}
-		if places[object] == nil {
-			places[object] = make(map[string]bool)
+		if backendsOf[object] == nil {
+			backendsOf[object] = make(map[string]bool)
 		}
-		places[object][k.Name] = true
+		backendsOf[object][k.Name] = true
 	}
 	assert.Assert(t, refused > 0)
-	for object, at := range places {
-		assert.Assert(t, len(at) <= p.Policy.NearChoices+p.Policy.FarChoices, "object %d at %v", object, at)
+	for object, names := range backendsOf {
+		assert.Assert(t, len(names) <= p.Policy.NearChoices+p.Policy.FarChoices, "object %d at %v", object, names)
 	}
 }
 
-// TestColdBackendGetsItsRateOverAllInstances plays many instances that learn
-// of a cold backend server at the same moment.
+// TestWarmingRateHoldsAcrossInstances simulates many instances that learn of a cold backend server
+// at the same moment.
 func TestWarmingRateHoldsAcrossInstances(t *testing.T) {
 	const rate, overage, slack = 9, 1.5, 5
 	for _, instances := range []int{1, 3, 12, 89} {
@@ -85,22 +84,23 @@
 				}
 			}
 		}
-		most := maxPerSecond(sent)
-		assert.Assert(t, float64(most) <= rate*overage+slack, "%d instances: %d in one second", instances, most)
-		assert.Assert(t, len(sent) > rate, "%d instances: only %d in three seconds", instances, len(sent))
+		peak := maxPerSecond(sent)
+		assert.Assert(t, float64(peak) <= rate*overage+slack, "%d instances sent %d in one second", instances, peak)
+		assert.Assert(t, len(sent) > rate, "%d instances sent only %d in three seconds", instances, len(sent))
 	}
 }
 
-func maxPerSecond(at []time.Duration) int {
-	sort.Slice(at, func(i, j int) bool { return at[i] < at[j] })
-	most, from := 0, 0
-	for i := range at {
-		for at[i]-at[from] >= time.Second {
+// maxPerSecond returns the largest number of times within a second.
+func maxPerSecond(times []time.Duration) int {
+	sort.Slice(times, func(i, j int) bool { return times[i] < times[j] })
+	highest, from := 0, 0
+	for i := range times {
+		for times[i]-times[from] >= time.Second {
 			from++
 		}
-		most = max(most, i-from+1)
+		highest = max(highest, i-from+1)
 	}
-	return most
+	return highest
 }
 
 func TestBackendIsColdAfterADrain(t *testing.T) {
@@ -126,23 +126,22 @@
 	p.pick(t, 1)
 }
 
-// TestRequestIsRefusedBeyondItsObjective checks that requests wait for as long as
-// they can be answered within their objective, and that further ones are refused at
-// once with a time to come back.
+// TestRequestBeyondObjectiveIsRefused checks that requests queue as long as they can be answered
+// within their objective, and that further ones are refused at once with a retry-after time.
 func TestRequestBeyondObjectiveIsRefused(t *testing.T) {
 	p := newFixture(1)
 	p.backend("a", 0, func(u *version.Backend) { u.Slots = 1 })
 	p.install()
 	p.pick(t, 1)
-	p.pick(t, 1) // waits for 200 ms, and 200 ms of work make the objective of 400 ms
+	p.pick(t, 1) // waits for 200 ms; with 200 ms of processing this is the objective of 400 ms
 	k, refusal := p.Pick(p.query(1))
 	assert.Assert(t, k == nil)
 	assert.Equal(t, refusal.Code, request.QueueFull)
 	assert.Assert(t, refusal.RetryAfter >= p.Policy.MinRetryAfter)
 }
 
-// TestUnknownBackendIsTakenToBeLikeTheOthers checks that after a start the first
-// answers of some backend servers tell how long requests may wait at the others.
+// TestUnknownBackendUsesServiceEstimate checks that after a start the first answers of some
+// backend servers set the assumed processing time of the others.
 func TestUnknownBackendUsesServiceEstimate(t *testing.T) {
 	p := newFixture(1)
 	p.backend("a", 0, nil)
@@ -161,8 +160,8 @@
 	assert.Assert(t, work > 80*time.Millisecond && work < 130*time.Millisecond, "%s", work)
 }
 
-// TestUrgentRequestIsTakenWhereAnotherIsRefused checks that the priority of routes
-// decides when their requests meet at a busy backend server.
+// TestUrgentRequestIsAcceptedWhereOthersAreRefused checks that the priority of routes decides when
+// their requests compete for a busy backend server.
 func TestUrgentRequestIsAcceptedWhereOthersAreRefused(t *testing.T) {
 	p := newFixture(1)
 	p.backend("a", 0, func(u *version.Backend) { u.Slots = 4 })
@@ -180,7 +179,7 @@
 		route := p.Routing().Route("a", path)
 		return &Query{Route: route, Priority: route.Priority, Object: 1, Left: time.Second}
 	}
-	for { // until the less urgent ones find no room
+	for { // until the less urgent ones are refused
 		k, refusal := p.Pick(query("/later/"))
 		if k == nil {
 			assert.Equal(t, refusal.Code, request.QueueFull)
@@ -191,8 +190,8 @@
 	assert.Assert(t, k != nil)
 }
 
-// TestRequestWithoutTimeToBeServedIsNotSent checks that a request with less time
-// than its backend server needs is refused as one that has not run.
+// TestRequestNearDeadlineIsNotSent checks that a request with less time left than its backend
+// server needs is refused as one that was not run.
 func TestRequestNearDeadlineIsNotSent(t *testing.T) {
 	p := newFixture(1)
 	p.backend("a", 0, nil)
@@ -212,8 +211,8 @@
 	assert.Assert(t, k != nil)
 }
 
-// TestConnectionsAreShared checks that an instance takes no more than its share
-// of the connections that a backend server accepts.
+// TestConnectionsAreShared checks that an instance uses no more than its share of the connections
+// that a backend server accepts.
 func TestConnectionsAreShared(t *testing.T) {
 	p := newFixture(12)
 	p.put(version.Resource{Key: version.Key{Kind: version.KindService, Name: "s"}, Service: &version.Service{MaxConnections: 36}})
@@ -260,8 +259,8 @@
 	}
 }
 
-// TestQueryOfAnOlderRoutingIsSafe checks that a request that began before its
-// service went away is refused.
+// TestQueryOfAnOlderRoutingIsSafe checks that a request that started before its service was
+// removed is refused.
 func TestQueryOfAnOlderRoutingIsSafe(t *testing.T) {
 	p := newFixture(1)
 	p.backend("a", 0, nil)
--- a/process/balance/bench_test.go
+++ b/process/balance/bench_test.go
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestChoiceLooksAtFew checks that a choice among thousands looks at few of them, so that its cost
-// hardly grows with a service, and that each still gets its share of the objects. A choice
-// looked at all: 430 us among 5,376.
+// TestChoiceExaminesFewBackends checks that a choice among thousands of backend servers examines
+// few of them, so that its cost hardly grows with the service, and that each still gets its share
+// of the objects. A choice that examined all 5,376 took 430 us.
 func TestChoiceExaminesFewBackends(t *testing.T) {
 	const choices = 4000
 	for _, n := range []int{300, 5376, 10752} {
@@ -27,18 +27,18 @@
 			counts[k.Name]++
 			k.Done(Abandoned, nil)
 		}
-		looked := p.examined / choices
-		t.Logf("%d backend servers: a choice looks at %d", n, looked)
-		assert.Assert(t, looked <= max(1024, 4*n/128), "%d of %d", looked, n)
+		examined := p.examined / choices
+		t.Logf("%d backend servers: a choice examines %d", n, examined)
+		assert.Assert(t, examined <= max(1024, 4*n/128), "%d of %d", examined, n)
 		mean := float64(choices) / float64(n)
-		for name, c := range counts { // Poisson, but for one of 10 million
+		for name, c := range counts { // Poisson bound, exceeded by one in 10 million
 			assert.Assert(t, float64(c) <= mean+6*math.Sqrt(mean)+6, "%s got %d of %d", name, c, choices)
 		}
 	}
 }
 
-// TestFewObjectsMoveAsServersCome checks that a server that comes or leaves moves few objects but
-// those that it gets or had.
+// TestFewObjectsMoveWhenBackendIsAdded checks that a new server gets its share of the objects, and
+// that few others move.
 func TestFewObjectsMoveWhenBackendIsAdded(t *testing.T) {
 	const objects = 4000
 	for _, n := range []int{40, 600, 2000} {
@@ -47,7 +47,7 @@
 			p.backend(fmt.Sprintf("u%d", i), 0, nil)
 		}
 		p.install()
-		firsts := func() []string {
+		firstChoices := func() []string {
 			out := make([]string, objects)
 			for i := range out {
 				k := p.pick(t, uint64(i+1))
@@ -56,11 +56,11 @@
 			}
 			return out
 		}
-		before := firsts()
+		before := firstChoices()
 		p.backend("new", 0, nil)
 		p.install()
 		moved, toNew := 0, 0
-		for i, name := range firsts() {
+		for i, name := range firstChoices() {
 			switch {
 			case name == "new":
 				toNew++
@@ -76,7 +76,7 @@
 	}
 }
 
-// BenchmarkPick measures one choice and its end among the backend servers of a service.
+// BenchmarkPick measures a choice and its end among the backend servers of a service.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{20, 579, 1300, 5376} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -95,7 +95,7 @@
 	}
 }
 
-// BenchmarkTargetHome measures the home of an object that was asked for before.
+// BenchmarkTargetHome measures the lookup of a cached home.
 func BenchmarkTargetHome(b *testing.B) {
 	p := newFixture(12)
 	for i := range 80 {
@@ -108,7 +108,7 @@
 	for b.Loop() {
 		q.Object = q.Object%1000 + 1
 		if _, ok := p.TargetHome(q); !ok {
-			b.Fatal("none")
+			b.Fatal("no home")
 		}
 	}
 }
--- a/process/balance/fixture_test.go
+++ b/process/balance/fixture_test.go
@@ -15,13 +15,13 @@
 	"shalewick/version"
 )
 
-// place is a table with a clock that the test moves.
+// fixture is a table with a configuration and a clock that the test advances.
 type fixture struct {
 	*Table
 	now          time.Duration
-	index, count int
+	index, count int // returned by MemberIndex
 	config       *version.Config
-	ports        uint16 // taken by backend servers
+	ports        uint16 // allocated to backend servers
 }
 
 func newFixture(instances int) *fixture {
@@ -75,7 +75,7 @@
 	return k
 }
 
-// pickOther picks a backend server other than one that had the request already.
+// pickOther chooses a backend server other than one that was tried already.
 func (p *fixture) pickOther(t *testing.T, object uint64, tried string) *Pick {
 	t.Helper()
 	q := p.query(object)
@@ -85,10 +85,10 @@
 	return k
 }
 
-// stateOf returns what is known of a backend server.
+// stateOf returns the state of a backend server.
 func (p *fixture) stateOf(name string) *backend { return p.state(p.routing.Find(name)) }
 
-// lifeOf returns what identifies the present start of a backend server.
+// startHashOf returns the hash that identifies the present incarnation of a backend server.
 func (p *fixture) startHashOf(name string) uint64 {
 	for i := range p.routing.Backends {
 		if p.routing.Backends[i].Name == name {
--- a/process/balance/hall_test.go
+++ b/process/balance/hall_test.go
@@ -12,8 +12,8 @@
 	"shalewick/version"
 )
 
-// uploadsOf returns, by hall, where the uploads of many objects go from a hall of the region r0, in
-// which each of some halls has so many backend servers.
+// hallShares returns the share of requests that goes to each hall, from an instance in one hall of
+// the region r0. servers holds the number of backend servers in each hall.
 func hallShares(t *testing.T, class request.Class, hall string, servers map[string]int) map[string]float64 {
 	t.Helper()
 	p := newFixture(1)
@@ -37,16 +37,17 @@
 	return out
 }
 
-// TestUploadsStayInTheHall checks that large bodies go to the hall's own backend servers, as far as
-// these are the hall's share of its region, and that no more leaves the region for it. Half of
-// them crossed to the other hall, for which no caller gained anything.
+// TestUploadsStayInTheHall checks that large bodies go to the backend servers of the hall, up to
+// the hall's share of the region's capacity, and that no more requests leave the region because of
+// it. Without the preference half of them crossed to the other hall, without benefit to any
+// caller.
 func TestUploadsStayInTheHall(t *testing.T) {
 	even := map[string]int{"a": 8, "b": 8}
-	got := hallShares(t, request.ClassUpload, "a", even)
-	assert.Assert(t, got["b"] < 0.03 && got["a"] > 0.8, "%v", got)
-	before := hallShares(t, request.ClassRead, "a", even)
-	assert.Assert(t, before["b"] > 0.3 && before["a"] > 0.3, "%v", before)
-	assert.Assert(t, got["hr1"] < before["hr1"]+0.03, "%v, others %v", got, before)
+	uploads := hallShares(t, request.ClassUpload, "a", even)
+	assert.Assert(t, uploads["b"] < 0.03 && uploads["a"] > 0.8, "%v", uploads)
+	reads := hallShares(t, request.ClassRead, "a", even)
+	assert.Assert(t, reads["b"] > 0.3 && reads["a"] > 0.3, "%v", reads)
+	assert.Assert(t, uploads["hr1"] < reads["hr1"]+0.03, "%v, reads %v", uploads, reads)
 	few := hallShares(t, request.ClassUpload, "a", map[string]int{"a": 4, "b": 12})
 	assert.Assert(t, few["a"] > 0.35 && few["a"] < 0.6, "%v", few)
 	none := hallShares(t, request.ClassUpload, "c", even)
--- a/process/balance/home_test.go
+++ b/process/balance/home_test.go
@@ -18,8 +18,8 @@
 	return hash
 }
 
-// TestHomeIsTheFirstChoiceAtTheTarget compares the homes of objects with the first
-// choices of an idle target.
+// TestHomeIsTheFirstChoiceAtTheTarget compares the homes of objects with the first choices at an
+// idle target.
 func TestHomeIsTheFirstChoiceAtTheTarget(t *testing.T) {
 	p := twoVersions(3, 4)
 	p.admit("v1", "v2")
@@ -27,16 +27,16 @@
 	for object := range uint64(500) {
 		k, _ := p.Pick(p.target(object + 1))
 		k.Done(Abandoned, nil)
-		for range 2 { // reckoned, and kept
+		for range 2 { // computed, then cached
 			assert.Equal(t, p.home(t, object+1), k.startHash)
 		}
 		homes[k.startHash] = true
 	}
-	assert.Equal(t, len(homes), 4, "the target's servers of this region")
+	assert.Equal(t, len(homes), 4, "the target's servers in this region")
 }
 
-// TestHomeFollowsWhoTakesWork checks that the home moves away from a backend server that
-// fails, and back, and that a change of the routing counts at once.
+// TestHomeMovesAwayFromUnusableBackend checks that the home moves away from a backend server that
+// fails, and back, and that a change of the routing takes effect at once.
 func TestHomeMovesAwayFromUnusableBackend(t *testing.T) {
 	p := twoVersions(3, 2)
 	p.admit("v1", "v2")
@@ -47,7 +47,7 @@
 	second := p.home(t, 7)
 	assert.Assert(t, second != first)
 	p.now += time.Minute
-	again, _ := p.Pick(p.target(7)) // a connection is opened to it
+	again, _ := p.Pick(p.target(7)) // it is probed
 	again.Done(Answered, nil)
 	assert.Equal(t, p.home(t, 7), first)
 
@@ -63,7 +63,7 @@
 	assert.Equal(t, p.home(t, 7), k.startHash)
 }
 
-// TestNoHome lists the queries that have none.
+// TestQueriesWithoutHome checks the queries that have no home.
 func TestQueriesWithoutHome(t *testing.T) {
 	p := twoVersions(3, 1)
 	p.admit("v1", "v2")
@@ -79,13 +79,12 @@
 	none(p.query(0))
 	p.admit("v1", "absent")
 	none(p.query(7))
-	none(p.query(7)) // kept
+	none(p.query(7)) // cached
 	none(p.query(0))
 }
 
-// TestRequestWithoutAnObjectMayGoAnywhere checks that requests without an object, or on a
-// route that keeps none in one place, get any backend server of the target that may serve
-// them.
+// TestRequestWithoutObjectGoesToAnyBackend checks that requests without an object, or on a route
+// that is not sticky, may get any backend server of the target that may serve them.
 func TestRequestWithoutObjectGoesToAnyBackend(t *testing.T) {
 	p := twoVersions(3, 4)
 	route := p.config.Resources[version.Key{Kind: version.KindRoute, Name: "r"}].Route
@@ -108,7 +107,7 @@
 	}
 }
 
-// anyHomes returns the homes that an object gets in many queries.
+// homesOf returns the homes that many queries for an object get.
 func (p *fixture) homesOf(t *testing.T, object uint64) map[uint64]bool {
 	out := make(map[uint64]bool)
 	for range 500 {
@@ -117,7 +116,7 @@
 	return out
 }
 
-// TestHomesAreBounded asks for more homes than are kept.
+// TestHomesAreBounded checks the bound of the cached homes.
 func TestHomesAreBounded(t *testing.T) {
 	p := twoVersions(3, 1)
 	p.admit("v1", "v2")
--- a/process/balance/load_test.go
+++ b/process/balance/load_test.go
@@ -15,11 +15,11 @@
 	"shalewick/version"
 )
 
-// A model of choices under load: backend servers with slots, a queue, and objects that
-// they have seen or not, before one instance in each of three regions. Time is
-// the model's own, so a run takes milliseconds.
+// A simulation of choices under load: backend servers with slots, a queue, and objects that
+// they have seen or not, and one instance in each of three regions. It has its own clock,
+// so that a run takes milliseconds.
 
-// Work on an object that a backend server has seen, and on another one, and the time
+// Processing times of objects that a backend server has seen or not, and the time
 // within which requests should be answered.
 const (
 	seenWork   = 110 * time.Millisecond
@@ -27,14 +27,14 @@
 	objective  = 250 * time.Millisecond
 )
 
-// modelBackend is one backend server of the model.
+// modelBackend is a simulated backend server.
 type modelBackend struct {
-	free []time.Duration // when each slot is free
+	free []time.Duration // when each slot becomes free
 	seen map[uint64]bool
-	out  int // requests that run or wait
+	out  int // requests running or queued
 }
 
-// run takes a request on an object and returns when it is answered.
+// run accepts a request on an object and returns when it is answered.
 func (b *modelBackend) run(object uint64, now time.Duration) time.Duration {
 	slot := 0
 	for i := range b.free {
@@ -46,13 +46,13 @@
 	if b.seen[object] {
 		work = seenWork
 	}
-	b.seen[object] = true // also while the first request runs
+	b.seen[object] = true // from the start of the first request on
 	b.free[slot] = max(now, b.free[slot]) + work
 	b.out++
 	return b.free[slot]
 }
 
-// answer is an answer on its way.
+// answer is an answer that is due at a time.
 type answer struct {
 	at      time.Duration
 	pick    *Pick
@@ -72,7 +72,7 @@
 	return x
 }
 
-// model is the whole of it.
+// model holds the instances, the backend servers and the answers that are due.
 type model struct {
 	regions  []*fixture
 	backends map[string]*modelBackend
@@ -81,7 +81,7 @@
 	random   *rand.Rand
 }
 
-// newModel returns a model with so many backend servers in each region.
+// newModel returns a model with a number of backend servers in each region.
 func newModel(policy Policy, seed uint64, backends ...int) *model {
 	m := &model{backends: make(map[string]*modelBackend), random: rand.New(rand.NewPCG(seed, 1)), now: time.Hour}
 	for r := range backends {
@@ -104,7 +104,7 @@
 	return m
 }
 
-// advance gives the answers that are due until a moment.
+// advance delivers the answers that are due and moves the clock to a time.
 func (m *model) advance(to time.Duration) {
 	for len(m.pending) > 0 && m.pending[0].at <= to {
 		a := heap.Pop(&m.pending).(answer)
@@ -117,22 +117,22 @@
 	m.now = to
 }
 
-// outcome counts what became of the requests of one region in a window.
+// outcome counts the results of the requests of one region in a window.
 type outcome struct {
 	sent, refused int
 	late          int            // answered after the objective
-	region        map[string]int // where those that were taken ran
+	region        map[string]int // where the accepted ones ran
 }
 
-// objectsPerRegion is the number of objects that are asked for in each region.
+// objectsPerRegion is the number of objects that are requested in each region.
 const objectsPerRegion = 79
 
-// play sends requests from each region at a rate, and returns the outcomes of
-// each window of two seconds by region.
+// play sends requests from each region at a rate, and returns the outcomes by window of two
+// seconds and region.
 func (m *model) play(length time.Duration, rate func(region int, at time.Duration) float64) [][]outcome {
 	const window = 2 * time.Second
 	const step = time.Millisecond
-	begun := m.now
+	start := m.now
 	var out [][]outcome
 	for at := time.Duration(0); at < length; at += step {
 		if at%window == 0 {
@@ -142,11 +142,11 @@
 			if m.random.Float64() >= rate(r, at)*step.Seconds() {
 				continue
 			}
-			m.advance(begun + at)
+			m.advance(start + at)
 			m.send(p, uint64(r*1000+m.random.IntN(objectsPerRegion)+1), &out[len(out)-1][r])
 		}
 	}
-	m.advance(begun + length)
+	m.advance(start + length)
 	return out
 }
 
@@ -173,7 +173,7 @@
 	heap.Push(&m.pending, answer{at: at, pick: pick, backend: b})
 }
 
-// refusedShare returns the share of requests that were refused from a window on.
+// refusedShare returns the share of requests that were refused, starting with a window.
 func refusedShare(windows [][]outcome, from int) float64 {
 	asked, refused := 0, 0
 	for _, w := range windows[from:] {
@@ -185,10 +185,10 @@
 	return float64(refused) / float64(asked)
 }
 
-// mostShifted returns the largest part of a region's requests that ran in other
-// regions than those of the window before.
+// maxShift returns the largest share of a region's requests that moved to other regions from one
+// window to the next.
 func maxShift(windows [][]outcome, from int) float64 {
-	most := 0.0
+	largest := 0.0
 	for i := from + 1; i < len(windows); i++ {
 		for r := range windows[i] {
 			now, before := windows[i][r], windows[i-1][r]
@@ -197,35 +197,34 @@
 				share := float64(n) / float64(now.sent-now.refused)
 				moved += max(0, share-float64(before.region[region])/float64(before.sent-before.refused))
 			}
-			most = max(most, moved)
+			largest = max(largest, moved)
 		}
 	}
-	return most
+	return largest
 }
 
-// TestUnevenDemandIsSpreadWithoutSwings plays regions whose demand differs and
-// turns round slowly, at half of the capacity, with two backend servers in one region
-// and nine in each other.
+// TestUnevenDemandIsSpreadWithoutOscillation simulates regions whose demand differs and varies
+// slowly, at half of the capacity, with two backend servers in one region and nine in each other.
 func TestUnevenDemandIsSpreadWithoutOscillation(t *testing.T) {
 	const (
-		mean   = 180.0 // requests a second and region
+		mean   = 180.0 // requests per second and region
 		period = 36.0  // seconds
 	)
 	rate := func(region int, at time.Duration) float64 {
 		return mean * (1 + 0.55*math.Sin(2*math.Pi*(at.Seconds()/period+float64(region)/3)))
 	}
-	still := DefaultPolicy()
-	still.ShareStep = 0
-	refusedStill, refused, shifted := 0.0, 0.0, 0.0
+	fixedShares := DefaultPolicy()
+	fixedShares.ShareStep = 0
+	refusedFixed, refused, shifted := 0.0, 0.0, 0.0
 	const plays = 4
 	for seed := range uint64(plays) {
-		refusedStill += refusedShare(newModel(still, seed, 9, 9, 2).play(36*time.Second, rate), 3) / plays
+		refusedFixed += refusedShare(newModel(fixedShares, seed, 9, 9, 2).play(36*time.Second, rate), 3) / plays
 		windows := newModel(DefaultPolicy(), seed, 9, 9, 2).play(36*time.Second, rate)
 		refused += refusedShare(windows, 3) / plays
 		shifted = max(shifted, maxShift(windows, 3))
 	}
-	t.Logf("refused: %.4f with shares that stay, %.4f with those that follow the load; at most %.3f of a region's requests moved in 2 s",
-		refusedStill, refused, shifted)
-	assert.Assert(t, refused < refusedStill*2/3)
+	t.Logf("refused: %.4f with fixed shares, %.4f with shares that follow the load; at most %.3f of a region's requests moved in 2 s",
+		refusedFixed, refused, shifted)
+	assert.Assert(t, refused < refusedFixed*2/3)
 	assert.Assert(t, shifted < 0.15)
 }
--- a/process/balance/notice_test.go
+++ b/process/balance/notice_test.go
@@ -16,7 +16,7 @@
 
 var leavingNotice = request.Notice{Leaving: true}
 
-// row changes the row of a backend server.
+// changeRow changes the row of a backend server.
 func (p *fixture) changeRow(name string, change func(*version.Backend)) {
 	key := version.Key{Kind: version.KindBackend, Name: name}
 	b := *p.config.Resources[key].Backend
@@ -25,7 +25,7 @@
 	p.install()
 }
 
-// heed lets a backend server tell a table something in an answer.
+// notify lets a backend server send a notice in an answer.
 func (p *fixture) notify(t *testing.T, name string, n request.Notice) {
 	t.Helper()
 	k := p.pickOf(t, name)
@@ -33,7 +33,7 @@
 	k.Done(Answered, nil)
 }
 
-// picks counts by name which backend servers get requests for many objects.
+// picks counts by name which backend servers get the requests for many objects.
 func (p *fixture) picks() (byName map[string]int, refused int) {
 	byName = make(map[string]int)
 	for object := range uint64(300) {
@@ -48,7 +48,7 @@
 	return byName, refused
 }
 
-// placeOf returns a place with backend servers of a service that bounds nothing.
+// fixtureWith returns a fixture with backend servers of the default service.
 func fixtureWith(names ...string) *fixture {
 	p := newFixture(1)
 	p.LeavingGrace = time.Second
@@ -59,8 +59,8 @@
 	return p
 }
 
-// TestAnswerThatItLeavesOutweighsTheRow checks what takes the word of an answer back, and
-// what does not: a newer row that never said that it leaves does not.
+// TestLeavingNoticeOverridesRow checks what cancels a notice that a backend server is leaving. A
+// newer row that never said so does not.
 func TestLeavingNoticeOverridesRow(t *testing.T) {
 	gets := func(p *fixture) bool {
 		byName, refused := p.picks()
@@ -73,20 +73,20 @@
 	assert.Equal(t, p.leavingCount(), 1)
 	p.changeRow("u", func(b *version.Backend) { b.Slots = 9 })
 	p.now += time.Hour
-	assert.Assert(t, !gets(p), "its row says something else that is new")
+	assert.Assert(t, !gets(p), "the row changed in another field")
 	p.changeRow("u", func(b *version.Backend) { b.Leaving = true })
 	assert.Assert(t, !gets(p))
-	assert.Equal(t, p.leavingCount(), 0, "its row tells it")
+	assert.Equal(t, p.leavingCount(), 0, "the row says so")
 	p.changeRow("u", func(b *version.Backend) { b.Leaving = false })
-	assert.Assert(t, gets(p), "its row said so, and took it back")
+	assert.Assert(t, gets(p), "the row said so and no longer does")
 	p.notify(t, "u", leavingNotice)
 	p.changeRow("u", func(b *version.Backend) { b.Incarnation = 2 })
-	assert.Assert(t, gets(p), "it started again")
+	assert.Assert(t, gets(p), "it restarted")
 }
 
-// TestAnswerThatItLeavesOutlivesTheRow checks that a backend server whose row lapses while
-// the store is away, and comes back as it was, is still known to leave, and that it is
-// forgotten after a while.
+// TestLeavingNoticeOutlivesRow checks that a backend server whose row expires while the store is
+// unavailable, and comes back unchanged, is still known to be leaving, and that notices are
+// dropped after a while.
 func TestLeavingNoticeOutlivesRow(t *testing.T) {
 	p := fixtureWith("u", "v")
 	p.notify(t, "u", leavingNotice)
@@ -111,11 +111,11 @@
 		p.notify(t, "u", leavingNotice)
 		p.now += time.Second
 	}
-	assert.Assert(t, len(p.notices) <= int(noticeRetention/time.Second)+1, "%d kept", len(p.notices))
+	assert.Assert(t, len(p.notices) <= int(noticeRetention/time.Second)+1, "%d notices are kept", len(p.notices))
 }
 
-// TestBackendThatLeavesIsTheLastResort checks that one gets what no other can take, be they
-// gone or full, and only until LeaveWithin has passed.
+// TestLeavingBackendIsLastResort checks that a leaving backend server gets requests that no other
+// can accept, because the others are gone or full, and only during LeavingGrace.
 func TestLeavingBackendIsLastResort(t *testing.T) {
 	p := fixtureWith("u", "v")
 	p.notify(t, "u", leavingNotice)
@@ -126,7 +126,7 @@
 	assert.Assert(t, k.LastResort && k.Allowed())
 	k.Done(Answered, nil)
 	p.now += p.LeavingGrace
-	assert.Assert(t, !k.Allowed(), "one that was chosen before is withdrawn")
+	assert.Assert(t, !k.Allowed(), "a request that was chosen before is not sent")
 	v.recordReport(Report{Running: 6, Waiting: 60, Slots: 6}, p.now)
 	k, refusal := p.Pick(p.query(1))
 	assert.Assert(t, k == nil)
@@ -138,14 +138,14 @@
 	assert.Equal(t, refusal.Code, request.NoBackend)
 }
 
-// TestWordThatABackendLeavesSpreads checks that an instance that was not told itself avoids
-// the backend server, that such a word refuses nobody, and that it ends by itself.
+// TestLeavingNoticeSpreadsByGossip checks that an instance that learns by gossip that a backend
+// server is leaving avoids it, that this causes no refusal, and that it expires.
 func TestLeavingNoticeSpreadsByGossip(t *testing.T) {
 	a, b, _ := twoInstances("u", "v")
 	a.notify(t, "u", leavingNotice)
-	told := a.Observations(noSizeLimit)
-	assert.Equal(t, len(told), observationBytes)
-	b.ApplyObservations(told)
+	gossip := a.Observations(noSizeLimit)
+	assert.Equal(t, len(gossip), observationBytes)
+	b.ApplyObservations(gossip)
 	byName, refused := b.picks()
 	assert.Equal(t, byName["u"], 0)
 	assert.Equal(t, refused, 0)
@@ -153,22 +153,22 @@
 	b.now += observationTTL
 	assert.Equal(t, len(b.Observations(noSizeLimit)), 0)
 	a.now += time.Hour
-	assert.Equal(t, len(a.Observations(noSizeLimit)), observationBytes, "told for as long as its row does not")
+	assert.Equal(t, len(a.Observations(noSizeLimit)), observationBytes, "announced as long as the row does not say so")
 	a.changeRow("u", func(b *version.Backend) { b.Leaving = true })
 	assert.Equal(t, len(a.Observations(noSizeLimit)), 0)
 
 	b.changeRow("v", func(b *version.Backend) { b.Leaving = true })
 	b.now += time.Second
 	_, refused = b.picks()
-	assert.Equal(t, refused, 0, "the word of others refuses nobody")
+	assert.Equal(t, refused, 0, "gossip causes no refusal")
 	b.changeRow("v", func(b *version.Backend) { b.Leaving = false })
 	b.now += leavingGossipTTL
 	byName, _ = b.picks()
-	assert.Assert(t, byName["u"] > 0, "it was not told again")
+	assert.Assert(t, byName["u"] > 0, "the gossip has expired")
 }
 
-// TestNoticesTakeHalfOfTheRoomAtMost checks that however many leave, others are told of
-// failures as well, and of each that leaves within some beats.
+// TestNoticesTakeAtMostHalfOfGossip checks that however many backend servers are leaving, failures
+// are announced as well, and each leaving one within some heartbeats.
 func TestNoticesTakeAtMostHalfOfGossip(t *testing.T) {
 	const size, backends = 180, 60
 	p := newFixture(1)
@@ -186,56 +186,55 @@
 			u.observed = observation{at: p.now, load: loadUnreachable}
 		}
 	}
-	heard := make(map[byte]int)
-	about := make(map[[4]byte]bool)
+	entries := make(map[byte]int)
+	leaving := make(map[[4]byte]bool)
 	for range 40 {
-		told := p.Observations(size)
-		assert.Assert(t, len(told) <= size)
-		for len(told) > 0 {
-			heard[told[5]]++
-			if told[5] == loadLeaving {
-				about[[4]byte(told[:4])] = true
+		gossip := p.Observations(size)
+		assert.Assert(t, len(gossip) <= size)
+		for len(gossip) > 0 {
+			entries[gossip[5]]++
+			if gossip[5] == loadLeaving {
+				leaving[[4]byte(gossip[:4])] = true
 			}
-			told = told[observationBytes:]
+			gossip = gossip[observationBytes:]
 		}
 	}
-	assert.Equal(t, heard[loadLeaving], 40*size/2/observationBytes)
-	assert.Equal(t, heard[loadUnreachable], 40*backends/10)
-	assert.Equal(t, len(about), backends/2)
+	assert.Equal(t, entries[loadLeaving], 40*size/2/observationBytes)
+	assert.Equal(t, entries[loadUnreachable], 40*backends/10)
+	assert.Equal(t, len(leaving), backends/2)
 }
 
-// TestNoRequestAfterItsWord draws what instances, rows and the backend server itself may do in
-// any order, with the clock jumping as a suspension makes it, and checks the promise: from
-// LeaveWithin after a start of a backend server has told this instance that it leaves, it is
-// chosen for nothing, and nothing that was chosen may be sent, until a row that said so, too,
-// takes it back.
+// TestNoRequestAfterLeavingGrace draws answers, rows, gossip, restarts and clock jumps (as after a
+// suspension of the machine) in any order. LeavingGrace after an incarnation of a backend server
+// notified this instance that it is leaving, no request may be chosen for it or sent to it, until
+// a row that said so as well cancels the notice.
 func TestNoRequestAfterLeavingGrace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := fixtureWith("u", "v")
-		told := time.Duration(0) // when u told it; zero: not
-		rowLeaves := false
+		notifiedAt := time.Duration(0) // when u sent its notice; zero: not
+		rowLeaving := false
 		incarnation := int64(1)
-		var chosen *Pick // of u, not sent yet
-		broken := func() bool { return told != 0 && p.now-told >= p.LeavingGrace }
+		var chosen *Pick // for u, not sent yet
+		expired := func() bool { return notifiedAt != 0 && p.now-notifiedAt >= p.LeavingGrace }
 		t.Repeat(map[string]func(*rapid.T){
 			"time":    func(t *rapid.T) { p.now += time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond },
 			"suspend": func(*rapid.T) { p.now += time.Minute },
-			"rumour": func(*rapid.T) {
+			"gossip": func(*rapid.T) {
 				p.ApplyObservations(p.appendEntry(nil, int32(p.indexOf("u")), 0, loadLeaving))
 			},
 			"row": func(t *rapid.T) {
-				before := rowLeaves
-				rowLeaves = rapid.Bool().Draw(t, "leaves")
-				if before && !rowLeaves {
-					told = 0
+				before := rowLeaving
+				rowLeaving = rapid.Bool().Draw(t, "leaves")
+				if before && !rowLeaving {
+					notifiedAt = 0
 				}
-				p.changeRow("u", func(b *version.Backend) { b.Leaving = rowLeaves })
+				p.changeRow("u", func(b *version.Backend) { b.Leaving = rowLeaving })
 			},
-			"start": func(*rapid.T) {
+			"restart": func(*rapid.T) {
 				incarnation++
-				told, chosen = 0, nil
+				notifiedAt, chosen = 0, nil
 				p.changeRow("u", func(b *version.Backend) { b.Incarnation, b.Leaving = incarnation, false })
-				rowLeaves = false
+				rowLeaving = false
 			},
 			"answer": func(t *rapid.T) {
 				k, _ := p.Pick(p.query(rapid.Uint64Range(1, 50).Draw(t, "object")))
@@ -246,16 +245,16 @@
 					k.Done(Answered, nil)
 					return
 				}
-				assert.Assert(t, !broken(), "chosen %s after its word", p.now-told)
+				assert.Assert(t, !expired(), "chosen %s after its notice", p.now-notifiedAt)
 				k.ApplyNotice(leavingNotice)
-				if told == 0 {
-					told = p.now
+				if notifiedAt == 0 {
+					notifiedAt = p.now
 				}
 				k.Done(Answered, nil)
 				chosen = k
 			},
 			"send": func(t *rapid.T) {
-				if chosen != nil && broken() {
+				if chosen != nil && expired() {
 					assert.Assert(t, !chosen.Allowed())
 				}
 			},
--- a/process/balance/observe_test.go
+++ b/process/balance/observe_test.go
@@ -11,10 +11,10 @@
 	"shalewick/conn"
 )
 
-// twoInstances returns two tables of the same backend servers. The second can reach
-// those that open says.
-func twoInstances(backends ...string) (a, b *fixture, open map[string]bool) {
-	open = make(map[string]bool)
+// twoInstances returns two tables with the same backend servers. The second can reach those that
+// reachable contains.
+func twoInstances(backends ...string) (a, b *fixture, reachable map[string]bool) {
+	reachable = make(map[string]bool)
 	a, b = newFixture(2), newFixture(2)
 	for _, p := range []*fixture{a, b} {
 		for _, name := range backends {
@@ -24,13 +24,13 @@
 	}
 	b.Probe = func(pool *conn.Pool) error {
 		for i, u := range b.states {
-			if u != nil && u.pool == pool && open[b.routing.Backends[i].Name] {
+			if u != nil && u.pool == pool && reachable[b.routing.Backends[i].Name] {
 				return nil
 			}
 		}
 		return errors.New("refused")
 	}
-	return a, b, open
+	return a, b, reachable
 }
 
 const noSizeLimit = 1 << 10 // bytes
@@ -48,10 +48,10 @@
 	return 0
 }
 
-// TestOneInstancesFailureSparesTheOthers checks that a backend server that one instance
-// could not reach gets no request of another one until a connection was opened.
+// TestGossipedFailurePreventsRequests checks that a backend server that one instance could not
+// reach gets no request from another one until a connection was opened.
 func TestGossipedFailurePreventsRequests(t *testing.T) {
-	a, b, open := twoInstances("u", "v", "w", "x")
+	a, b, reachable := twoInstances("u", "v", "w", "x")
 	object := b.firstAt(t, "u")
 	a.pickOf(t, "u").Done(Unreachable, nil)
 	b.ApplyObservations(a.Observations(noSizeLimit))
@@ -62,43 +62,43 @@
 	k = b.pick(t, object)
 	assert.Assert(t, k.Name != "u", "it could not be reached")
 	k.Done(Abandoned, nil)
-	open["u"] = true
+	reachable["u"] = true
 	b.now += b.Policy.MaxSuspension
 	b.pick(t, object).Done(Abandoned, nil)
 	b.awaitProbe("u")
 	assert.Equal(t, b.pick(t, object).Name, "u")
 }
 
-// pickOf picks a backend server by some object.
+// pickOf chooses a backend server by a suitable object.
 func (p *fixture) pickOf(t *testing.T, name string) *Pick { return p.pick(t, p.firstAt(t, name)) }
 
-// TestOwnAnswerOutweighsOlderWord checks that what was seen before an own answer is
-// not taken up, nor what is old.
+// TestOwnAnswerOverridesOlderGossip checks that observations that are older than an answer to this
+// instance, or too old, are ignored.
 func TestOwnAnswerOverridesOlderGossip(t *testing.T) {
 	a, b, _ := twoInstances("u", "v", "w", "x")
 	a.pickOf(t, "u").Done(Unreachable, nil)
-	told := a.Observations(noSizeLimit)
-	assert.Equal(t, len(told), observationBytes)
+	gossip := a.Observations(noSizeLimit)
+	assert.Equal(t, len(gossip), observationBytes)
 	a.now += observationTTL
-	assert.Equal(t, len(a.Observations(noSizeLimit)), 0, "it is too old to be told")
+	assert.Equal(t, len(a.Observations(noSizeLimit)), 0, "it is too old to be announced")
 	a.now -= observationTTL / 2
-	told = a.Observations(noSizeLimit)
+	gossip = a.Observations(noSizeLimit)
 	b.pickOf(t, "u").Done(Answered, &Report{Running: 1, Slots: 6})
-	b.ApplyObservations(told)
+	b.ApplyObservations(gossip)
 	assert.Equal(t, b.stateOf("u").failures, 0)
 }
 
-// TestInstanceThatReachesNobodyIsNotBelieved checks both sides: one to which most
-// backend servers of a service fail does not tell it, and of those that fail by the word
-// of others no more than a part are doubted.
+// TestIsolatedInstanceIsIgnored checks both sides: an instance to which most backend servers of a
+// service fail does not announce it, and gossip may suspend no more than a part of a service's
+// backend servers.
 func TestIsolatedInstanceIsIgnored(t *testing.T) {
 	names := []string{"u", "v", "w", "x", "y", "z"}
 	a, b, _ := twoInstances(names...)
-	var told []byte
+	var gossip []byte
 	for i, name := range names {
 		a.stateOf(name).recordFailure(a.now)
 		if i < 2 {
-			told = append(told, a.Observations(noSizeLimit)...)
+			gossip = append(gossip, a.Observations(noSizeLimit)...)
 		}
 	}
 	assert.Equal(t, len(a.Observations(noSizeLimit)), 0)
@@ -106,20 +106,19 @@
 		a.stateOf(names[i]).failures = 0
 	}
 	b.ApplyObservations(a.Observations(noSizeLimit))
-	doubted := 0
+	suspected := 0
 	for _, name := range names {
 		if b.stateOf(name).failures > 0 {
-			doubted++
+			suspected++
 		}
 	}
-	assert.Equal(t, doubted, 2, "of %d", len(names))
-	b.ApplyObservations(told)
+	assert.Equal(t, suspected, 2, "of %d", len(names))
+	b.ApplyObservations(gossip)
 	b.ApplyObservations([]byte{1, 2, 3})
 }
 
-// TestLoadThatOthersSawCounts checks that a backend server that told another instance
-// that it is full makes a request wait no longer than one that is free, and that
-// the word of its own is taken over from then on.
+// TestGossipedLoadIsUsed checks that a backend server whose report to another instance shows it
+// full is avoided, and that one with free slots is not announced.
 func TestGossipedLoadIsUsed(t *testing.T) {
 	a, b, _ := twoInstances("u", "v", "w", "x")
 	object := b.firstAt(t, "u")
@@ -129,12 +128,12 @@
 	assert.Assert(t, k.Name != "u", "it is full")
 	k.Done(Abandoned, nil)
 	a.pickOf(t, "v").Done(Answered, &Report{Running: 1, Slots: 6})
-	assert.Equal(t, len(a.Observations(noSizeLimit)), observationBytes, "one that is free is not told")
+	assert.Equal(t, len(a.Observations(noSizeLimit)), observationBytes, "one with free slots is not announced")
 	assert.Equal(t, len(a.Observations(observationBytes-1)), 0)
 }
 
-// BenchmarkObservations measures what telling costs an instance that knows of many
-// backend servers.
+// BenchmarkObservations measures the encoding of gossip by an instance that knows many backend
+// servers.
 func BenchmarkObservations(b *testing.B) {
 	p := newFixture(1)
 	for i := range 1077 {
@@ -151,7 +150,7 @@
 	}
 }
 
-func FuzzHear(f *testing.F) {
+func FuzzApplyObservations(f *testing.F) {
 	f.Add([]byte{1, 2, 3, 4, 5, 6})
 	f.Fuzz(func(t *testing.T, text []byte) {
 		p := newFixture(1)
--- a/process/balance/refusal_test.go
+++ b/process/balance/refusal_test.go
@@ -12,22 +12,21 @@
 	"shalewick/version"
 )
 
-// TestIdleBackendThatRefusesDrawsNoLoad tells of what could be seen beside a rest that was not
-// heeded. Seen: six backend servers of twenty that refused everything got 0.47 of the requests
-// in place of 0.27. How: they refuse at once and say that all their slots are free. Cause: of
-// a refusal only the load report was read, and it speaks for the server that refuses. Proof:
-// here one of six refuses all, without a word of rest, and the others are half busy: each
-// request that it gets costs its caller one of two attempts, and all a retry of a bounded
-// number.
+// TestIdleBackendThatRefusesAttractsNoLoad guards against a fault in which six of twenty backend
+// servers that refused everything got 0.47 of the requests instead of 0.27. They refuse at once
+// and report all their slots free, and only that load report was used of a refusal. In this test
+// one of six refuses everything without a Retry-After time and the others are half busy. Each
+// request that it gets costs the caller one of two attempts, and all callers a part of the retry
+// budget.
 func TestIdleBackendThatRefusesAttractsNoLoad(t *testing.T) {
 	const (
 		backends = 6
 		requests = 4000
-		gap      = 2500 * time.Microsecond // between two of them
+		interval = 2500 * time.Microsecond // between two requests
 		work     = 60 * time.Millisecond
-		// most is how many may go there in these ten seconds: two in a row show it, and
-		// then one after each pause, of which 25 of the least would fit.
-		most = 27
+		// maxRefused bounds the requests that may go there in these ten seconds: two consecutive
+		// ones, and then one after each suspension, of which 25 of the shortest would fit.
+		maxRefused = 27
 	)
 	p := newFixture(1)
 	p.route(version.Weighted{Service: "t", Weight: 1})
@@ -39,13 +38,13 @@
 		pick *Pick
 		end  time.Duration
 	}
-	var flying []running
+	var inFlight []running
 	refused, load := 0, make(map[string]int)
 	for object := range uint64(requests) {
-		p.now += gap
-		for len(flying) > 0 && flying[0].end <= p.now {
-			k := flying[0].pick
-			flying = flying[1:]
+		p.now += interval
+		for len(inFlight) > 0 && inFlight[0].end <= p.now {
+			k := inFlight[0].pick
+			inFlight = inFlight[1:]
 			load[k.Name]--
 			k.Done(Answered, &Report{Running: load[k.Name], Slots: 6})
 		}
@@ -60,14 +59,14 @@
 			assert.Assert(t, k != nil && k.Name != "u0")
 		}
 		load[k.Name]++
-		flying = append(flying, running{k, p.now + work})
+		inFlight = append(inFlight, running{k, p.now + work})
 	}
-	t.Logf("%d of %d requests went to the one that refuses", refused, requests)
-	assert.Assert(t, refused <= most, "%d of %d", refused, requests)
+	t.Logf("%d of %d requests went to the backend server that refuses", refused, requests)
+	assert.Assert(t, refused <= maxRefused, "%d of %d", refused, requests)
 }
 
-// TestIdleBackendThatRefusesIsStillAsked checks that one that refused gets what no other can
-// take, and is one among all again with its next answer.
+// TestIdleBackendThatRefusesIsLastResort checks that a backend server that refused gets requests
+// that no other can accept, and is chosen normally again after its next answer.
 func TestIdleBackendThatRefusesIsLastResort(t *testing.T) {
 	p := fixtureWith("u", "v")
 	for range 2 {
@@ -85,8 +84,8 @@
 	assert.Assert(t, byName["u"] > 100)
 }
 
-// TestRefusalOfAFullBackendIsNoFailure checks that a backend server that refuses since it has
-// no room keeps its objects: it may have some again at once.
+// TestRefusalByFullBackendIsNoFailure checks that a backend server that refuses because it is full
+// keeps its objects: it may have free capacity again at once.
 func TestRefusalByFullBackendIsNoFailure(t *testing.T) {
 	p := fixtureWith("u", "v")
 	for range 5 {
--- a/process/balance/report_test.go
+++ b/process/balance/report_test.go
@@ -11,9 +11,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestReportIsRead checks the forms that a load report may have. Reports of four figures were
-// dropped whole, so that nothing was known of the load of servers that tell their host's pace,
-// and requests went to full ones.
+// TestParseReport checks the forms that a load report may have. Reports with four fields were once
+// dropped, so that nothing was known of the load of servers that report their host's slowdown, and
+// requests went to full ones.
 func TestParseReport(t *testing.T) {
 	for text, want := range map[string]*Report{
 		"":              nil,
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestBadReportIsDroppedAlone checks that a report is dropped if one of its counts can't be
-// used, and that a bad pace does not take the counts with it.
+// TestParseReportErrors checks that a report with an invalid count is dropped, and that an invalid
+// slowdown does not invalidate the counts.
 func TestParseReportErrors(t *testing.T) {
 	for _, text := range []string{"3", "3,0", "3,0,8,100,1", "a,0,8", "-1,0,8", "3,,8,100", "3,0,8.5", "99999999999999999999,0,8", ",,"} {
 		r, err := ParseReport(text)
@@ -49,33 +49,33 @@
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		r, _ := ParseReport(text) // that it is wrong is no failure
+		r, _ := ParseReport(text) // invalid text is expected
 		if r == nil {
 			return
 		}
-		whole := r.Running >= 0 && r.Waiting >= 0 && r.Slots >= 0
-		if !whole || r.Slowdown != 0 && !(r.Slowdown >= minSlowdown && r.Slowdown <= maxSlowdown) {
+		validCounts := r.Running >= 0 && r.Waiting >= 0 && r.Slots >= 0
+		if !validCounts || r.Slowdown != 0 && !(r.Slowdown >= minSlowdown && r.Slowdown <= maxSlowdown) {
 			t.Fatalf("%q: %+v", text, r)
 		}
 	})
 }
 
-// TestPaceAges checks that what was told of a host is believed less as it ages, since hosts
-// change their pace many times a second.
+// TestSlowdownDecays checks that a reported slowdown loses weight with age, since the speed of
+// hosts changes many times a second.
 func TestSlowdownDecays(t *testing.T) {
-	var p slowdown
-	life := DefaultPolicy().SlowdownDecay
-	assert.Equal(t, p.expected(time.Hour, life), 1.0)
-	p.record(Report{Slowdown: 2.5}, time.Hour)
-	assert.Equal(t, p.expected(time.Hour, life), 2.5)
-	assert.Assert(t, p.expected(time.Hour+life, life) < 1.6)
-	assert.Assert(t, p.expected(time.Hour+10*life, life) < 1.001)
-	p.record(Report{Running: 1}, time.Hour+life) // says nothing of the pace
-	assert.Equal(t, p.expected(time.Hour, life), 2.5)
+	var s slowdown
+	decay := DefaultPolicy().SlowdownDecay
+	assert.Equal(t, s.expected(time.Hour, decay), 1.0)
+	s.record(Report{Slowdown: 2.5}, time.Hour)
+	assert.Equal(t, s.expected(time.Hour, decay), 2.5)
+	assert.Assert(t, s.expected(time.Hour+decay, decay) < 1.6)
+	assert.Assert(t, s.expected(time.Hour+10*decay, decay) < 1.001)
+	s.record(Report{Running: 1}, time.Hour+decay) // reports no slowdown
+	assert.Equal(t, s.expected(time.Hour, decay), 2.5)
 }
 
-// TestSlowHostGetsLess checks that a request goes to another server while the host of the
-// object's first one is slow, and back once that is long ago.
+// TestSlowHostGetsFewerRequests checks that a request goes to another server while the host of the
+// object's first choice is slow, and back when the report is old.
 func TestSlowHostGetsFewerRequests(t *testing.T) {
 	p := newFixture(1)
 	for _, name := range []string{"u", "v"} {
@@ -98,17 +98,18 @@
 	assert.Equal(t, back.Name, home)
 }
 
-// TestNoisyHostTeachesNoSlowness checks that a server whose host is slow for half of the time is
-// not taken for a slow server: what its answers took is set against the pace of their time.
+// TestHostSlowdownDoesNotAffectTypicalWork checks that a server whose host is slow for half of the
+// time is not taken for a slow server: the duration of answers is divided by the slowdown at that
+// time.
 func TestHostSlowdownDoesNotAffectTypicalWork(t *testing.T) {
-	work := func(pace func(i int) float64) time.Duration {
+	work := func(slowdown func(i int) float64) time.Duration {
 		p := newFixture(1)
 		p.backend("u", 0, nil)
 		p.install()
 		for i := range 400 {
 			k := p.pick(t, 7)
-			p.now += time.Duration(100 * pace(i) * float64(time.Millisecond))
-			k.Done(Answered, &Report{Slots: 6, Slowdown: pace(i)})
+			p.now += time.Duration(100 * slowdown(i) * float64(time.Millisecond))
+			k.Done(Answered, &Report{Slots: 6, Slowdown: slowdown(i)})
 		}
 		return p.states[0].typicalWork()
 	}
--- a/process/balance/restart_test.go
+++ b/process/balance/restart_test.go
@@ -11,7 +11,7 @@
 	"shalewick/version"
 )
 
-// startAgain lets a backend server start again under its name.
+// restart restarts a backend server under the same name.
 func (p *fixture) restart(name string, incarnation int64) {
 	key := version.Key{Kind: version.KindBackend, Name: name}
 	b := *p.config.Resources[key].Backend
@@ -20,8 +20,8 @@
 	p.install()
 }
 
-// warmed returns a place whose backend server u has seen an object, has failed once, and
-// has a request in flight.
+// fixtureInUse returns a fixture whose backend server u has seen an object, and a request to u
+// that is in flight.
 func fixtureInUse(t *testing.T) (p *fixture, inFlight *Pick) {
 	p = newFixture(1)
 	for _, name := range []string{"u", "v"} {
@@ -33,8 +33,8 @@
 	return p, p.pickOf(t, "u")
 }
 
-// TestBackendThatStartsAgainIsAnother checks that nothing that was learnt of its former life
-// counts: objects, failures, connections, what is in flight, that it was warm.
+// TestRestartDiscardsState checks that nothing that was learned of the former incarnation remains:
+// objects seen, failures, connections, requests in flight, warmth.
 func TestRestartDiscardsState(t *testing.T) {
 	p, inFlight := fixtureInUse(t)
 	before := p.stateOf("u")
@@ -52,52 +52,52 @@
 	assert.Assert(t, now.coldUntil > p.Now())
 	assert.Assert(t, !p.seen.has(object, p.startHashOf("u"), p.Now(), p.Policy.SeenTTL))
 
-	inFlight.Done(Unreachable, nil) // the end of a request to the former life
+	inFlight.Done(Unreachable, nil) // a request to the former incarnation ends
 	assert.Equal(t, now.failures, 0)
 	assert.Equal(t, now.inFlight, 0)
 }
 
-// TestAnyOtherBirthIsAnotherLife checks that a birth that steps back, as after the clock of its
-// machine was set back, one that is not said any more and one that is said from now on are other
-// lives as well: only equality matters, and a life taken for another one costs a warm-up, where
-// another one taken for it would be sent what the former life had promised.
+// TestAnyChangedIncarnationIsARestart checks that an incarnation that steps back (as after the
+// clock of its machine was set back), disappears or appears is a restart as well. Only equality
+// matters: a wrongly assumed restart costs a warm-up, while a missed one would send requests that
+// rely on what the former incarnation had announced.
 func TestAnyChangedIncarnationIsARestart(t *testing.T) {
-	for name, births := range map[string]struct{ before, after int64 }{
-		"steps back": {before: 3, after: 2}, "is not said any more": {before: 3, after: 0}, "is said from now on": {before: 0, after: 3},
+	for name, incarnations := range map[string]struct{ before, after int64 }{
+		"steps back": {before: 3, after: 2}, "disappears": {before: 3, after: 0}, "appears": {before: 0, after: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newFixture(1)
-			p.backend("u", 0, func(b *version.Backend) { b.Incarnation = births.before })
+			p.backend("u", 0, func(b *version.Backend) { b.Incarnation = incarnations.before })
 			p.install()
 			p.pickOf(t, "u").Done(Unreachable, nil)
 			before := p.stateOf("u")
-			p.restart("u", births.after)
+			p.restart("u", incarnations.after)
 			now := p.stateOf("u")
 			assert.Assert(t, now != before && now.pool != before.pool)
 			assert.Equal(t, now.failures, 0)
-			p.restart("u", births.after)
-			assert.Assert(t, p.stateOf("u") == now, "the same row is the same life")
+			p.restart("u", incarnations.after)
+			assert.Assert(t, p.stateOf("u") == now, "the same row is the same incarnation")
 		})
 	}
 }
 
-// TestWordOfAFormerLifeChangesNothing checks that what another instance observed of a backend
-// server before it started again is not taken for its present life, and the other way round.
+// TestGossipAboutFormerIncarnationIsIgnored checks that gossip about a former incarnation of a
+// backend server is not applied to the present one, and the other way round.
 func TestGossipAboutFormerIncarnationIsIgnored(t *testing.T) {
 	a, b, _ := twoInstances("u", "v", "w", "x")
 	a.pickOf(t, "u").Done(Unreachable, nil)
-	told := a.Observations(noSizeLimit)
+	gossip := a.Observations(noSizeLimit)
 	b.restart("u", 7)
-	b.ApplyObservations(told)
+	b.ApplyObservations(gossip)
 	assert.Equal(t, b.stateOf("u").failures, 0)
 	b.pickOf(t, "u").Done(Unreachable, nil)
-	told = b.Observations(noSizeLimit)
-	c, _, _ := twoInstances("u", "v", "w", "x") // has not heard of the start
-	c.ApplyObservations(told)
+	gossip = b.Observations(noSizeLimit)
+	c, _, _ := twoInstances("u", "v", "w", "x") // does not know of the restart
+	c.ApplyObservations(gossip)
 	assert.Equal(t, c.stateOf("u").failures, 0)
 }
 
-// TestSameLifeStaysWhatItWas checks that another row of the same start changes nothing.
+// TestSameIncarnationKeepsState checks that a new row of the same incarnation changes nothing.
 func TestSameIncarnationKeepsState(t *testing.T) {
 	p, inFlight := fixtureInUse(t)
 	before := p.stateOf("u")
--- a/process/balance/sending_test.go
+++ b/process/balance/sending_test.go
@@ -9,11 +9,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestAnswersThatAreSentTakeNoSlot tells of callers that were refused with QUEUE_FULL for as long
-// as others read large answers slowly: each answer on its way counted as a request that takes a
-// slot, so that the wait for the next was reckoned in seconds, at backend servers that did
-// nothing. What proved it: 577 of 582 quick callers refused beside 2,000 that read a byte a
-// second, at one of three instances; none with their work taken as done.
+// TestHeldAnswersOccupyNoSlot guards against callers being refused with QUEUE_FULL while others
+// read large answers slowly: each answer in transfer counted as a request that occupies a slot, so
+// that idle backend servers seemed to have queues of seconds. At one of three instances 577 of 582
+// quick callers were refused beside 2,000 that read one byte a second; none were once such answers
+// counted as processed.
 func TestHeldAnswersOccupyNoSlot(t *testing.T) {
 	const answers = 50
 	p := newFixture(1)
--- a/process/balance/share_test.go
+++ b/process/balance/share_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestBusyBackendGivesUpObjectsSlowly checks that a backend server that says it is
-// busier than the others gives objects up a few at a time, that no others move,
-// and that it gets the same ones back.
+// TestBusyBackendShedsObjectsGradually checks that a backend server that reports more load than
+// the others sheds objects a few at a time, that no others move, and that it gets the same ones
+// back.
 func TestBusyBackendShedsObjectsGradually(t *testing.T) {
 	p := newFixture(1)
 	for _, name := range []string{"a", "b", "c", "d"} {
@@ -19,7 +19,7 @@
 	}
 	p.install()
 	const objects = 400
-	places := func() map[uint64]string {
+	firstChoices := func() map[uint64]string {
 		out := make(map[uint64]string)
 		for object := range uint64(objects) {
 			k := p.pick(t, object+1)
@@ -38,15 +38,15 @@
 			k.Done(Answered, &r)
 		}
 	}
-	before := places()
+	before := firstChoices()
 	last := before
 	for range 5 {
 		for range 8 { // two seconds
 			p.now += p.Policy.ShareInterval
 			report(Report{Running: 6, Waiting: 4, Slots: 6})
 		}
-		p.now += 5 * time.Second // so that what is out and was reported counts no more
-		now := places()
+		p.now += 5 * time.Second // so that earlier reports no longer count
+		now := firstChoices()
 		moved := 0
 		for object, name := range now {
 			if name == last[object] {
@@ -62,11 +62,11 @@
 		p.now += p.Policy.ShareInterval
 		report(Report{Running: 1, Slots: 6})
 	}
-	assert.DeepEqual(t, places(), before)
+	assert.DeepEqual(t, firstChoices(), before)
 }
 
-// TestVersionsInQuickSuccessionMoveNoSharesFaster checks that installing a version
-// does not let the next step of the shares come sooner.
+// TestInstallDoesNotSpeedUpShareSteps checks that installing a version does not bring the next
+// step of the shares forward.
 func TestInstallDoesNotSpeedUpShareSteps(t *testing.T) {
 	p := newFixture(1)
 	for _, name := range []string{"a", "b", "c", "d"} {
@@ -87,7 +87,7 @@
 		p.install()
 		p.pick(t, 1).Done(Abandoned, nil)
 	}
-	least := 1 - 2*p.Policy.ShareStep // of one step
+	minKept := 1 - 2*p.Policy.ShareStep // after one step
 	kept := p.stateOf("a").share.kept
-	assert.Assert(t, kept < 1 && kept >= least, "kept %.3f after one step's time", kept)
+	assert.Assert(t, kept < 1 && kept >= minKept, "kept %.3f after the time of one step", kept)
 }
--- a/process/balance/software_test.go
+++ b/process/balance/software_test.go
@@ -14,7 +14,7 @@
 	"shalewick/version"
 )
 
-// software makes a backend server run a version.
+// software returns a change that sets the software version of a backend server.
 func software(v string) func(*version.Backend) {
 	return func(b *version.Backend) { b.Software = v }
 }
@@ -25,7 +25,7 @@
 	p.install()
 }
 
-// twoVersions is a place with n backend servers of each of two versions in each region.
+// twoVersions returns a fixture with n backend servers of each of two versions in each region.
 func twoVersions(instances, n int) *fixture {
 	p := newFixture(instances)
 	for i := range n {
@@ -37,21 +37,21 @@
 	return p
 }
 
-// target returns a query for the target that the service s has now.
+// target returns a query for the current target of the service s.
 func (p *fixture) target(object uint64) *Query {
 	return p.targetOf(object, p.config.Software["s"].Target)
 }
 
-// targetOf returns a query for a version that a roll-out brings.
+// targetOf returns a query for a version that a roll-out introduces.
 func (p *fixture) targetOf(object uint64, software string) *Query {
 	q := p.query(object)
 	q.Target = software
 	return q
 }
 
-// TestChosenBackendHasAnAdmittedVersion plays roll-outs of two services with backend
-// servers that come and go, and queries of the routing now or of one before. Whatever is
-// chosen runs the version in force, or, for a query that may go there, the target.
+// TestChosenBackendHasAnAdmittedVersion simulates roll-outs of two services with backend servers
+// that come and go, and queries made with the current or an earlier routing. Any backend server
+// that is chosen runs the version in force or, for a query for the target, the target.
 func TestChosenBackendHasAnAdmittedVersion(t *testing.T) {
 	versions := []string{"", "v1", "v2", "v3"}
 	rapid.Check(t, func(r *rapid.T) {
@@ -103,20 +103,20 @@
 						continue
 					}
 					service := view.Split[0].Service
-					may, bound := admitted[service]
+					allowed, bound := admitted[service]
 					if q.Target != "" && k.Software != q.Target {
 						r.Fatalf("%s of version %q got a request for the target %q", k.Name, k.Software, q.Target)
 					}
-					if bound && k.Software != may.InForce && k.Software != may.Target {
-						r.Fatalf("%s of version %q got a request while %q and %q may", k.Name, k.Software, may.InForce, may.Target)
+					if bound && k.Software != allowed.InForce && k.Software != allowed.Target {
+						r.Fatalf("%s of version %q got a request while only %q and %q may", k.Name, k.Software, allowed.InForce, allowed.Target)
 					}
-					if bound && q.Target == "" && k.Software != may.InForce {
-						r.Fatalf("%s of version %q got a request while %q is in force", k.Name, k.Software, may.InForce)
+					if bound && q.Target == "" && k.Software != allowed.InForce {
+						r.Fatalf("%s of version %q got a request while %q is in force", k.Name, k.Software, allowed.InForce)
 					}
 					if !bound && q.Target != "" {
-						r.Fatalf("%s got a request for a target that nobody ordered", k.Name)
+						r.Fatalf("%s got a request for a target without a roll-out", k.Name)
 					}
-					if hasHome && object != 0 && q.Target != "" && q.Target == may.Target && k.Rank == 0 && k.startHash != home {
+					if hasHome && object != 0 && q.Target != "" && q.Target == allowed.Target && k.Rank == 0 && k.startHash != home {
 						r.Fatalf("the first choice %s is not the home", k.Name)
 					}
 					k.Done(Answered, nil)
@@ -126,8 +126,8 @@
 	})
 }
 
-// TestAttemptAtATargetThatWasCompletedIsServed checks an attempt that began while the
-// version was tried, and is chosen for when the version is in force: it must not be refused.
+// TestAttemptAtCompletedTargetIsServed checks that an attempt that started while a version was the
+// target is not refused when the choice is made after it came into force.
 func TestAttemptAtCompletedTargetIsServed(t *testing.T) {
 	p := twoVersions(3, 1)
 	p.admit("v1", "v2")
@@ -137,7 +137,7 @@
 	assert.Assert(t, k != nil)
 	assert.Equal(t, k.Software, "v2")
 	k.Done(Answered, nil)
-	k, _ = p.Pick(p.targetOf(7, "v2")) // its route is of the new routing
+	k, _ = p.Pick(p.targetOf(7, "v2")) // with the route of the new routing
 	assert.Equal(t, k.Software, "v2")
 	k.Done(Answered, nil)
 
@@ -148,28 +148,28 @@
 	assert.Assert(t, k == nil)
 }
 
-// TestTargetThatStandsByMovesNoChoice compares the choices with and without the backend
-// servers of a target, for the same objects at the same load.
+// TestIdleTargetChangesNoChoice compares the choices with and without the backend servers of a
+// target, for the same objects at the same load.
 func TestIdleTargetChangesNoChoice(t *testing.T) {
-	alone, beside := twoVersions(3, 4), twoVersions(3, 4)
-	beside.backend("v2-more", 0, software("v2"))
+	alone, withTarget := twoVersions(3, 4), twoVersions(3, 4)
+	withTarget.backend("v2-more", 0, software("v2"))
 	alone.admit("v1", "")
-	beside.admit("v1", "v2")
+	withTarget.admit("v1", "v2")
 	for object := range uint64(3000) {
-		a, b := alone.pick(t, object+1), beside.pick(t, object+1)
+		a, b := alone.pick(t, object+1), withTarget.pick(t, object+1)
 		assert.Equal(t, a.Name, b.Name)
 		assert.Equal(t, a.Rank, b.Rank)
-		if object%7 != 0 { // the others stay under way
+		if object%7 != 0 { // the others stay in flight
 			a.Done(Answered, &Report{Running: 2, Slots: 6})
 			b.Done(Answered, &Report{Running: 2, Slots: 6})
 		}
 		alone.now += time.Millisecond
-		beside.now += time.Millisecond
+		withTarget.now += time.Millisecond
 	}
 }
 
-// TestNothingIsChosenForATargetThatIsNotThere checks that a query for the target finds
-// no place when no roll-out runs any more, or none of the target's servers is there.
+// TestAbsentTargetIsRefused checks that a query for the target is refused if no roll-out is in
+// progress any more, or the target has no backend servers.
 func TestAbsentTargetIsRefused(t *testing.T) {
 	p := twoVersions(3, 1)
 	p.admit("v1", "v2")
@@ -186,8 +186,8 @@
 	assert.Equal(t, refusal.Code, request.NoBackend)
 }
 
-// TestRequestOfBeforeARolloutFindsItsTarget checks a query with the view of a routing that
-// had no target yet, which may have to go there once nothing goes to the version before.
+// TestQueryOlderThanRolloutFindsTarget checks a query with the route of a routing without a
+// target, which may have to go to the target once the version before gets no more requests.
 func TestQueryOlderThanRolloutFindsTarget(t *testing.T) {
 	p := twoVersions(3, 1)
 	p.admit("v1", "")
@@ -200,11 +200,11 @@
 	assert.Equal(t, len(p.homes.byKey), 0)
 	p.admit("v1", "v3")
 	k, _ = p.Pick(p.target(7))
-	assert.Assert(t, k == nil, "none of its backend servers is there")
+	assert.Assert(t, k == nil, "it has no backend servers")
 }
 
-// TestQueryForOneTargetFindsNoOther checks a query that was made for the target of an
-// order that another one has replaced.
+// TestQueryForReplacedTargetIsRefused checks that a query for the target of a roll-out that was
+// replaced does not go to the new target.
 func TestQueryForReplacedTargetIsRefused(t *testing.T) {
 	p := twoVersions(3, 1)
 	p.backend("v3", 0, software("v3"))
@@ -217,8 +217,8 @@
 	assert.Equal(t, k.Software, "v3")
 }
 
-// TestRequestsInFlightCountUntilTheyEnd checks that requests at the version before count
-// also after its backend servers left the routing, and those at the target never.
+// TestRequestsInFlightCountUntilTheyEnd checks that requests at the version before count also
+// after its backend servers have left the routing, and those at the target never.
 func TestRequestsInFlightCountUntilTheyEnd(t *testing.T) {
 	p := twoVersions(3, 1)
 	p.admit("v1", "v2")
@@ -229,7 +229,7 @@
 	assert.Equal(t, p.InFlight("t"), 0)
 	held.Hold()
 	held.Done(Answered, nil)
-	assert.Equal(t, p.InFlight("s"), 2, "a large answer is still on its way")
+	assert.Equal(t, p.InFlight("s"), 2, "a large answer is still being transferred")
 	for key, x := range p.config.Resources {
 		if x.Backend != nil && x.Backend.Software == "v1" {
 			delete(p.config.Resources, key)
@@ -242,13 +242,14 @@
 	old.Done(Lost, nil)
 	assert.Equal(t, p.InFlight("s"), 0)
 	p.admit("v2", "v3")
-	assert.Equal(t, p.InFlight("s"), 1, "what was the target is in force")
+	assert.Equal(t, p.InFlight("s"), 1, "the former target is in force")
 	target.Done(Answered, nil)
 	assert.Equal(t, p.InFlight("s"), 0)
 }
 
-// TestServerStartedAnewWithOtherSoftwareIsAnother checks that requests in flight count
-// for the version that they were sent to, when the name and address stay.
+// TestRestartWithOtherSoftwareDiscardsState checks that requests in flight count for the version
+// that they were sent to if a backend server is restarted with other software under the same name
+// and address.
 func TestRestartWithOtherSoftwareDiscardsState(t *testing.T) {
 	p := newFixture(1)
 	p.backend("u", 0, software("v1"))
@@ -266,8 +267,8 @@
 	assert.Equal(t, p.InFlight("s"), 0)
 }
 
-// TestWhatIsKnownOfTheTargetStaysWhenItIsPromoted checks the usual work, the objects
-// seen, the failures and the connections of the target's backend servers.
+// TestPromotedTargetKeepsState checks that the typical processing time, the objects seen, the
+// failures and the connections of the target's backend servers are kept.
 func TestPromotedTargetKeepsState(t *testing.T) {
 	p := twoVersions(3, 1)
 	p.admit("v1", "v2")
@@ -275,21 +276,20 @@
 	p.now += 30 * time.Millisecond
 	first.Done(Answered, &Report{Running: 3, Slots: 6})
 	u := p.stateOf(first.Name)
-	known, whole := *u, *u.service
+	state, serviceState := *u, *u.service
 	p.admit("v2", "")
 	k := p.pick(t, 7)
 	assert.Equal(t, k.Name, first.Name)
 	assert.Assert(t, !k.Unseen)
 	assert.Equal(t, k.Pool, first.Pool)
 	assert.Equal(t, p.stateOf(k.Name), u)
-	assert.Equal(t, u.work, known.work)
-	assert.Equal(t, u.reported, known.reported)
+	assert.Equal(t, u.work, state.work)
+	assert.Equal(t, u.reported, state.reported)
 	assert.Equal(t, p.service(&p.Routing().Services[0]), u.service)
-	assert.Equal(t, u.service.work, whole.work)
+	assert.Equal(t, u.service.work, serviceState.work)
 	k.Done(Abandoned, nil)
 }
 
-// TestMemoryOfVersionsIsBounded checks that versions that are gone leave nothing behind.
 func TestStateOfRemovedVersionsIsDropped(t *testing.T) {
 	p := newFixture(1)
 	for i := range 300 {
@@ -302,8 +302,8 @@
 	assert.Assert(t, len(p.inFlight) <= 2, "%d", len(p.inFlight))
 }
 
-// TestVersionsToldApartLaterKeepWhatIsKnown checks that the usual work of a service
-// stands for the version in force once its versions are told apart.
+// TestVersionInForceInheritsServiceState checks that the version in force inherits the typical
+// processing time of a service once its versions are distinguished.
 func TestVersionInForceInheritsServiceState(t *testing.T) {
 	p := twoVersions(1, 1)
 	p.install()
@@ -317,8 +317,8 @@
 	assert.Assert(t, p.service(&s[p.Routing().Services[0].Target]) != before)
 }
 
-// TestTargetObeysWhatBindsTheVersionInForce checks homes, drains, cold turns, connections
-// and suspension for both.
+// TestTargetObeysSameLimitsAsVersionInForce checks home regions, drains, warming, connections and
+// suspension for both.
 func TestTargetObeysSameLimitsAsVersionInForce(t *testing.T) {
 	for _, target := range []string{"", "v2"} {
 		query := func(p *fixture, object uint64) *Query {
--- a/process/balance/suspend_test.go
+++ b/process/balance/suspend_test.go
@@ -28,8 +28,8 @@
 	p.pick(t, 2)
 }
 
-// TestOneLostAnswerMovesNoObject checks that a backend server keeps its objects when
-// one of its answers is lost, and is suspended when the next one is, too.
+// TestSingleLostAnswerDoesNotSuspend checks that a backend server keeps its objects if one of its
+// answers is lost, and is suspended if the next one is lost as well.
 func TestSingleLostAnswerDoesNotSuspend(t *testing.T) {
 	p := newFixture(1)
 	p.backend("a", 0, nil)
@@ -43,13 +43,13 @@
 	p.now += time.Second
 	p.pick(t, 1).Done(Lost, nil)
 	again := p.pick(t, 1)
-	assert.Equal(t, again.Name, first.Name, "an answer in between")
+	assert.Equal(t, again.Name, first.Name, "there was an answer in between")
 	again.Done(Lost, nil)
 	assert.Assert(t, p.pick(t, 1).Name != first.Name)
 }
 
-// TestSuspendedBackendIsReachedBeforeARequestTriesIt checks that no request goes
-// to a backend server that was suspended until a connection to it was opened.
+// TestSuspendedBackendIsProbedBeforeRequest checks that a suspended backend server gets no request
+// until a connection to it was opened.
 func TestSuspendedBackendIsProbedBeforeRequest(t *testing.T) {
 	p := newFixture(1)
 	result := make(chan error)
@@ -65,20 +65,20 @@
 		return k == nil
 	}
 	p.now += p.Policy.MinSuspension
-	assert.Assert(t, refused(), "it is being reached")
+	assert.Assert(t, refused(), "it is being probed")
 	result <- errors.New("no route")
 	p.awaitProbe("a")
 	p.now += p.Policy.MinSuspension
 	assert.Assert(t, refused(), "suspended for longer")
 	p.now += p.Policy.MaxSuspension
-	assert.Assert(t, refused(), "it is being reached again")
+	assert.Assert(t, refused(), "it is being probed again")
 	result <- nil
 	p.awaitProbe("a")
 	assert.Assert(t, !refused())
 }
 
-// TestLeavingBackendIsNotReached checks that no connection is opened to a suspended
-// backend that gets no further requests.
+// TestLeavingBackendIsNotProbed checks that no connection is opened to a suspended backend server
+// that gets no further requests.
 func TestLeavingBackendIsNotProbed(t *testing.T) {
 	p := newFixture(1)
 	opened := make(chan struct{}, 1)
@@ -101,7 +101,7 @@
 	assert.Equal(t, len(opened), 0)
 }
 
-// awaitReached waits until a backend server is not being reached any more.
+// awaitProbe waits until the probe of a backend server has ended.
 func (p *fixture) awaitProbe(name string) {
 	for {
 		p.mu.Lock()
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestAnswerMeanwhileExcusesAFailure checks that a request that failed does
-// not suspend a backend server that answered another one since.
+// TestLaterAnswerCancelsFailure checks that a failed request does not suspend a backend server
+// that has answered another one since.
 func TestLaterAnswerCancelsFailure(t *testing.T) {
 	p := newFixture(1)
 	p.backend("a", 0, nil)
