--- a/process/balance/limit.go
+++ b/process/balance/limit.go
@@ -53,7 +53,7 @@
 	if t.Limits == nil {
 		return 0, false
 	}
-	at, announce := t.Limits.ToldAt(t.routing.Backends[index].Life)
+	at, announce := t.Limits.LastLimited(t.routing.Backends[index].Life)
 	return byte((now - at) / observationUnit), announce
 }
 
@@ -61,6 +61,6 @@
 // limited. The caller holds the lock.
 func (t *Table) applyLimited(index int32, age, now time.Duration) {
 	if t.Limits != nil {
-		t.Limits.HearLimited(t.rateLimitBackend(&t.routing.Backends[index]), now-age)
+		t.Limits.ApplyLimited(t.rateLimitBackend(&t.routing.Backends[index]), now-age)
 	}
 }
--- a/process/edge/limit.go
+++ b/process/edge/limit.go
@@ -41,7 +41,7 @@
 // gaugeLimits sets the metrics of rate limits.
 func (e *Edge) gaugeLimits() {
 	n := e.limits.Counts()
-	e.metrics.Gauge("backends_limited").Update(int64(e.limits.Known()))
+	e.metrics.Gauge("backends_limited").Update(int64(e.limits.LimitedCount()))
 	e.metrics.Gauge(`permits{result="granted"}`).Update(n.Granted)
 	e.metrics.Gauge(`permits{result="denied"}`).Update(n.Denied)
 	e.metrics.Gauge(`permits{result="unanswered"}`).Update(n.Unanswered)
--- a/process/edge/rollout.go
+++ b/process/edge/rollout.go
@@ -51,7 +51,7 @@
 
 // hearMessage passes a message of another instance on to the part that it is for.
 func (e *Edge) hearMessage(from string, text []byte) {
-	if e.rollouts.Hear(from, text) || e.quarantine.Hear(from, text) || e.limits.Hear(from, text) {
+	if e.rollouts.Hear(from, text) || e.quarantine.Hear(from, text) || e.limits.Receive(from, text) {
 		return
 	}
 	e.quota.Hear(from, text)
--- a/process/proxy/limit.go
+++ b/process/proxy/limit.go
@@ -73,7 +73,7 @@
 		t.p.Metrics.RateLimit(t.c.service)
 	}
 	if t.p.Limits != nil {
-		t.p.Limits.Answered(pick.RateLimitBackend(), limit, t.sentAt)
+		t.p.Limits.RecordAnswer(pick.RateLimitBackend(), limit, t.sentAt)
 	}
 	return limit
 }
--- a/process/proxy/limit_test.go
+++ b/process/proxy/limit_test.go
@@ -104,7 +104,7 @@
 	assert.Assert(t, pick != nil)
 	trial := &trial{p: f.proxy, c: &call{}}
 	assert.Assert(t, trial.permitted(t.Context(), pick) && trial.withinLimit(pick))
-	limiter.Answered(pick.RateLimitBackend(), 0.001, f.proxy.Now())
+	limiter.RecordAnswer(pick.RateLimitBackend(), 0.001, f.proxy.Now())
 	assert.Assert(t, !trial.withinLimit(pick))
 }
 
@@ -116,14 +116,14 @@
 	f.backends[0].SetLimit(3)
 	f.backends[0].Next(server.Moved)
 	f.send("moved", "/reads/1", "")
-	assert.Equal(t, limiter.Known(), 0)
+	assert.Equal(t, limiter.LimitedCount(), 0)
 
 	f = newFixture(t, 1)
 	limiter = f.limited()
 	f.backends[0].SetLimit(3)
 	f.backends[0].Next(server.Shed)
 	f.send("refused", "/reads/1", "")
-	assert.Equal(t, limiter.Known(), 1, "a refusal is its server's word")
+	assert.Equal(t, limiter.LimitedCount(), 1, "a refusal is its server's word")
 
 	f = newFixture(t, 1)
 	limiter = f.limited()
@@ -131,7 +131,7 @@
 	f.proxy.Log = logging.New(&log)
 	f.backends[0].SetLimit(1e300)
 	f.own(f.send("bad", "/reads/1", ""), "bad")
-	assert.Equal(t, limiter.Known(), 0)
+	assert.Equal(t, limiter.LimitedCount(), 0)
 	assert.Equal(t, len(log.lines("rate-limit-skipped")), 1)
 	var metrics strings.Builder
 	assert.NilError(t, f.proxy.Metrics.Write(&metrics))
--- a/process/ratelimit/exchange.go
+++ b/process/ratelimit/exchange.go
@@ -3,61 +3,61 @@
 package ratelimit
 
 // Hear takes up a message from an address, and reports whether it was one of this package.
-func (l *Limiter) Hear(from string, text []byte) bool {
-	if len(text) == 0 || text[0] < kindAsk || text[0] > kindReport {
+func (l *Limiter) Receive(from string, text []byte) bool {
+	if len(text) == 0 || text[0] < kindRequest || text[0] > kindReport {
 		return false
 	}
 	if text[0] == kindAnswer {
-		l.hearAnswer(text)
+		l.handleAnswer(text)
 		return true
 	}
-	if out := l.hearAsk(from, text); out != nil {
+	if out := l.handleRequest(from, text); out != nil {
 		l.Send(from, out)
 	}
 	return true
 }
 
 // hearAsk answers an ask; nil: there is nothing to say.
-func (l *Limiter) hearAsk(from string, text []byte) []byte {
+func (l *Limiter) handleRequest(from string, text []byte) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Now()
-	x, err := decodeAsk(text, now)
+	x, err := decodeRequest(text, now)
 	if err != nil || x.start == 0 {
 		return nil // it is of no instance of this version
 	}
 	k := l.backends[x.start]
 	if k == nil {
-		if !x.word.limited(now) {
+		if !x.observed.limited(now) {
 			k = &backend{} // nothing is known of it, nor worth keeping
 		} else {
 			k = l.add(x.start)
 		}
 	}
-	k.used = now
-	l.learn(k, x.word, false)
+	k.lastUsed = now
+	l.update(k, x.observed, false)
 	if text[0] == kindReport {
 		return nil
 	}
-	out := answer{seq: x.seq, start: x.start, status: notOwner, wait: retryOwner, word: k.word}
+	out := answer{seq: x.seq, start: x.start, status: notOwner, wait: ownerRetryDelay, observed: k.observed}
 	if o := l.Owner(x.region, x.start); o.Name == "" || o.Address != "" {
 		return out.encode(now)
 	}
 	if k.bucket != nil {
-		if again, ok := k.bucket.asker(from).repeated(x.seq); ok {
+		if again, ok := k.bucket.requester(from).previousAnswer(x.seq); ok {
 			return again.encode(now)
 		}
 	}
 	out.status, out.wait = l.grant(k, from, int(x.priority), now)
 	if k.bucket != nil {
-		k.bucket.asker(from).keep(out)
+		k.bucket.requester(from).store(out)
 	}
 	return out.encode(now)
 }
 
 // hearAnswer takes up the answer to an ask. If nobody waits for it any more, a permit is kept for
 // another request.
-func (l *Limiter) hearAnswer(text []byte) {
+func (l *Limiter) handleAnswer(text []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Now()
@@ -69,25 +69,25 @@
 	if k == nil {
 		return
 	}
-	l.learn(k, x.word, false)
+	l.update(k, x.observed, false)
 	p := l.pending[x.seq]
 	if p == nil || p.backend != k {
 		return
 	}
 	delete(l.pending, x.seq)
-	l.count(x.status)
+	l.countResult(x.status)
 	switch {
 	case x.status != granted:
 		k.block(p.priority, x.wait, now)
-	case p.left:
-		k.spare = append(k.spare, now)
+	case p.abandoned:
+		k.unusedPermits = append(k.unusedPermits, now)
 	}
-	p.answered <- x.status == granted
+	p.result <- x.status == granted
 }
 
 // Tick tells owners of limits that have ended, and forgets what is of no use any more.
 func (l *Limiter) Tick() {
-	if !l.any.Load() {
+	if !l.active.Load() {
 		return
 	}
 	type message struct {
@@ -97,28 +97,28 @@
 	var out []message
 	l.mu.Lock()
 	now := l.Now()
-	l.share(now)
+	l.liveShare(now)
 	for start, k := range l.backends {
 		if k.bucket != nil && l.Owner(k.Region, start).Address != "" {
 			k.bucket = nil
 		}
-		if k.reports > 0 {
-			k.reports--
+		if k.reportsLeft > 0 {
+			k.reportsLeft--
 			if o := l.Owner(k.Region, start); o.Address != "" {
-				x := ask{start: start, word: k.word, region: k.Region}
+				x := permitRequest{start: start, observed: k.observed, region: k.Region}
 				out = append(out, message{o.Address, x.encode(kindReport, now)})
 			}
 		}
-		if now-k.used > forgetAfter {
+		if now-k.lastUsed > forgetAfter {
 			delete(l.backends, start)
 		}
 	}
 	for seq, p := range l.pending {
-		if now-p.asked > permitFor {
+		if now-p.sentAt > permitTTL {
 			delete(l.pending, seq)
 		}
 	}
-	l.any.Store(len(l.backends) > 0)
+	l.active.Store(len(l.backends) > 0)
 	l.mu.Unlock()
 	for _, m := range out {
 		l.Send(m.address, m.text)
--- a/process/ratelimit/fleet_test.go
+++ b/process/ratelimit/fleet_test.go
@@ -12,7 +12,7 @@
 )
 
 // steady returns a limit that is named from a time on.
-func steady(limit float64, from time.Duration) func(time.Duration) float64 {
+func constantLimit(limit float64, from time.Duration) func(time.Duration) float64 {
 	return func(now time.Duration) float64 {
 		if now < from {
 			return 0
@@ -30,13 +30,13 @@
 				t.Run(fmt.Sprintf("%d instances, limit %g, loss %g", size, limit, loss), func(t *testing.T) {
 					m := newModel(3, size, max(20, 4*limit), nil)
 					begun := m.now
-					m.limit = steady(limit, begun)
+					m.limitAt = constantLimit(limit, begun)
 					m.loss = loss
 					measured := max(20*time.Second, time.Duration(40/limit*float64(time.Second))) // 40 requests at least
-					m.run(contact + takeoverTime + measured)
-					over := m.over(limit, begun+contact, m.now)
+					m.run(graceTime + takeoverPeriod + measured)
+					over := m.excess(limit, begun+graceTime, m.now)
 					used := m.rate(m.now-measured, m.now) / limit
-					t.Logf("%.1f of the bound left, %.2f of the limit used, %.1f asks a second", -over, used, float64(m.asks)/(m.now-begun).Seconds())
+					t.Logf("%.1f of the bound left, %.2f of the limit used, %.1f asks a second", -over, used, float64(m.requests)/(m.now-begun).Seconds())
 					assert.Check(t, over <= 0, "%.1f beyond the bound", over)
 					assert.Check(t, used >= 0.9 && used <= 1.15, "%.2f of the limit used", used)
 				})
@@ -47,21 +47,21 @@
 
 // TestLimitHoldsWhileInstancesDieStartAndAreCutOff guards against owners that disagree on who owns
 // a limit, and permits that are lost or doubled as instances come and go.
-func TestLimitHoldsWhileInstancesDieStartAndAreCutOff(t *testing.T) {
+func TestLimitHoldsAcrossCrashesStartsAndPartitions(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		size := rapid.SampledFrom([]int{2, 3, 12, 40}).Draw(r, "instances")
 		limit := rapid.SampledFrom([]float64{0.5, 3, 4.7, 30}).Draw(r, "limit")
 		m := newModel(rapid.Uint64().Draw(r, "seed"), size, max(20, 4*limit), nil)
 		m.loss = rapid.SampledFrom([]float64{0, 0.02, 0.1}).Draw(r, "loss")
 		begun := m.now
-		m.limit = steady(limit, begun)
+		m.limitAt = constantLimit(limit, begun)
 		for range rapid.IntRange(1, 6).Draw(r, "faults") {
 			m.run(time.Duration(rapid.IntRange(0, 4000).Draw(r, "pause")) * time.Millisecond)
 			n := m.nodes[rapid.IntRange(0, len(m.nodes)-1).Draw(r, "instance")]
 			switch rapid.SampledFrom([]string{"owner dies", "dies", "starts", "cut"}).Draw(r, "fault") {
 			case "owner dies":
 				if o := n.owner("0", modelStart); o.Address != "" {
-					m.kill(m.named(o.Address))
+					m.kill(m.byName(o.Address))
 				}
 			case "dies":
 				m.kill(n)
@@ -75,24 +75,24 @@
 						cut = append(cut, o)
 					}
 				}
-				m.cut(cut, time.Duration(rapid.IntRange(500, 8000).Draw(r, "for"))*time.Millisecond)
+				m.partition(cut, time.Duration(rapid.IntRange(500, 8000).Draw(r, "for"))*time.Millisecond)
 			}
 		}
 		m.run(10 * time.Second)
-		if over := m.over(limit, begun+contact, m.now); over > 0 {
+		if over := m.excess(limit, begun+graceTime, m.now); over > 0 {
 			r.Fatalf("%.1f beyond the bound", over)
 		}
 	})
 }
 
 // TestDeadOwnersLimitIsUsedAgain guards against a limit that nobody uses since its owner has died.
-func TestDeadOwnersLimitIsUsedAgain(t *testing.T) {
+func TestLimitOfDownOwnerIsUsedAgain(t *testing.T) {
 	const limit = 4.7
 	m := newModel(5, 12, 40, nil)
-	m.limit = steady(limit, m.now)
+	m.limitAt = constantLimit(limit, m.now)
 	m.run(10 * time.Second)
-	m.kill(m.named(m.nodes[1].owner("0", modelStart).Address))
-	m.run(deathKnown + takeoverTime)
+	m.kill(m.byName(m.nodes[1].owner("0", modelStart).Address))
+	m.run(downDetection + takeoverPeriod)
 	from := m.now
 	m.run(10 * time.Second)
 	used := m.rate(from, m.now) / limit
@@ -101,14 +101,14 @@
 
 // TestLimitFollowsWhatTheBackendServerSays guards against limits that stay as they were when they
 // rise, fall or end.
-func TestLimitFollowsWhatTheBackendServerSays(t *testing.T) {
+func TestLimitFollowsBackend(t *testing.T) {
 	m := newModel(6, 12, 60, nil)
 	begun := m.now
 	steps := []struct {
 		limit, least, most float64
 	}{{10, 9, 11}, {3, 2.7, 3.3}, {20, 18, 22}, {0, 55, 65}, {5, 4.5, 5.5}}
 	const each = 20 * time.Second
-	m.limit = func(now time.Duration) float64 { return steps[min(int((now-begun)/each), len(steps)-1)].limit }
+	m.limitAt = func(now time.Duration) float64 { return steps[min(int((now-begun)/each), len(steps)-1)].limit }
 	for i, s := range steps {
 		m.run(each / 2)
 		from := m.now
@@ -138,34 +138,34 @@
 }
 
 // TestOvertakenAnswerEndsNoLimit guards against answers that were under way as a limit began.
-func TestOvertakenAnswerEndsNoLimit(t *testing.T) {
+func TestOutdatedAnswerDoesNotEndLimit(t *testing.T) {
 	now := time.Hour
 	l := &Limiter{Now: func() time.Duration { return now }}
 	b := Backend{Start: 1, Name: "b"}
 	sent := now
 	now += time.Second
-	l.Answered(b, 3, sent)
+	l.RecordAnswer(b, 3, sent)
 	now += time.Millisecond
-	l.Answered(b, 0, sent)
+	l.RecordAnswer(b, 0, sent)
 	assert.Assert(t, l.Limited(1))
 	sent = now
 	now += time.Second
-	l.Answered(b, 0, sent)
+	l.RecordAnswer(b, 0, sent)
 	assert.Assert(t, !l.Limited(1))
 }
 
 // TestRumourDoesNotHideALimit guards against owners that know of a limit only that there is one,
 // from a word newer than that of an asker who knows its number, and so grant everything.
-func TestRumourDoesNotHideALimit(t *testing.T) {
+func TestGossipDoesNotHideLimit(t *testing.T) {
 	now := time.Hour
 	l := &Limiter{
 		Now: func() time.Duration { return now }, Instances: func() int { return 2 }, Send: func(string, []byte) {},
 		Owner: func(string, uint64) Owner { return Owner{Name: "self"} },
 	}
-	l.HearLimited(Backend{Start: 1, Name: "b"}, now)
+	l.ApplyLimited(Backend{Start: 1, Name: "b"}, now)
 	for seq := range uint32(10) {
-		x := ask{seq: seq + 1, start: 1, word: word{limit: 0.5, from: now - 2*time.Second, to: now - time.Second}}
-		got, err := decodeAnswer(l.hearAsk("x", x.encode(kindAsk, now)), now)
+		x := permitRequest{seq: seq + 1, start: 1, observed: observedLimit{limit: 0.5, from: now - 2*time.Second, to: now - time.Second}}
+		got, err := decodeAnswer(l.handleRequest("x", x.encode(kindRequest, now)), now)
 		assert.NilError(t, err)
 		assert.Equal(t, got.status, denied)
 	}
@@ -173,23 +173,23 @@
 
 // TestAnotherStartIsNotLimited guards against a limit that outlives the start of a backend server
 // that named it.
-func TestAnotherStartIsNotLimited(t *testing.T) {
+func TestRestartedBackendIsNotLimited(t *testing.T) {
 	l := &Limiter{Now: func() time.Duration { return time.Hour }}
-	l.Answered(Backend{Start: 1, Name: "b"}, 3, time.Minute)
+	l.RecordAnswer(Backend{Start: 1, Name: "b"}, 3, time.Minute)
 	assert.Assert(t, l.Limited(1))
 	assert.Assert(t, !l.Limited(2))
 }
 
 // TestUnusedPermitIsUsedByAnother guards against permits that are lost with the connection or the
 // caller.
-func TestUnusedPermitIsUsedByAnother(t *testing.T) {
+func TestUnusedPermitIsReused(t *testing.T) {
 	now := time.Hour
 	l := &Limiter{
 		Now: func() time.Duration { return now }, Instances: func() int { return 1 },
 		Owner: func(string, uint64) Owner { return Owner{Name: "self"} },
 	}
 	b := Backend{Start: 1, Name: "b"}
-	l.Answered(b, 1, now-time.Second)
+	l.RecordAnswer(b, 1, now-time.Second)
 	_, ok := l.Acquire(t.Context(), b, 0) // makes the bucket
 	assert.Assert(t, !ok)
 	now += 3 * time.Second
@@ -199,22 +199,22 @@
 	again, ok := l.Acquire(t.Context(), b, 0)
 	assert.Assert(t, ok)
 	assert.Equal(t, again, at)
-	now += permitFor
+	now += permitTTL
 	assert.Assert(t, !l.Valid(1, again))
 }
 
 // FuzzHear guards against messages that are none.
-func FuzzHear(f *testing.F) {
-	f.Add(ask{seq: 1, start: 2, word: word{limit: 3, from: time.Minute, to: time.Hour}, region: "north"}.encode(kindAsk, time.Hour))
-	f.Add(ask{seq: 1, start: 2}.encode(kindReport, time.Hour))
+func FuzzReceive(f *testing.F) {
+	f.Add(permitRequest{seq: 1, start: 2, observed: observedLimit{limit: 3, from: time.Minute, to: time.Hour}, region: "north"}.encode(kindRequest, time.Hour))
+	f.Add(permitRequest{seq: 1, start: 2}.encode(kindReport, time.Hour))
 	f.Add(answer{seq: 1, start: 2, status: granted}.encode(time.Hour))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		l := &Limiter{
 			Now: func() time.Duration { return time.Hour }, Instances: func() int { return 1 }, Send: func(string, []byte) {},
 			Owner: func(string, uint64) Owner { return Owner{Name: "self"} },
 		}
-		l.Hear("x", text)
-		l.Hear("x", text)
+		l.Receive("x", text)
+		l.Receive("x", text)
 		l.Tick()
 	})
 }
--- a/process/ratelimit/model_test.go
+++ b/process/ratelimit/model_test.go
@@ -14,33 +14,33 @@
 // model is a fleet of instances on one clock whose callers all want one backend server. Datagrams
 // take a while and some are lost.
 type model struct {
-	now     time.Duration
-	random  *rand.Rand
-	loss    float64
-	demand  float64 // requests a second that want the backend server, of all instances
-	nodes   []*node
-	events  events
-	limit   func(now time.Duration) float64 // that the backend server names
-	came    []arrival
-	asks    int
-	changes int    // starts, deaths and cuts since the model began
-	calm    *Owner // while there were none
+	now         time.Duration
+	random      *rand.Rand
+	loss        float64
+	demand      float64 // requests a second that want the backend server, of all instances
+	nodes       []*node
+	events      events
+	limitAt     func(now time.Duration) float64 // that the backend server names
+	arrivals    []arrival
+	requests    int
+	changes     int    // starts, deaths and cuts since the model began
+	steadyOwner *Owner // while there were none
 }
 
 // node is one instance.
 type node struct {
 	*Limiter
-	m       *model
-	index   int
-	name    string
-	hash    uint64 // by which owners are found
-	region  string
-	dead    bool
-	group   int             // instances of different groups do not reach each other
-	changed time.Duration   // when it died, started, or its group changed
-	told    time.Duration   // when the backend server first told it of a limit; zero: never
-	excused []span          // when it was cut off
-	denied  []time.Duration // when requests found no permit
+	m         *model
+	index     int
+	name      string
+	hash      uint64 // by which owners are found
+	region    string
+	dead      bool
+	group     int             // instances of different groups do not reach each other
+	changed   time.Duration   // when it died, started, or its group changed
+	limitedAt time.Duration   // when the backend server first told it of a limit; zero: never
+	exempt    []span          // when it was cut off
+	denied    []time.Duration // when requests found no permit
 }
 
 type span struct{ from, to time.Duration }
@@ -77,21 +77,21 @@
 }
 
 const (
-	modelStart   = 77 // of the backend server
-	modelRegions = 3
-	nearWay      = time.Millisecond
-	farWay       = 35 * time.Millisecond
-	modelWork    = 150 * time.Millisecond
-	modelBeat    = 500 * time.Millisecond
-	toldPerBeat  = 4
+	modelStart        = 77 // of the backend server
+	modelRegions      = 3
+	nearDelay         = time.Millisecond
+	farDelay          = 35 * time.Millisecond
+	modelWork         = 150 * time.Millisecond
+	heartbeatInterval = 500 * time.Millisecond
+	gossipFanout      = 4
 	// deathKnown and birthKnown are how long it takes until all know that an instance has died, or
 	// has started.
-	deathKnown = 2 * time.Second
-	birthKnown = 3 * time.Second
+	downDetection  = 2 * time.Second
+	startDetection = 3 * time.Second
 )
 
 func newModel(seed uint64, size int, demand float64, limit func(time.Duration) float64) *model {
-	m := &model{now: time.Hour, random: rand.New(rand.NewPCG(seed, 7)), demand: demand, limit: limit}
+	m := &model{now: time.Hour, random: rand.New(rand.NewPCG(seed, 7)), demand: demand, limitAt: limit}
 	for range size {
 		m.start(m.now - time.Minute)
 	}
@@ -110,8 +110,8 @@
 	if at >= time.Hour {
 		m.changes++
 	}
-	m.after(time.Duration(m.random.Int64N(int64(modelBeat))), n.beat)
-	m.after(m.pause(), n.want)
+	m.after(time.Duration(m.random.Int64N(int64(heartbeatInterval))), n.heartbeat)
+	m.after(m.interArrival(), n.arrive)
 	return n
 }
 
@@ -132,24 +132,24 @@
 }
 
 // pause draws the time until the next request of an instance.
-func (m *model) pause() time.Duration {
+func (m *model) interArrival() time.Duration {
 	each := m.demand / float64(len(m.nodes))
 	return time.Duration(m.random.ExpFloat64() / each * float64(time.Second))
 }
 
 // knows reports whether an instance takes another one for alive.
-func (n *node) knows(o *node) bool {
+func (n *node) considersLive(o *node) bool {
 	since := n.m.now - o.changed
 	switch {
 	case o == n:
 		return true
 	case o.dead:
-		return since < deathKnown
+		return since < downDetection
 	case o.group != n.group:
-		return n.m.now-max(o.changed, n.changed) < deathKnown
+		return n.m.now-max(o.changed, n.changed) < downDetection
 	}
 	// The later the news comes, the further it has to go.
-	late := time.Duration(mix(uint64(n.index)<<32|uint64(o.index)) % uint64(birthKnown))
+	late := time.Duration(mix(uint64(n.index)<<32|uint64(o.index)) % uint64(startDetection))
 	return since >= late || o.changed < time.Hour
 }
 
@@ -158,17 +158,17 @@
 	if m.changes > 0 {
 		return n.findOwner(region)
 	}
-	if m.calm == nil {
+	if m.steadyOwner == nil {
 		o := n.findOwner(region)
 		if o.Address == "" {
 			o = Owner{Name: n.name, Address: n.name}
 		}
-		m.calm = &o
+		m.steadyOwner = &o
 	}
-	if m.calm.Name == n.name {
+	if m.steadyOwner.Name == n.name {
 		return Owner{Name: n.name}
 	}
-	return *m.calm
+	return *m.steadyOwner
 }
 
 func (n *node) findOwner(region string) Owner {
@@ -176,7 +176,7 @@
 	lowest := uint64(0)
 	for pass := range 2 {
 		for _, o := range n.m.nodes {
-			if (pass == 1 || o.region == region) && (best == nil || o.hash < lowest) && n.knows(o) {
+			if (pass == 1 || o.region == region) && (best == nil || o.hash < lowest) && n.considersLive(o) {
 				best, lowest = o, o.hash
 			}
 		}
@@ -195,7 +195,7 @@
 		return len(n.m.nodes)
 	}
 	for _, o := range n.m.nodes {
-		if n.knows(o) {
+		if n.considersLive(o) {
 			count++
 		}
 	}
@@ -204,25 +204,25 @@
 
 func (n *node) send(address string, text []byte) {
 	m := n.m
-	o := m.named(address)
-	if text[0] == kindAsk {
-		m.asks++
+	o := m.byName(address)
+	if text[0] == kindRequest {
+		m.requests++
 	}
 	if n.dead || m.random.Float64() < m.loss {
 		return
 	}
-	way := nearWay
+	way := nearDelay
 	if o.region != n.region {
-		way = farWay
+		way = farDelay
 	}
 	m.after(way, func() {
 		if !o.dead && o.group == n.group {
-			o.Hear(n.name, text)
+			o.Receive(n.name, text)
 		}
 	})
 }
 
-func (m *model) named(name string) *node {
+func (m *model) byName(name string) *node {
 	i, err := strconv.Atoi(name)
 	if err != nil {
 		panic(err)
@@ -239,32 +239,32 @@
 }
 
 // beat tells some others of the limit, as observations do.
-func (n *node) beat() {
+func (n *node) heartbeat() {
 	m := n.m
 	if n.dead {
 		return
 	}
 	n.Tick()
-	if at, ok := n.ToldAt(modelStart); ok {
-		for range toldPerBeat {
+	if at, ok := n.LastLimited(modelStart); ok {
+		for range gossipFanout {
 			o := m.nodes[m.random.IntN(len(m.nodes))]
 			if o != n && !o.dead && o.group == n.group && m.random.Float64() >= m.loss {
-				o.HearLimited(modelBackend, at)
+				o.ApplyLimited(modelBackend, at)
 			}
 		}
 	}
-	m.after(modelBeat, n.beat)
+	m.after(heartbeatInterval, n.heartbeat)
 }
 
 var modelBackend = Backend{Start: modelStart, Name: "b", Region: "0"}
 
 // want lets a request come that wants the backend server.
-func (n *node) want() {
+func (n *node) arrive() {
 	m := n.m
 	if n.dead {
 		return
 	}
-	m.after(m.pause(), n.want)
+	m.after(m.interArrival(), n.arrive)
 	if n.Blocked(modelStart, 0) > 0 {
 		n.denied = append(n.denied, m.now)
 		return
@@ -273,59 +273,59 @@
 	d := n.decide(modelBackend, 0, m.now)
 	n.mu.Unlock()
 	if d.pending == nil {
-		n.decided(d.granted)
+		n.finish(d.granted)
 		return
 	}
-	n.Send(d.address, d.ask)
+	n.Send(d.address, d.request)
 	n.poll(d, false)
 }
 
 // poll looks whether an ask was answered.
 func (n *node) poll(d decision, resent bool) {
 	m := n.m
-	asked := d.pending.asked
+	asked := d.pending.sentAt
 	select {
-	case granted := <-d.pending.answered:
-		n.decided(granted)
+	case granted := <-d.pending.result:
+		n.finish(granted)
 		return
 	default:
 	}
-	if m.now-asked >= answerWithin {
-		n.decided(n.giveUp(d.pending))
+	if m.now-asked >= answerTimeout {
+		n.finish(n.timeOut(d.pending))
 		return
 	}
 	if !resent && m.now-asked >= resendAfter {
-		n.Send(d.address, d.ask)
+		n.Send(d.address, d.request)
 		resent = true
 	}
 	m.after(2*time.Millisecond, func() { n.poll(d, resent) })
 }
 
 // decided sends a request that may go, which is answered after a while.
-func (n *node) decided(granted bool) {
+func (n *node) finish(granted bool) {
 	m := n.m
 	if !granted || n.dead {
 		n.denied = append(n.denied, m.now)
 		return
 	}
-	way := nearWay
+	way := nearDelay
 	if n.region != modelBackend.Region {
-		way = farWay
+		way = farDelay
 	}
 	sent := m.now
 	m.after(way, func() {
-		m.came = append(m.came, arrival{m.now, n})
+		m.arrivals = append(m.arrivals, arrival{m.now, n})
 		work := modelWork + time.Duration(m.random.Int64N(int64(modelWork)))
 		m.after(work, func() {
-			limit := m.limit(m.now)
+			limit := m.limitAt(m.now)
 			m.after(way, func() {
 				if n.dead {
 					return
 				}
-				if limit > 0 && n.told == 0 {
-					n.told = m.now
+				if limit > 0 && n.limitedAt == 0 {
+					n.limitedAt = m.now
 				}
-				n.Answered(modelBackend, limit, sent)
+				n.RecordAnswer(modelBackend, limit, sent)
 			})
 		})
 	})
@@ -338,32 +338,32 @@
 }
 
 // cut separates some instances from the others for a time. It excuses them.
-func (m *model) cut(cut []*node, d time.Duration) {
+func (m *model) partition(partition []*node, d time.Duration) {
 	m.changes++
-	for _, n := range cut {
+	for _, n := range partition {
 		n.group, n.changed = 1, m.now
-		n.excused = append(n.excused, span{m.now, m.now + d + contact})
+		n.exempt = append(n.exempt, span{m.now, m.now + d + graceTime})
 	}
 	m.after(d, func() {
-		for _, n := range cut {
+		for _, n := range partition {
 			n.group, n.changed = 0, m.now
 		}
 	})
 }
 
 // contact is how long after a backend server first names its limit, and after a fault, it counts.
-const contact = 3 * time.Second
+const graceTime = 3 * time.Second
 
 // over returns by how many requests the worst window of 4 s, between two times, is beyond what a
 // limit allows, of instances that were told half a second before and are not excused.
-func (m *model) over(limit float64, from, to time.Duration) float64 {
+func (m *model) excess(limit float64, from, to time.Duration) float64 {
 	const window = 4 * time.Second
 	allowed := 1.5*limit*window.Seconds() + 5
 	var counted []time.Duration
 	worst := -allowed
-	for _, a := range m.came {
-		excused := slices.ContainsFunc(a.by.excused, func(s span) bool { return a.at >= s.from && a.at < s.to })
-		if a.at < from || a.at >= to || a.by.told == 0 || a.at < a.by.told+500*time.Millisecond || excused {
+	for _, a := range m.arrivals {
+		excused := slices.ContainsFunc(a.by.exempt, func(s span) bool { return a.at >= s.from && a.at < s.to })
+		if a.at < from || a.at >= to || a.by.limitedAt == 0 || a.at < a.by.limitedAt+500*time.Millisecond || excused {
 			continue
 		}
 		counted = append(counted, a.at)
@@ -378,7 +378,7 @@
 // rate returns the requests a second that reached the backend server between two times.
 func (m *model) rate(from, to time.Duration) float64 {
 	n := 0
-	for _, a := range m.came {
+	for _, a := range m.arrivals {
 		if a.at >= from && a.at < to {
 			n++
 		}
--- a/process/ratelimit/wire.go
+++ b/process/ratelimit/wire.go
@@ -12,21 +12,21 @@
 
 // The first byte of a message; no other part of the process has these.
 const (
-	kindAsk    = 9
-	kindAnswer = 10
-	kindReport = 11 // an ask for nothing, which is not answered
+	kindRequest = 9
+	kindAnswer  = 10
+	kindReport  = 11 // an ask for nothing, which is not answered
 )
 
 const (
 	// wordBytes is the size of a word: limit and both ages.
-	wordBytes = 3 * 4
+	limitBytes = 3 * 4
 	// askBytes is the size of an ask before the name of its region, and answerBytes that of an answer.
-	askBytes    = 1 + 4 + 8 + 1 + wordBytes
-	answerBytes = 1 + 4 + 8 + 1 + 2 + wordBytes
+	requestBytes = 1 + 4 + 8 + 1 + limitBytes
+	answerBytes  = 1 + 4 + 8 + 1 + 2 + limitBytes
 	// noAge stands in the place of the age of a word that there is not.
 	noAge = math.MaxUint32
 	// transit is how long a datagram may be under way, by which the age of a word is too low.
-	transit = 100 * time.Millisecond
+	maxTransit = 100 * time.Millisecond
 )
 
 // status is what an owner answers.
@@ -39,41 +39,41 @@
 )
 
 // ask asks for one permit.
-type ask struct {
+type permitRequest struct {
 	seq      uint32
 	start    uint64 // of the backend server
 	priority byte
-	word     word
+	observed observedLimit
 	region   string // of the backend server
 }
 
 // answer answers an ask.
 type answer struct {
-	seq    uint32
-	start  uint64
-	status status
-	wait   time.Duration
-	word   word
+	seq      uint32
+	start    uint64
+	status   status
+	wait     time.Duration
+	observed observedLimit
 }
 
-func (x ask) encode(kind byte, now time.Duration) []byte {
-	out := make([]byte, 0, askBytes+len(x.region))
+func (x permitRequest) encode(kind byte, now time.Duration) []byte {
+	out := make([]byte, 0, requestBytes+len(x.region))
 	out = append(out, kind)
 	out = binary.LittleEndian.AppendUint32(out, x.seq)
 	out = binary.LittleEndian.AppendUint64(out, x.start)
 	out = append(out, x.priority)
-	out = x.word.append(out, now)
+	out = x.observed.append(out, now)
 	return append(out, x.region...)
 }
 
-func decodeAsk(text []byte, now time.Duration) (ask, error) {
-	if len(text) < askBytes {
-		return ask{}, errors.Errorf("an ask of %d bytes", len(text))
+func decodeRequest(text []byte, now time.Duration) (permitRequest, error) {
+	if len(text) < requestBytes {
+		return permitRequest{}, errors.Errorf("an ask of %d bytes", len(text))
 	}
-	w, err := decodeWord(text[askBytes-wordBytes:askBytes], now)
-	return ask{
+	w, err := decodeLimit(text[requestBytes-limitBytes:requestBytes], now)
+	return permitRequest{
 		seq: binary.LittleEndian.Uint32(text[1:]), start: binary.LittleEndian.Uint64(text[5:]), priority: text[13],
-		word: w, region: string(text[askBytes:]),
+		observed: w, region: string(text[requestBytes:]),
 	}, err
 }
 
@@ -84,24 +84,24 @@
 	out = binary.LittleEndian.AppendUint64(out, x.start)
 	out = append(out, byte(x.status))
 	out = binary.LittleEndian.AppendUint16(out, uint16(min(x.wait.Milliseconds(), math.MaxUint16)))
-	return x.word.append(out, now)
+	return x.observed.append(out, now)
 }
 
 func decodeAnswer(text []byte, now time.Duration) (answer, error) {
 	if len(text) != answerBytes {
 		return answer{}, errors.Errorf("an answer of %d bytes", len(text))
 	}
-	w, err := decodeWord(text[answerBytes-wordBytes:], now)
+	w, err := decodeLimit(text[answerBytes-limitBytes:], now)
 	return answer{
 		seq: binary.LittleEndian.Uint32(text[1:]), start: binary.LittleEndian.Uint64(text[5:]), status: status(text[13]),
-		wait: time.Duration(binary.LittleEndian.Uint16(text[14:])) * time.Millisecond, word: w,
+		wait: time.Duration(binary.LittleEndian.Uint16(text[14:])) * time.Millisecond, observed: w,
 	}, err
 }
 
 // append adds a word with the ages of its interval.
-func (w word) append(out []byte, now time.Duration) []byte {
+func (w observedLimit) append(out []byte, now time.Duration) []byte {
 	from, to := uint32(noAge), uint32(noAge)
-	if w.spoken() {
+	if w.present() {
 		from, to = age(w.from, now), age(w.to, now)
 	}
 	out = binary.LittleEndian.AppendUint32(out, math.Float32bits(float32(w.limit)))
@@ -114,18 +114,18 @@
 	return uint32(min(max(0, (now-at).Milliseconds()), noAge-1))
 }
 
-func decodeWord(text []byte, now time.Duration) (word, error) {
+func decodeLimit(text []byte, now time.Duration) (observedLimit, error) {
 	from, to := binary.LittleEndian.Uint32(text[4:]), binary.LittleEndian.Uint32(text[8:])
 	if to == noAge {
-		return word{}, nil
+		return observedLimit{}, nil
 	}
 	limit := float64(math.Float32frombits(binary.LittleEndian.Uint32(text)))
 	if math.IsNaN(limit) || limit < 0 || from < to {
-		return word{}, errors.Errorf("a limit of %g, said %d to %d ms ago", limit, from, to)
+		return observedLimit{}, errors.Errorf("a limit of %g, said %d to %d ms ago", limit, from, to)
 	}
-	w := word{limit: limit, from: now - time.Duration(from)*time.Millisecond - transit, to: now - time.Duration(to)*time.Millisecond}
+	w := observedLimit{limit: limit, from: now - time.Duration(from)*time.Millisecond - maxTransit, to: now - time.Duration(to)*time.Millisecond}
 	if w.to <= 0 {
-		return word{}, nil // older than this process
+		return observedLimit{}, nil // older than this process
 	}
 	return w, nil
 }
