--- a/process/ratelimit/bucket.go
+++ b/process/ratelimit/bucket.go
@@ -5,42 +5,43 @@
 import "time"
 
 const (
-	// takeoverTime is how long a new owner uses only takeoverPace of the limit: another instance may
-	// go on as the owner until news of a start or a death has reached it (3.7 s in a region of 103).
+	// takeoverPeriod is how long a new owner uses only takeoverFactor of the limit: another
+	// instance may still act as the owner until it has learned of a start or a crash (3.7 s in a
+	// region of 103).
 	takeoverPeriod = 4 * time.Second
 	takeoverFactor = 0.5
-	// leastDepth and depthTime make the depth of a bucket: permits that may be given at once are
-	// leastDepth and what the limit allows in depthTime.
+	// A bucket holds at most minDepth permits plus what the limit allows in depthTime.
 	minDepth  = 2.0
 	depthTime = 250 * time.Millisecond
-	// asksPerPermit is how many asks an owner wants for each permit: more cost messages, fewer leave
-	// permits unused while instances that were denied hold back.
+	// requestsPerPermit is how many permit requests an owner aims for per permit. More cost
+	// messages; with fewer, permits stay unused while denied instances wait.
 	requestsPerPermit = 3.0
-	// A denial holds an instance back for leastWait to mostWait.
+	// A denial stops the permit requests of an instance for minWait to maxWait.
 	minWait = 20 * time.Millisecond
 	maxWait = 5 * time.Second
-	// askerFor is how long an instance counts as one that wants permits after it has asked.
+	// requesterTTL is how long an instance counts as a requester after its last request.
 	requesterTTL = maxWait + time.Second
-	// urgentFor is how long after an urgent request was denied less urgent ones leave it a permit.
+	// urgentReserveTime is how long after the denial of an urgent request less urgent ones leave
+	// one permit in the bucket.
 	urgentReserveTime = time.Second
-	// mostRepeats is the number of answers of an asker that are kept to be given again.
+	// maxRepeats is the number of answers to a requester that are kept for repeated requests.
 	maxRepeats = 8
 )
 
-// bucket holds the permits of one backend server at its owner.
+// bucket is the token bucket of one backend server at its owner.
 type bucket struct {
-	since      time.Duration // when it was made
-	at         time.Duration // as of which tokens are counted
+	since      time.Duration // when it was created
+	at         time.Duration // time of the last update of tokens
 	tokens     float64
 	requesters map[string]*requester
-	// urgent is the priority of the most urgent request that was denied lately, as of urgentAt.
+	// urgent is the priority of the most urgent request that was denied lately, at urgentAt.
 	urgent   int
 	urgentAt time.Duration
 }
 
-// asker is one instance that asks for permits.
+// requester is an instance that requests permits.
 type requester struct {
-	lastRequest time.Duration // of its last ask
+	lastRequest time.Duration
 	answers     [maxRepeats]answer
 	next        int
 }
@@ -49,8 +50,8 @@
 	return &bucket{since: now, at: now, requesters: make(map[string]*requester), urgentAt: now - urgentReserveTime}
 }
 
-// pace returns the permits a second that the bucket gives of a limit, of which this side of a cut has
-// a share.
+// rate returns the permits per second that the bucket grants of a limit, of which this instance's
+// side of a partition has a share.
 func (b *bucket) rate(limit, share float64, now time.Duration) float64 {
 	if now-b.since < takeoverPeriod {
 		return limit * share * takeoverFactor
@@ -58,59 +59,59 @@
 	return limit * share
 }
 
-// take gives a permit for a request of a priority, or says for how long its instance should not
-// ask, by a random number below 1.
-func (b *bucket) take(from string, priority int, limit, share float64, now time.Duration, random float64) (ok bool, wait time.Duration) {
-	a := b.requester(from)
-	a.lastRequest = now
+// take grants a permit for a request of a priority, or returns how long its instance should wait
+// before it requests another one. random is in [0, 1).
+func (b *bucket) take(instance string, priority int, limit, share float64, now time.Duration, random float64) (ok bool, wait time.Duration) {
+	r := b.requester(instance)
+	r.lastRequest = now
 	if limit == unknownLimit {
-		return true, 0 // nobody knows the limit: the answer to the request will tell
+		return true, 0 // the limit is not known yet: the answer to the request will name it
 	}
-	pace := b.rate(limit, share, now)
+	rate := b.rate(limit, share, now)
 	depth := minDepth + limit*depthTime.Seconds()
-	b.tokens = min(depth, b.tokens+pace*(now-b.at).Seconds())
+	b.tokens = min(depth, b.tokens+rate*(now-b.at).Seconds())
 	b.at = now
-	need := 1.0
+	needed := 1.0
 	if now-b.urgentAt < urgentReserveTime && b.urgent < priority {
-		need++
+		needed++
 	}
-	if b.tokens >= need {
+	if b.tokens >= needed {
 		b.tokens--
 		return true, 0
 	}
 	if now-b.urgentAt >= urgentReserveTime || priority <= b.urgent {
 		b.urgent, b.urgentAt = priority, now
 	}
-	return false, b.retryAfter(pace, now, random)
+	return false, b.retryAfter(rate, now, random)
 }
 
-// wait spaces the asks of those that want permits.
-func (b *bucket) retryAfter(pace float64, now time.Duration, random float64) time.Duration {
-	n := 0
-	for name, a := range b.requesters {
-		if now-a.lastRequest > requesterTTL {
+// retryAfter returns a wait that spreads the permit requests of all requesters over time.
+func (b *bucket) retryAfter(rate float64, now time.Duration, random float64) time.Duration {
+	requesters := 0
+	for name, r := range b.requesters {
+		if now-r.lastRequest > requesterTTL {
 			delete(b.requesters, name)
 			continue
 		}
-		n++
+		requesters++
 	}
-	s := float64(n) / (requestsPerPermit * pace) * (0.5 + random)
-	return min(max(minWait, time.Duration(min(s, maxWait.Seconds())*float64(time.Second))), maxWait)
+	seconds := float64(requesters) / (requestsPerPermit * rate) * (0.5 + random)
+	return min(max(minWait, time.Duration(min(seconds, maxWait.Seconds())*float64(time.Second))), maxWait)
 }
 
-// asker returns what is known of an asking instance.
+// requester returns the state of a requester, and creates it if necessary.
 func (b *bucket) requester(name string) *requester {
-	a := b.requesters[name]
-	if a == nil {
-		a = &requester{}
-		b.requesters[name] = a
+	r := b.requesters[name]
+	if r == nil {
+		r = &requester{}
+		b.requesters[name] = r
 	}
-	return a
+	return r
 }
 
-// repeated returns the answer that an ask has had already.
-func (a *requester) previousAnswer(seq uint32) (answer, bool) {
-	for _, x := range a.answers {
+// previousAnswer returns the answer that a permit request got before.
+func (r *requester) previousAnswer(seq uint32) (answer, bool) {
+	for _, x := range r.answers {
 		if x.seq == seq && x.start != 0 {
 			return x, true
 		}
@@ -118,8 +119,8 @@
 	return answer{}, false
 }
 
-// keep keeps an answer, for when the ask comes again.
-func (a *requester) store(x answer) {
-	a.answers[a.next] = x
-	a.next = (a.next + 1) % maxRepeats
+// store keeps an answer for a repeated permit request.
+func (r *requester) store(x answer) {
+	r.answers[r.next] = x
+	r.next = (r.next + 1) % maxRepeats
 }
--- a/process/ratelimit/doc.go
+++ b/process/ratelimit/doc.go
@@ -4,25 +4,25 @@
 Package ratelimit keeps the requests that reach a backend server within the rate limit that its
 answers name, over all instances together.
 
-	l.Answered(b, limit, sent)         // each answer names a limit, or none
-	l.Blocked(b.Start, priority)       // may a request ask for a permit at all?
+	l.RecordAnswer(b, limit, sent)     // each answer names a limit, or none
+	l.Blocked(b.Start, priority)       // for how long will a request get no permit?
 	l.Acquire(ctx, b, priority)        // get a permit for one request
-	l.Valid(b.Start, at)               // is the permit still good as the first byte leaves?
+	l.Valid(b.Start, at)               // is the permit still valid as the first byte is sent?
 	l.Return(b.Start, at)              // it was not used
 
 # Permits
 
 For each limited backend server one instance, its owner, has a token bucket (bucket.go). The
-others ask it for a permit for each request, in datagrams (wire.go), and wait for the answer for
-a bounded time. A request without a permit goes to another backend server. With a denial the
-owner says for how long not to ask again, so that the asks that reach it stay near three for
+others request a permit from it for each request, in datagrams (wire.go), and wait for the answer
+for a bounded time. A request without a permit goes to another backend server. A denial says for
+how long not to request another permit, so that the owner gets about three permit requests for
 each permit, however many instances there are.
 
 # Limits
 
-What is known of a limit is a word (word.go), which the backend server said within an interval
-of time. Words travel with asks and answers, and as rumours beside other observations of backend
-servers. docs/design/rate-limits.md tells what happens when instances die, are cut off or
-disagree.
+An observed limit (word.go) is what the backend server said within an interval of time. Observed
+limits are part of permit requests and their answers, and instances gossip that a backend server
+is limited together with other observations. docs/design/rate-limits.md describes what happens
+when instances crash, are partitioned or disagree.
 */
 package ratelimit
--- a/process/ratelimit/exchange.go
+++ b/process/ratelimit/exchange.go
@@ -2,7 +2,7 @@
 
 package ratelimit
 
-// Hear takes up a message from an address, and reports whether it was one of this package.
+// Receive handles a message from an address, and reports whether it is a message of this package.
 func (l *Limiter) Receive(from string, text []byte) bool {
 	if len(text) == 0 || text[0] < kindRequest || text[0] > kindReport {
 		return false
@@ -17,19 +17,19 @@
 	return true
 }
 
-// hearAsk answers an ask; nil: there is nothing to say.
+// handleRequest returns the answer to a permit request or report, or nil if there is none.
 func (l *Limiter) handleRequest(from string, text []byte) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Now()
 	x, err := decodeRequest(text, now)
 	if err != nil || x.start == 0 {
-		return nil // it is of no instance of this version
+		return nil // it was sent by an instance of another software version
 	}
 	k := l.backends[x.start]
 	if k == nil {
 		if !x.observed.limited(now) {
-			k = &backend{} // nothing is known of it, nor worth keeping
+			k = &backend{} // nothing is known of it, and nothing needs to be kept
 		} else {
 			k = l.add(x.start)
 		}
@@ -44,8 +44,8 @@
 		return out.encode(now)
 	}
 	if k.bucket != nil {
-		if again, ok := k.bucket.requester(from).previousAnswer(x.seq); ok {
-			return again.encode(now)
+		if previous, ok := k.bucket.requester(from).previousAnswer(x.seq); ok {
+			return previous.encode(now)
 		}
 	}
 	out.status, out.wait = l.grant(k, from, int(x.priority), now)
@@ -55,8 +55,8 @@
 	return out.encode(now)
 }
 
-// hearAnswer takes up the answer to an ask. If nobody waits for it any more, a permit is kept for
-// another request.
+// handleAnswer handles the answer to a permit request. If no request waits for it any more, a
+// permit is kept for another one.
 func (l *Limiter) handleAnswer(text []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,7 +85,8 @@
 	p.result <- x.status == granted
 }
 
-// Tick tells owners of limits that have ended, and forgets what is of no use any more.
+// Tick reports limits that have ended to their owners, and drops state that is no longer needed.
+// It must be called every TickTime.
 func (l *Limiter) Tick() {
 	if !l.active.Load() {
 		return
--- a/process/ratelimit/fleet_test.go
+++ b/process/ratelimit/fleet_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// steady returns a limit that is named from a time on.
+// constantLimit returns a limit that is named from a time on.
 func constantLimit(limit float64, from time.Duration) func(time.Duration) float64 {
 	return func(now time.Duration) float64 {
 		if now < from {
@@ -21,23 +21,24 @@
 	}
 }
 
-// TestLimitIsUsedByFleetsOfEachSize guards against shares of a limit that no instance can use, or
-// that add up to more than it: limits far below and far above one request a second and instance.
+// TestLimitIsUsedByFleetsOfEachSize guards against dividing a limit into shares that no instance
+// can use, or that add up to more than the limit. It covers limits far below and far above one
+// request per second and instance.
 func TestLimitIsUsedByFleetsOfEachSize(t *testing.T) {
 	for _, size := range []int{1, 12, 90, 985} {
 		for _, limit := range []float64{0.5, 3, 4.7, 100} {
 			for _, loss := range []float64{0, 0.1} {
 				t.Run(fmt.Sprintf("%d instances, limit %g, loss %g", size, limit, loss), func(t *testing.T) {
 					m := newModel(3, size, max(20, 4*limit), nil)
-					begun := m.now
-					m.limitAt = constantLimit(limit, begun)
+					start := m.now
+					m.limitAt = constantLimit(limit, start)
 					m.loss = loss
 					measured := max(20*time.Second, time.Duration(40/limit*float64(time.Second))) // 40 requests at least
 					m.run(graceTime + takeoverPeriod + measured)
-					over := m.excess(limit, begun+graceTime, m.now)
+					excess := m.excess(limit, start+graceTime, m.now)
 					used := m.rate(m.now-measured, m.now) / limit
-					t.Logf("%.1f of the bound left, %.2f of the limit used, %.1f asks a second", -over, used, float64(m.requests)/(m.now-begun).Seconds())
-					assert.Check(t, over <= 0, "%.1f beyond the bound", over)
+					t.Logf("%.1f of the bound left, %.2f of the limit used, %.1f permit requests per second", -excess, used, float64(m.requests)/(m.now-start).Seconds())
+					assert.Check(t, excess <= 0, "%.1f beyond the bound", excess)
 					assert.Check(t, used >= 0.9 && used <= 1.15, "%.2f of the limit used", used)
 				})
 			}
@@ -45,47 +46,49 @@
 	}
 }
 
-// TestLimitHoldsWhileInstancesDieStartAndAreCutOff guards against owners that disagree on who owns
-// a limit, and permits that are lost or doubled as instances come and go.
+// TestLimitHoldsAcrossCrashesStartsAndPartitions guards against instances that disagree on the
+// owner of a limit, and against permits that are lost or granted twice, as instances start, crash
+// and are partitioned.
 func TestLimitHoldsAcrossCrashesStartsAndPartitions(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		size := rapid.SampledFrom([]int{2, 3, 12, 40}).Draw(r, "instances")
 		limit := rapid.SampledFrom([]float64{0.5, 3, 4.7, 30}).Draw(r, "limit")
 		m := newModel(rapid.Uint64().Draw(r, "seed"), size, max(20, 4*limit), nil)
 		m.loss = rapid.SampledFrom([]float64{0, 0.02, 0.1}).Draw(r, "loss")
-		begun := m.now
-		m.limitAt = constantLimit(limit, begun)
+		start := m.now
+		m.limitAt = constantLimit(limit, start)
 		for range rapid.IntRange(1, 6).Draw(r, "faults") {
 			m.run(time.Duration(rapid.IntRange(0, 4000).Draw(r, "pause")) * time.Millisecond)
 			n := m.nodes[rapid.IntRange(0, len(m.nodes)-1).Draw(r, "instance")]
-			switch rapid.SampledFrom([]string{"owner dies", "dies", "starts", "cut"}).Draw(r, "fault") {
-			case "owner dies":
+			switch rapid.SampledFrom([]string{"owner crashes", "crashes", "starts", "partition"}).Draw(r, "fault") {
+			case "owner crashes":
 				if o := n.owner("0", modelStart); o.Address != "" {
 					m.kill(m.byName(o.Address))
 				}
-			case "dies":
+			case "crashes":
 				m.kill(n)
 			case "starts":
 				m.start(m.now)
-			case "cut":
+			case "partition":
 				each := rapid.IntRange(1, 4).Draw(r, "each")
-				var cut []*node
+				var separated []*node
 				for _, o := range m.nodes {
 					if (o.index+n.index)%(each*each) == 0 && !o.dead && o.group == 0 {
-						cut = append(cut, o)
+						separated = append(separated, o)
 					}
 				}
-				m.partition(cut, time.Duration(rapid.IntRange(500, 8000).Draw(r, "for"))*time.Millisecond)
+				m.partition(separated, time.Duration(rapid.IntRange(500, 8000).Draw(r, "for"))*time.Millisecond)
 			}
 		}
 		m.run(10 * time.Second)
-		if over := m.excess(limit, begun+graceTime, m.now); over > 0 {
-			r.Fatalf("%.1f beyond the bound", over)
+		if excess := m.excess(limit, start+graceTime, m.now); excess > 0 {
+			r.Fatalf("%.1f beyond the bound", excess)
 		}
 	})
 }
 
-// TestDeadOwnersLimitIsUsedAgain guards against a limit that nobody uses since its owner has died.
+// TestLimitOfDownOwnerIsUsedAgain guards against a limit that stays unused after its owner has
+// crashed.
 func TestLimitOfDownOwnerIsUsedAgain(t *testing.T) {
 	const limit = 4.7
 	m := newModel(5, 12, 40, nil)
@@ -99,28 +102,27 @@
 	assert.Assert(t, used >= 0.8 && used <= 1.1, "%.2f of the limit used", used) // 11 of 12 instances are left
 }
 
-// TestLimitFollowsWhatTheBackendServerSays guards against limits that stay as they were when they
-// rise, fall or end.
+// TestLimitFollowsBackend guards against limits that are not updated when they rise, fall or end.
 func TestLimitFollowsBackend(t *testing.T) {
 	m := newModel(6, 12, 60, nil)
-	begun := m.now
+	start := m.now
 	steps := []struct {
-		limit, least, most float64
+		limit, minRate, maxRate float64
 	}{{10, 9, 11}, {3, 2.7, 3.3}, {20, 18, 22}, {0, 55, 65}, {5, 4.5, 5.5}}
 	const each = 20 * time.Second
-	m.limitAt = func(now time.Duration) float64 { return steps[min(int((now-begun)/each), len(steps)-1)].limit }
+	m.limitAt = func(now time.Duration) float64 { return steps[min(int((now-start)/each), len(steps)-1)].limit }
 	for i, s := range steps {
 		m.run(each / 2)
 		from := m.now
 		m.run(each / 2)
-		got := m.rate(from, m.now)
-		t.Logf("limit %g: %.1f a second", s.limit, got)
-		assert.Check(t, got >= s.least && got <= s.most, "step %d, limit %g: %.1f a second", i, s.limit, got)
+		rate := m.rate(from, m.now)
+		t.Logf("limit %g: %.1f a second", s.limit, rate)
+		assert.Check(t, rate >= s.minRate && rate <= s.maxRate, "step %d, limit %g: %.1f a second", i, s.limit, rate)
 	}
 }
 
-// TestUrgentRequestsGetPermitsFirst guards against less urgent requests that use up a limit which
-// more urgent ones want.
+// TestUrgentRequestsGetPermitsFirst guards against less urgent requests using up a limit that more
+// urgent ones need.
 func TestUrgentRequestsGetPermitsFirst(t *testing.T) {
 	b := newBucket(0)
 	now := time.Minute
@@ -137,7 +139,8 @@
 	assert.Assert(t, got[0] >= 180 && got[1] <= 20, "%v of 200", got)
 }
 
-// TestOvertakenAnswerEndsNoLimit guards against answers that were under way as a limit began.
+// TestOutdatedAnswerDoesNotEndLimit guards against ending a limit by answers that were in transit
+// when it started.
 func TestOutdatedAnswerDoesNotEndLimit(t *testing.T) {
 	now := time.Hour
 	l := &Limiter{Now: func() time.Duration { return now }}
@@ -154,8 +157,9 @@
 	assert.Assert(t, !l.Limited(1))
 }
 
-// TestRumourDoesNotHideALimit guards against owners that know of a limit only that there is one,
-// from a word newer than that of an asker who knows its number, and so grant everything.
+// TestGossipDoesNotHideLimit guards against owners that know only that a backend server is
+// limited, by gossip that is newer than the limit that a requester knows, and therefore grant
+// everything.
 func TestGossipDoesNotHideLimit(t *testing.T) {
 	now := time.Hour
 	l := &Limiter{
@@ -171,8 +175,8 @@
 	}
 }
 
-// TestAnotherStartIsNotLimited guards against a limit that outlives the start of a backend server
-// that named it.
+// TestRestartedBackendIsNotLimited guards against a limit that outlives the incarnation of the
+// backend server that named it.
 func TestRestartedBackendIsNotLimited(t *testing.T) {
 	l := &Limiter{Now: func() time.Duration { return time.Hour }}
 	l.RecordAnswer(Backend{Start: 1, Name: "b"}, 3, time.Minute)
@@ -180,8 +184,8 @@
 	assert.Assert(t, !l.Limited(2))
 }
 
-// TestUnusedPermitIsUsedByAnother guards against permits that are lost with the connection or the
-// caller.
+// TestUnusedPermitIsReused guards against losing permits when a connection fails or a caller gives
+// up.
 func TestUnusedPermitIsReused(t *testing.T) {
 	now := time.Hour
 	l := &Limiter{
@@ -190,7 +194,7 @@
 	}
 	b := Backend{Start: 1, Name: "b"}
 	l.RecordAnswer(b, 1, now-time.Second)
-	_, ok := l.Acquire(t.Context(), b, 0) // makes the bucket
+	_, ok := l.Acquire(t.Context(), b, 0) // creates the bucket
 	assert.Assert(t, !ok)
 	now += 3 * time.Second
 	at, ok := l.Acquire(t.Context(), b, 0)
@@ -203,7 +207,7 @@
 	assert.Assert(t, !l.Valid(1, again))
 }
 
-// FuzzHear guards against messages that are none.
+// FuzzReceive guards against invalid messages.
 func FuzzReceive(f *testing.F) {
 	f.Add(permitRequest{seq: 1, start: 2, observed: observedLimit{limit: 3, from: time.Minute, to: time.Hour}, region: "north"}.encode(kindRequest, time.Hour))
 	f.Add(permitRequest{seq: 1, start: 2}.encode(kindReport, time.Hour))
--- a/process/ratelimit/limiter.go
+++ b/process/ratelimit/limiter.go
@@ -11,90 +11,93 @@
 )
 
 const (
-	// TickTime is the pause between two calls of Tick.
+	// TickTime is the time between two calls of Tick.
 	TickTime = 250 * time.Millisecond
-	// resendAfter is how long after an ask it is sent once more, above the way to another region and
-	// back, and answerWithin how long a request waits for the answer.
+	// resendAfter is how long after a permit request it is sent once more, longer than a round
+	// trip to another region. answerTimeout is how long a request waits for the answer.
 	resendAfter   = 80 * time.Millisecond
 	answerTimeout = 160 * time.Millisecond
-	// retryOwner is how long no permit is asked for after an owner did not answer, or was none.
+	// ownerRetryDelay is how long no permits are requested after an owner did not answer, or was
+	// not the owner.
 	ownerRetryDelay = 200 * time.Millisecond
-	// permitFor is how long a permit is good.
+	// permitTTL is how long a permit is valid.
 	permitTTL = time.Second
-	// reports is how often the owner is told that a limit has ended.
+	// endReports is how many times the end of a limit is reported to the owner.
 	endReports = 3
-	// countedFor is how long the largest number of instances counts for the size of the fleet, so
-	// that one side of a cut does not take the limit of both.
+	// fleetSizeWindow is how long the largest number of instances counts as the size of the fleet,
+	// so that one side of a partition does not use the limit of both.
 	fleetSizeWindow = time.Minute
-	// forgetAfter is how long a backend server is remembered that nobody asks about.
+	// forgetAfter is how long unused state of a backend server is kept.
 	forgetAfter = 10 * time.Minute
 )
 
-// Backend is one start of a backend server.
+// Backend is one incarnation of a backend server.
 type Backend struct {
-	Start  uint64 // identifies the start
+	Start  uint64 // identifies the incarnation
 	Name   string
 	Region string
 }
 
-// Owner is the instance that gives the permits of a backend server.
+// Owner is the instance that grants the permits of a backend server.
 type Owner struct {
 	Name    string
-	Address string // where it takes messages; "": it is this instance
+	Address string // where it receives messages; "": it is this instance
 }
 
-// Counts are how many asks of this instance were granted, denied and not answered.
+// Counts are the numbers of this instance's permit requests that were granted, denied and not
+// answered.
 type Counts struct{ Granted, Denied, Unanswered int64 }
 
-// Limiter is the rate limits at one instance. The fields are set before use.
+// Limiter holds the rate limits of backend servers that one instance knows. The exported fields
+// are set before use.
 type Limiter struct {
 	Now func() time.Duration
-	// Owner returns the owner of a start of a backend server in a region; one without a name while
-	// nobody is known.
+	// Owner returns the owner of an incarnation of a backend server in a region, or one without a
+	// name if it is not known.
 	Owner func(region string, start uint64) Owner
-	// Instances returns how many instances may be at work; zero: not known yet.
+	// Instances returns how many instances may be live; zero: not known yet.
 	Instances func() int
 	// Send sends a message to an address. Messages may be lost.
 	Send func(address string, message []byte)
-	// OnLimit, if set, is told of a limit that begins, changes or, with zero, ends; own: the
-	// backend server told it to this instance. It must not call the limiter.
+	// OnLimit, if set, is called when a limit starts, changes or, with zero, ends. own is set if
+	// the backend server named it in an answer to this instance. It must not call the limiter.
 	OnLimit func(backend string, limit float64, own bool)
 
-	random         func() float64 // rand.Float64, but in a model
-	active         atomic.Bool    // a backend server is known that is limited, or was lately
+	random         func() float64 // nil: rand.Float64
+	active         atomic.Bool    // there is state of backend servers
 	mu             sync.Mutex
 	backends       map[uint64]*backend
 	pending        map[uint32]*pendingRequest
 	seq            uint32
-	maxInstances   int           // the most instances that there were lately
-	maxInstancesAt time.Duration // when there were so many last
+	maxInstances   int           // largest number of instances lately
+	maxInstancesAt time.Duration // when there were last so many
 	counts         Counts
 }
 
-// backend is what is known of one start of a backend server.
+// backend is the state of one incarnation of a backend server.
 type backend struct {
 	Backend
 	observed    observedLimit
-	lastUsed    time.Duration // when it was last of use
-	reportsLeft int           // that are still to be sent of the end of its limit
-	// Until blocked, no request that is as urgent as priority or less may ask for a permit.
+	lastUsed    time.Duration
+	reportsLeft int // reports of the end of its limit that are still to be sent
+	// Until blockedUntil, no requests of priority or less urgent ones may request a permit.
 	blockedUntil  time.Duration
 	priority      int
-	unusedPermits []time.Duration // when permits were given that were not used
+	unusedPermits []time.Duration // when permits were granted that were not used
 	bucket        *bucket         // nil unless this instance is the owner
 }
 
-// pending is an ask that waits for its answer.
+// pendingRequest is a permit request that waits for its answer.
 type pendingRequest struct {
 	backend   *backend
 	priority  int
 	sentAt    time.Duration
-	abandoned bool      // nobody waits any more: a permit is for another request
-	result    chan bool // whether it was granted; has room for the one answer
+	abandoned bool      // no request waits any more: a permit is kept for another one
+	result    chan bool // whether it was granted; buffers the one answer
 }
 
-// Answered takes up what an answer of a backend server said of its limit, zero: none. Its request was
-// sent at a time.
+// RecordAnswer records the limit that an answer of a backend server named, zero: none. sent is
+// when its request was sent.
 func (l *Limiter) RecordAnswer(b Backend, limit float64, sent time.Duration) {
 	if limit == 0 && !l.active.Load() {
 		return
@@ -109,10 +112,10 @@
 		k = l.add(b.Start)
 	}
 	k.Backend = b
-	l.update(k, observedLimit{limit: float64(float32(limit)), from: sent, to: l.Now()}, true) // as it is on the wire
+	l.update(k, observedLimit{limit: float64(float32(limit)), from: sent, to: l.Now()}, true) // rounded as on the wire
 }
 
-// HearLimited takes up that another instance knows of a limit, told some time ago.
+// ApplyLimited applies gossip that a backend server was limited at a time.
 func (l *Limiter) ApplyLimited(b Backend, at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,7 +127,7 @@
 	l.update(k, gossipedLimit(at), false)
 }
 
-// add begins to keep a start of a backend server. The caller holds the lock.
+// add creates the state of an incarnation of a backend server. The caller holds the lock.
 func (l *Limiter) add(start uint64) *backend {
 	if l.backends == nil {
 		l.backends = make(map[uint64]*backend)
@@ -137,29 +140,29 @@
 	return k
 }
 
-// learn takes up a word if it is newer. The caller holds the lock.
-func (l *Limiter) update(k *backend, w observedLimit, own bool) {
+// update merges an observed limit into the state of a backend server. The caller holds the lock.
+func (l *Limiter) update(k *backend, o observedLimit, own bool) {
 	before := k.observed
-	k.observed = w.merge(before)
+	k.observed = o.merge(before)
 	if k.observed == before {
 		return
 	}
 	k.lastUsed = l.Now()
-	if w.limit == before.limit {
+	if o.limit == before.limit {
 		return
 	}
-	if w.limit == 0 {
+	if o.limit == 0 {
 		k.blockedUntil = 0
 		if own {
 			k.reportsLeft = endReports
 		}
 	}
-	if l.OnLimit != nil && k.Name != "" && (w.limit != unknownLimit || before.limit == 0) {
-		l.OnLimit(k.Name, w.limit, own)
+	if l.OnLimit != nil && k.Name != "" && (o.limit != unknownLimit || before.limit == 0) {
+		l.OnLimit(k.Name, o.limit, own)
 	}
 }
 
-// Limited reports whether a start of a backend server is limited.
+// Limited reports whether an incarnation of a backend server is limited.
 func (l *Limiter) Limited(start uint64) bool {
 	if !l.active.Load() {
 		return false
@@ -170,8 +173,8 @@
 	return k != nil && k.observed.limited(l.Now())
 }
 
-// Blocked returns for how long requests of a priority get no permit for a start of a backend
-// server; zero: it takes them, or may be asked.
+// Blocked returns for how long requests of a priority will get no permit for an incarnation of a
+// backend server; zero: it is not limited, or a permit may be requested.
 func (l *Limiter) Blocked(start uint64, priority int) time.Duration {
 	if !l.active.Load() {
 		return 0
@@ -200,7 +203,8 @@
 	k.blockedUntil = max(k.blockedUntil, now+d)
 }
 
-// hasSpare reports whether there is a permit that was not used.
+// hasUnusedPermit drops expired permits and reports whether there is a valid one that was not
+// used.
 func (k *backend) hasUnusedPermit(now time.Duration) bool {
 	for len(k.unusedPermits) > 0 && now-k.unusedPermits[0] >= permitTTL {
 		k.unusedPermits = k.unusedPermits[1:]
@@ -209,7 +213,8 @@
 }
 
 // Acquire gets a permit for a request of a priority to a backend server, for which it may wait a
-// moment, and returns as of when it holds. One that is not limited needs none.
+// moment, and returns the time from which it is valid. A backend server that is not limited needs
+// none.
 func (l *Limiter) Acquire(ctx context.Context, b Backend, priority int) (at time.Duration, ok bool) {
 	l.mu.Lock()
 	now := l.Now()
@@ -218,7 +223,7 @@
 	if d.pending == nil {
 		return d.at, d.granted
 	}
-	for _, pause := range []time.Duration{resendAfter, answerTimeout - resendAfter} {
+	for _, wait := range []time.Duration{resendAfter, answerTimeout - resendAfter} {
 		l.Send(d.address, d.request)
 		select {
 		case granted := <-d.pending.result:
@@ -226,23 +231,23 @@
 		case <-ctx.Done():
 			l.abandon(d.pending)
 			return 0, false
-		case <-time.After(pause):
+		case <-time.After(wait):
 		}
 	}
 	return l.Now(), l.timeOut(d.pending)
 }
 
-// decision is what becomes of a request that wants a permit: granted or not, or an ask that was not
-// sent yet.
+// decision is the result for a request that needs a permit: granted, not granted, or a permit
+// request that has not been sent yet.
 type decision struct {
 	granted bool
-	at      time.Duration // as of when it is
+	at      time.Duration // from when it is valid
 	pending *pendingRequest
 	address string
 	request []byte
 }
 
-// decide decides on a request, or makes an ask. The caller holds the lock.
+// decide decides on a request, or creates a permit request. The caller holds the lock.
 func (l *Limiter) decide(b Backend, priority int, now time.Duration) decision {
 	k := l.backends[b.Start]
 	if k == nil || !k.observed.limited(now) {
@@ -279,8 +284,8 @@
 	return decision{pending: p, address: o.Address, request: x.encode(kindRequest, now)}
 }
 
-// grant decides on a request as the owner. The caller holds the lock.
-func (l *Limiter) grant(k *backend, from string, priority int, now time.Duration) (status, time.Duration) {
+// grant decides on a permit request as the owner. The caller holds the lock.
+func (l *Limiter) grant(k *backend, instance string, priority int, now time.Duration) (status, time.Duration) {
 	share := l.liveShare(now)
 	if share == 0 {
 		return denied, ownerRetryDelay
@@ -291,15 +296,15 @@
 	if k.bucket == nil {
 		k.bucket = newBucket(now)
 	}
-	ok, wait := k.bucket.take(from, priority, k.observed.limit, share, now, l.randomFloat())
+	ok, wait := k.bucket.take(instance, priority, k.observed.limit, share, now, l.randomFloat())
 	if !ok {
 		return denied, wait
 	}
 	return granted, 0
 }
 
-// share returns the part of the instances that there were lately which this one knows to be at work
-// now; zero while it does not know the others. The caller holds the lock.
+// liveShare returns the share of the recent fleet that is known to be live now, zero while the
+// other instances are not known. The caller holds the lock.
 func (l *Limiter) liveShare(now time.Duration) float64 {
 	n := l.Instances()
 	if n >= l.maxInstances || now-l.maxInstancesAt > fleetSizeWindow {
@@ -312,8 +317,8 @@
 	return float64(n) / float64(l.maxInstances)
 }
 
-// leave notes that nobody waits for the answer to an ask any more, and reports whether it is still to
-// come.
+// abandon records that no request waits for the answer any more, and reports whether the answer is
+// still to come.
 func (l *Limiter) abandon(p *pendingRequest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -321,8 +326,8 @@
 	return p.abandoned
 }
 
-// giveUp ends an ask that was not answered in time, and reports whether it was granted in the last
-// moment.
+// timeOut ends a permit request that was not answered in time, and reports whether it was granted
+// at the last moment.
 func (l *Limiter) timeOut(p *pendingRequest) bool {
 	if !l.abandon(p) {
 		return <-p.result
@@ -334,7 +339,7 @@
 	return false
 }
 
-// draw returns a random number below 1.
+// randomFloat returns a random number in [0, 1).
 func (l *Limiter) randomFloat() float64 {
 	if l.random != nil {
 		return l.random()
@@ -342,7 +347,7 @@
 	return rand.Float64()
 }
 
-// count counts what became of an ask. The caller holds the lock.
+// countResult counts the result of a permit request. The caller holds the lock.
 func (l *Limiter) countResult(s status) {
 	if s == granted {
 		l.counts.Granted++
@@ -351,13 +356,13 @@
 	}
 }
 
-// Valid reports whether a request to a start of a backend server may leave now with a permit that
-// holds as of a time.
+// Valid reports whether a request to an incarnation of a backend server may be sent now with a
+// permit that is valid from a time.
 func (l *Limiter) Valid(start uint64, at time.Duration) bool {
 	return !l.Limited(start) || at != 0 && l.Now()-at < permitTTL
 }
 
-// Return gives back a permit that was not used.
+// Return returns a permit that was not used.
 func (l *Limiter) Return(start uint64, at time.Duration) {
 	if at == 0 || !l.active.Load() {
 		return
@@ -369,14 +374,14 @@
 	}
 }
 
-// Counts returns what became of the asks of this instance.
+// Counts returns the results of this instance's permit requests.
 func (l *Limiter) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.counts
 }
 
-// Known returns the number of backend servers that are limited.
+// LimitedCount returns the number of backend servers that are limited.
 func (l *Limiter) LimitedCount() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -389,8 +394,8 @@
 	return n
 }
 
-// ToldAt returns when a start of a backend server said that it is limited, if others should hear of
-// that.
+// LastLimited returns when an incarnation of a backend server was last known to be limited. ok is
+// false if that need not be announced to other instances.
 func (l *Limiter) LastLimited(start uint64) (at time.Duration, ok bool) {
 	if !l.active.Load() {
 		return 0, false
--- a/process/ratelimit/model_test.go
+++ b/process/ratelimit/model_test.go
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// model is a fleet of instances on one clock whose callers all want one backend server. Datagrams
-// take a while and some are lost.
+// model simulates a fleet of instances on one clock, whose callers all send requests to one
+// backend server. Datagrams are delayed and may be lost.
 type model struct {
 	now         time.Duration
 	random      *rand.Rand
 	loss        float64
-	demand      float64 // requests a second that want the backend server, of all instances
+	demand      float64 // requests per second to the backend server, of all instances
 	nodes       []*node
 	events      events
 	limitAt     func(now time.Duration) float64 // that the backend server names
 	arrivals    []arrival
-	requests    int
-	changes     int    // starts, deaths and cuts since the model began
-	steadyOwner *Owner // while there were none
+	requests    int    // permit requests sent
+	changes     int    // starts, crashes and partitions since the model started
+	steadyOwner *Owner // the owner while there were none
 }
 
 // node is one instance.
@@ -33,14 +33,14 @@
 	m         *model
 	index     int
 	name      string
-	hash      uint64 // by which owners are found
+	hash      uint64 // determines the owner
 	region    string
 	dead      bool
-	group     int             // instances of different groups do not reach each other
-	changed   time.Duration   // when it died, started, or its group changed
-	limitedAt time.Duration   // when the backend server first told it of a limit; zero: never
-	exempt    []span          // when it was cut off
-	denied    []time.Duration // when requests found no permit
+	group     int             // instances of different groups can't reach each other
+	changed   time.Duration   // when it crashed or started, or its group changed
+	limitedAt time.Duration   // when the backend server first named a limit to it; zero: never
+	exempt    []span          // when it was partitioned
+	denied    []time.Duration // when requests got no permit
 }
 
 type span struct{ from, to time.Duration }
@@ -84,8 +84,8 @@
 	modelWork         = 150 * time.Millisecond
 	heartbeatInterval = 500 * time.Millisecond
 	gossipFanout      = 4
-	// deathKnown and birthKnown are how long it takes until all know that an instance has died, or
-	// has started.
+	// downDetection and startDetection are the longest times until all know that an instance is
+	// down, or has started.
 	downDetection  = 2 * time.Second
 	startDetection = 3 * time.Second
 )
@@ -120,7 +120,7 @@
 	heap.Push(&m.events, event{m.now + d, m.events.seq, do})
 }
 
-// run plays a time.
+// run simulates a period.
 func (m *model) run(d time.Duration) {
 	until := m.now + d
 	for m.events.Len() > 0 && m.events.list[0].at <= until {
@@ -131,13 +131,13 @@
 	m.now = until
 }
 
-// pause draws the time until the next request of an instance.
+// interArrival draws the time until the next request at an instance.
 func (m *model) interArrival() time.Duration {
-	each := m.demand / float64(len(m.nodes))
-	return time.Duration(m.random.ExpFloat64() / each * float64(time.Second))
+	rate := m.demand / float64(len(m.nodes))
+	return time.Duration(m.random.ExpFloat64() / rate * float64(time.Second))
 }
 
-// knows reports whether an instance takes another one for alive.
+// considersLive reports whether an instance considers another one live.
 func (n *node) considersLive(o *node) bool {
 	since := n.m.now - o.changed
 	switch {
@@ -148,9 +148,9 @@
 	case o.group != n.group:
 		return n.m.now-max(o.changed, n.changed) < downDetection
 	}
-	// The later the news comes, the further it has to go.
-	late := time.Duration(mix(uint64(n.index)<<32|uint64(o.index)) % uint64(startDetection))
-	return since >= late || o.changed < time.Hour
+	// Each pair of instances has its own detection delay.
+	delay := time.Duration(mix(uint64(n.index)<<32|uint64(o.index)) % uint64(startDetection))
+	return since >= delay || o.changed < time.Hour
 }
 
 func (n *node) owner(region string, _ uint64) Owner {
@@ -211,11 +211,11 @@
 	if n.dead || m.random.Float64() < m.loss {
 		return
 	}
-	way := nearDelay
+	delay := nearDelay
 	if o.region != n.region {
-		way = farDelay
+		delay = farDelay
 	}
-	m.after(way, func() {
+	m.after(delay, func() {
 		if !o.dead && o.group == n.group {
 			o.Receive(n.name, text)
 		}
@@ -230,7 +230,7 @@
 	return m.nodes[i]
 }
 
-// mix spreads the bits of a number (the finalizer of MurmurHash3).
+// mix mixes the bits of a number (the finalizer of MurmurHash3).
 func mix(x uint64) uint64 {
 	x = (x + 1) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>33) * 0xff51afd7ed558ccd
@@ -238,7 +238,7 @@
 	return x ^ x>>33
 }
 
-// beat tells some others of the limit, as observations do.
+// heartbeat gossips the limit to some others, as observations do.
 func (n *node) heartbeat() {
 	m := n.m
 	if n.dead {
@@ -258,7 +258,7 @@
 
 var modelBackend = Backend{Start: modelStart, Name: "b", Region: "0"}
 
-// want lets a request come that wants the backend server.
+// arrive simulates the arrival of a request for the backend server.
 func (n *node) arrive() {
 	m := n.m
 	if n.dead {
@@ -280,45 +280,45 @@
 	n.poll(d, false)
 }
 
-// poll looks whether an ask was answered.
+// poll checks whether a permit request was answered.
 func (n *node) poll(d decision, resent bool) {
 	m := n.m
-	asked := d.pending.sentAt
+	sentAt := d.pending.sentAt
 	select {
 	case granted := <-d.pending.result:
 		n.finish(granted)
 		return
 	default:
 	}
-	if m.now-asked >= answerTimeout {
+	if m.now-sentAt >= answerTimeout {
 		n.finish(n.timeOut(d.pending))
 		return
 	}
-	if !resent && m.now-asked >= resendAfter {
+	if !resent && m.now-sentAt >= resendAfter {
 		n.Send(d.address, d.request)
 		resent = true
 	}
 	m.after(2*time.Millisecond, func() { n.poll(d, resent) })
 }
 
-// decided sends a request that may go, which is answered after a while.
+// finish sends a request that got a permit, which is answered after a while.
 func (n *node) finish(granted bool) {
 	m := n.m
 	if !granted || n.dead {
 		n.denied = append(n.denied, m.now)
 		return
 	}
-	way := nearDelay
+	delay := nearDelay
 	if n.region != modelBackend.Region {
-		way = farDelay
+		delay = farDelay
 	}
 	sent := m.now
-	m.after(way, func() {
+	m.after(delay, func() {
 		m.arrivals = append(m.arrivals, arrival{m.now, n})
 		work := modelWork + time.Duration(m.random.Int64N(int64(modelWork)))
 		m.after(work, func() {
 			limit := m.limitAt(m.now)
-			m.after(way, func() {
+			m.after(delay, func() {
 				if n.dead {
 					return
 				}
@@ -331,39 +331,41 @@
 	})
 }
 
-// kill ends an instance.
+// kill crashes an instance.
 func (m *model) kill(n *node) {
 	n.dead, n.changed = true, m.now
 	m.changes++
 }
 
-// cut separates some instances from the others for a time. It excuses them.
-func (m *model) partition(partition []*node, d time.Duration) {
+// partition separates some instances from the others for a time and exempts them.
+func (m *model) partition(separated []*node, d time.Duration) {
 	m.changes++
-	for _, n := range partition {
+	for _, n := range separated {
 		n.group, n.changed = 1, m.now
 		n.exempt = append(n.exempt, span{m.now, m.now + d + graceTime})
 	}
 	m.after(d, func() {
-		for _, n := range partition {
+		for _, n := range separated {
 			n.group, n.changed = 0, m.now
 		}
 	})
 }
 
-// contact is how long after a backend server first names its limit, and after a fault, it counts.
+// graceTime is how long after a backend server first names its limit, and after a fault, the limit
+// is not checked.
 const graceTime = 3 * time.Second
 
-// over returns by how many requests the worst window of 4 s, between two times, is beyond what a
-// limit allows, of instances that were told half a second before and are not excused.
+// excess returns by how many requests the worst window of 4 s between two times exceeds what a
+// limit allows. It counts the requests of instances that have known the limit for half a second
+// and are not exempt.
 func (m *model) excess(limit float64, from, to time.Duration) float64 {
 	const window = 4 * time.Second
 	allowed := 1.5*limit*window.Seconds() + 5
 	var counted []time.Duration
 	worst := -allowed
 	for _, a := range m.arrivals {
-		excused := slices.ContainsFunc(a.by.exempt, func(s span) bool { return a.at >= s.from && a.at < s.to })
-		if a.at < from || a.at >= to || a.by.limitedAt == 0 || a.at < a.by.limitedAt+500*time.Millisecond || excused {
+		exempt := slices.ContainsFunc(a.by.exempt, func(s span) bool { return a.at >= s.from && a.at < s.to })
+		if a.at < from || a.at >= to || a.by.limitedAt == 0 || a.at < a.by.limitedAt+500*time.Millisecond || exempt {
 			continue
 		}
 		counted = append(counted, a.at)
@@ -375,7 +377,7 @@
 	return worst
 }
 
-// rate returns the requests a second that reached the backend server between two times.
+// rate returns the requests per second that reached the backend server between two times.
 func (m *model) rate(from, to time.Duration) float64 {
 	n := 0
 	for _, a := range m.arrivals {
--- a/process/ratelimit/wire.go
+++ b/process/ratelimit/wire.go
@@ -10,35 +10,37 @@
 	"github.com/juju/errors"
 )
 
-// The first byte of a message; no other part of the process has these.
+// The first byte of a message. Other messages of the process use different values.
 const (
 	kindRequest = 9
 	kindAnswer  = 10
-	kindReport  = 11 // an ask for nothing, which is not answered
+	kindReport  = 11 // a permit request that only reports a limit and is not answered
 )
 
 const (
-	// wordBytes is the size of a word: limit and both ages.
+	// limitBytes is the size of an observed limit: the limit and the ages of both ends of its
+	// interval.
 	limitBytes = 3 * 4
-	// askBytes is the size of an ask before the name of its region, and answerBytes that of an answer.
+	// requestBytes is the size of a permit request without the name of the region, answerBytes
+	// that of an answer.
 	requestBytes = 1 + 4 + 8 + 1 + limitBytes
 	answerBytes  = 1 + 4 + 8 + 1 + 2 + limitBytes
-	// noAge stands in the place of the age of a word that there is not.
+	// noAge replaces the ages if there is no observed limit.
 	noAge = math.MaxUint32
-	// transit is how long a datagram may be under way, by which the age of a word is too low.
+	// maxTransit is the longest transit time of a datagram, by which received ages may be too low.
 	maxTransit = 100 * time.Millisecond
 )
 
-// status is what an owner answers.
+// status is an owner's answer to a permit request.
 type status byte
 
 const (
 	denied status = iota
 	granted
-	notOwner // the instance that was asked takes another one for the owner
+	notOwner // the receiver considers another instance the owner
 )
 
-// ask asks for one permit.
+// permitRequest requests one permit.
 type permitRequest struct {
 	seq      uint32
 	start    uint64 // of the backend server
@@ -47,7 +49,7 @@
 	region   string // of the backend server
 }
 
-// answer answers an ask.
+// answer is the answer to a permit request.
 type answer struct {
 	seq      uint32
 	start    uint64
@@ -68,12 +70,12 @@
 
 func decodeRequest(text []byte, now time.Duration) (permitRequest, error) {
 	if len(text) < requestBytes {
-		return permitRequest{}, errors.Errorf("an ask of %d bytes", len(text))
+		return permitRequest{}, errors.Errorf("permit request of %d bytes", len(text))
 	}
-	w, err := decodeLimit(text[requestBytes-limitBytes:requestBytes], now)
+	observed, err := decodeLimit(text[requestBytes-limitBytes:requestBytes], now)
 	return permitRequest{
 		seq: binary.LittleEndian.Uint32(text[1:]), start: binary.LittleEndian.Uint64(text[5:]), priority: text[13],
-		observed: w, region: string(text[requestBytes:]),
+		observed: observed, region: string(text[requestBytes:]),
 	}, err
 }
 
@@ -89,27 +91,27 @@
 
 func decodeAnswer(text []byte, now time.Duration) (answer, error) {
 	if len(text) != answerBytes {
-		return answer{}, errors.Errorf("an answer of %d bytes", len(text))
+		return answer{}, errors.Errorf("permit answer of %d bytes", len(text))
 	}
-	w, err := decodeLimit(text[answerBytes-limitBytes:], now)
+	observed, err := decodeLimit(text[answerBytes-limitBytes:], now)
 	return answer{
 		seq: binary.LittleEndian.Uint32(text[1:]), start: binary.LittleEndian.Uint64(text[5:]), status: status(text[13]),
-		wait: time.Duration(binary.LittleEndian.Uint16(text[14:])) * time.Millisecond, observed: w,
+		wait: time.Duration(binary.LittleEndian.Uint16(text[14:])) * time.Millisecond, observed: observed,
 	}, err
 }
 
-// append adds a word with the ages of its interval.
-func (w observedLimit) append(out []byte, now time.Duration) []byte {
+// append appends the limit and the ages of its interval.
+func (o observedLimit) append(out []byte, now time.Duration) []byte {
 	from, to := uint32(noAge), uint32(noAge)
-	if w.present() {
-		from, to = age(w.from, now), age(w.to, now)
+	if o.present() {
+		from, to = age(o.from, now), age(o.to, now)
 	}
-	out = binary.LittleEndian.AppendUint32(out, math.Float32bits(float32(w.limit)))
+	out = binary.LittleEndian.AppendUint32(out, math.Float32bits(float32(o.limit)))
 	out = binary.LittleEndian.AppendUint32(out, from)
 	return binary.LittleEndian.AppendUint32(out, to)
 }
 
-// age returns how long ago a moment was, in ms.
+// age returns how long ago a time was, in ms.
 func age(at, now time.Duration) uint32 {
 	return uint32(min(max(0, (now-at).Milliseconds()), noAge-1))
 }
@@ -121,11 +123,11 @@
 	}
 	limit := float64(math.Float32frombits(binary.LittleEndian.Uint32(text)))
 	if math.IsNaN(limit) || limit < 0 || from < to {
-		return observedLimit{}, errors.Errorf("a limit of %g, said %d to %d ms ago", limit, from, to)
+		return observedLimit{}, errors.Errorf("invalid rate limit %g, observed %d to %d ms ago", limit, from, to)
 	}
-	w := observedLimit{limit: limit, from: now - time.Duration(from)*time.Millisecond - maxTransit, to: now - time.Duration(to)*time.Millisecond}
-	if w.to <= 0 {
+	o := observedLimit{limit: limit, from: now - time.Duration(from)*time.Millisecond - maxTransit, to: now - time.Duration(to)*time.Millisecond}
+	if o.to <= 0 {
 		return observedLimit{}, nil // older than this process
 	}
-	return w, nil
+	return o, nil
 }
--- a/process/ratelimit/word.go
+++ b/process/ratelimit/word.go
@@ -8,73 +8,75 @@
 )
 
 const (
-	// rumourFor is how long the word of others that a backend server is limited counts if nobody
-	// told the limit.
+	// gossipTTL is how long gossip that a backend server is limited counts if the limit itself is
+	// not known.
 	gossipTTL = 10 * time.Second
-	// tellFor is how long after the backend server said so an instance tells others that it is limited.
+	// announceFor is how long after a backend server named a limit an instance announces this to
+	// others.
 	announceFor = 3 * time.Second
 )
 
-// rumoured is the limit of a backend server of which it is only known that it names one.
+// unknownLimit is the limit of a backend server that is known to be limited, but not to which
+// rate.
 var unknownLimit = math.Inf(1)
 
-// word is what a backend server said of its limit at some moment of an interval. The zero value is
-// no word at all.
+// observedLimit is the limit that a backend server named at some time within an interval. The zero
+// value means that there was no answer.
 type observedLimit struct {
-	limit    float64       // requests a second; zero: it named none
-	from, to time.Duration // to is zero if there was no word
-	// heard is when it was limited last by the word of others, who did not tell the number; zero:
-	// never.
+	limit    float64       // requests per second; zero: no limit was named
+	from, to time.Duration // to is zero if there was no answer
+	// gossipAt is when it was last limited according to gossip, which does not contain the limit;
+	// zero: never.
 	gossipAt time.Duration
 }
 
-// rumour returns the word that a backend server was limited at a time.
+// gossipedLimit returns the observed limit of a backend server that was limited at a time
+// according to gossip.
 func gossipedLimit(at time.Duration) observedLimit {
 	return observedLimit{limit: unknownLimit, from: at, to: at, gossipAt: at}
 }
 
-// spoken reports whether the backend server said anything.
-func (w observedLimit) present() bool { return w.to != 0 }
+// present reports whether there was any answer or gossip.
+func (o observedLimit) present() bool { return o.to != 0 }
 
-// numbered reports whether the word has a limit that is known.
-func (w observedLimit) hasNumber() bool { return w.limit > 0 && w.limit != unknownLimit }
+// hasNumber reports whether there is a limit and its value is known.
+func (o observedLimit) hasNumber() bool { return o.limit > 0 && o.limit != unknownLimit }
 
-// last returns when the backend server was known to be limited last, if it is.
-func (w observedLimit) lastLimited() time.Duration { return max(w.to, w.gossipAt) }
+// lastLimited returns when the backend server was last known to be limited, if it is.
+func (o observedLimit) lastLimited() time.Duration { return max(o.to, o.gossipAt) }
 
-// limited reports whether the backend server is limited by the word.
-func (w observedLimit) limited(now time.Duration) bool {
-	return w.limit > 0 && (w.limit != unknownLimit || now-w.to < gossipTTL)
+// limited reports whether the backend server is limited.
+func (o observedLimit) limited(now time.Duration) bool {
+	return o.limit > 0 && (o.limit != unknownLimit || now-o.to < gossipTTL)
 }
 
-// after returns what is known once a word was heard besides an older one.
-func (w observedLimit) merge(old observedLimit) observedLimit {
+// merge returns what is known after o was received in addition to old.
+func (o observedLimit) merge(old observedLimit) observedLimit {
 	switch {
-	case old.limit == unknownLimit && w.hasNumber(): // however old it is: the rumour has no number
-		w.gossipAt = old.gossipAt
-		return w
-	case old.hasNumber() && w.limit == unknownLimit:
-		old.gossipAt = max(w.gossipAt, old.gossipAt)
+	case old.limit == unknownLimit && o.hasNumber(): // regardless of age, since gossip does not contain the limit
+		o.gossipAt = old.gossipAt
+		return o
+	case old.hasNumber() && o.limit == unknownLimit:
+		old.gossipAt = max(o.gossipAt, old.gossipAt)
 		return old
-	case !w.supersedes(old):
+	case !o.supersedes(old):
 		return old
-	case w.limit > 0:
-		w.gossipAt = max(w.gossipAt, old.gossipAt)
+	case o.limit > 0:
+		o.gossipAt = max(o.gossipAt, old.gossipAt)
 	}
-	return w
+	return o
 }
 
-// supersedes reports whether a word takes the place of an older one. A stricter one does as soon as it
-// arrives later. Any other one must have been said later for certain, since answers
-// may overtake each other.
-func (w observedLimit) supersedes(old observedLimit) bool {
+// supersedes reports whether o replaces old. A stricter limit does as soon as it arrives later.
+// Any other one must certainly have been named later, since answers may overtake each other.
+func (o observedLimit) supersedes(old observedLimit) bool {
 	switch {
-	case !w.present() || w.to <= old.to:
+	case !o.present() || o.to <= old.to:
 		return false
 	case !old.present():
 		return true
-	case w.limit == 0:
-		return w.from >= old.lastLimited()
+	case o.limit == 0:
+		return o.from >= old.lastLimited()
 	}
-	return old.limit == 0 || w.limit <= old.limit || w.from >= old.to
+	return old.limit == 0 || o.limit <= old.limit || o.from >= old.to
 }
