--- a/process/balance/report.go
+++ b/process/balance/report.go
@@ -80,16 +80,16 @@
 }
 
 // record records the slowdown of a report, if it has one.
-func (p *slowdown) record(r Report, now time.Duration) {
+func (s *slowdown) record(r Report, now time.Duration) {
 	if r.Slowdown != 0 {
-		*p = slowdown{last: r.Slowdown, at: now}
+		*s = slowdown{last: r.Slowdown, at: now}
 	}
 }
 
 // expected returns the slowdown to assume: the reported one decays to 1 with age.
-func (p slowdown) expected(now, decay time.Duration) float64 {
-	if p.last == 0 {
+func (s slowdown) expected(now, decay time.Duration) float64 {
+	if s.last == 0 {
 		return 1
 	}
-	return 1 + (p.last-1)*math.Exp(-float64(now-p.at)/float64(decay))
+	return 1 + (s.last-1)*math.Exp(-float64(now-s.at)/float64(decay))
 }
