--- a/process/balance/backoff_test.go
+++ b/process/balance/backoff_test.go
@@ -13,22 +13,22 @@
 	"shalewick/version"
 )
 
-// turnAway lets a backend server turn a request away and ask for rest. Its load report says
-// that it is idle.
-func (p *place) turnAway(t *testing.T, name string, d time.Duration) {
+// requestBackoff lets a backend server reject a request with a Retry-After time. Its load report
+// shows it idle.
+func (p *fixture) requestBackoff(t *testing.T, name string, d time.Duration) {
 	t.Helper()
 	k := p.pickOf(t, name)
-	k.Heed(request.Notice{RetryAfter: d})
+	k.ApplyNotice(request.Notice{RetryAfter: d})
 	k.Done(Refused, &Report{Slots: 6})
 }
 
-// TestBackendGetsTheRestItAsksFor checks that nothing goes there until the rest is over, and
-// then one request at a time until it has taken one.
-func TestBackendGetsTheRestItAsksFor(t *testing.T) {
-	p := placeOf("u", "v")
-	sent := p.pickOf(t, "u") // before it asked
-	p.turnAway(t, "u", 3*time.Second)
-	p.turnedAwayAgain(sent, time.Second) // the later end counts
+// TestBackendIsNotUsedDuringBackoff checks that a backend server gets nothing until its backoff is
+// over, and then one request at a time until it has accepted one.
+func TestBackendIsNotUsedDuringBackoff(t *testing.T) {
+	p := fixtureWith("u", "v")
+	earlier := p.pickOf(t, "u") // before the backoff
+	p.requestBackoff(t, "u", 3*time.Second)
+	p.requestBackoffFor(earlier, time.Second) // the later end counts
 	for range 30 {
 		p.now += 99 * time.Millisecond
 		byName, refused := p.picks()
@@ -39,19 +39,19 @@
 	k := p.firstPick(t, "u")
 	byName, _ := p.picks()
 	assert.Equal(t, byName["u"], 0, "one at a time")
-	k.Heed(request.Notice{RetryAfter: time.Second})
+	k.ApplyNotice(request.Notice{RetryAfter: time.Second})
 	k.Done(Refused, nil)
 	p.now += 999 * time.Millisecond
 	byName, _ = p.picks()
-	assert.Equal(t, byName["u"], 0, "it asked again")
+	assert.Equal(t, byName["u"], 0, "it requested another backoff")
 	p.now += time.Millisecond
 	p.firstPick(t, "u").Done(Answered, nil)
 	byName, _ = p.picks()
-	assert.Assert(t, byName["u"] > 100, "it takes requests again")
+	assert.Assert(t, byName["u"] > 100, "it accepts requests again")
 }
 
 // firstPick returns the first request that goes to a backend server.
-func (p *place) firstPick(t *testing.T, name string) *Pick {
+func (p *fixture) firstPick(t *testing.T, name string) *Pick {
 	t.Helper()
 	for object := uint64(1); object < 1000; object++ {
 		k := p.pick(t, object)
@@ -64,53 +64,54 @@
 	return nil
 }
 
-// turnedAwayAgain lets a request that is under way be turned away, too.
-func (p *place) turnedAwayAgain(k *Pick, d time.Duration) {
-	k.Heed(request.Notice{RetryAfter: d})
+// requestBackoffFor rejects a request that is in flight with a Retry-After time.
+func (p *fixture) requestBackoffFor(k *Pick, d time.Duration) {
+	k.ApplyNotice(request.Notice{RetryAfter: d})
 	k.Done(Refused, nil)
 }
 
-// TestAnswerSentBeforeItEndsNoRest checks that a request that the backend server ran since
-// before it asked for rest tells nothing, and that one that is sent now is withheld.
-func TestAnswerSentBeforeItEndsNoRest(t *testing.T) {
-	p := placeOf("u", "v")
-	runs, waits := p.pickOf(t, "u"), p.pickOf(t, "u")
-	p.turnAway(t, "u", time.Second)
-	assert.Assert(t, !waits.Allowed())
+// TestAnswerToOlderRequestEndsNoBackoff checks that the answer to a request that was sent before
+// the backoff does not end it, and that a request that was chosen but not sent yet is withheld.
+func TestAnswerToOlderRequestEndsNoBackoff(t *testing.T) {
+	p := fixtureWith("u", "v")
+	running, unsent := p.pickOf(t, "u"), p.pickOf(t, "u")
+	p.requestBackoff(t, "u", time.Second)
+	assert.Assert(t, !unsent.Allowed())
 	p.now += 500 * time.Millisecond
-	runs.Done(Answered, &Report{Running: 1, Slots: 6})
+	running.Done(Answered, &Report{Running: 1, Slots: 6})
 	byName, _ := p.picks()
 	assert.Equal(t, byName["u"], 0)
-	p.row("u", func(b *version.Backend) { b.Incarnation = 2 })
+	p.changeRow("u", func(b *version.Backend) { b.Incarnation = 2 })
 	byName, _ = p.picks()
-	assert.Assert(t, byName["u"] > 0, "it started again")
+	assert.Assert(t, byName["u"] > 0, "it restarted")
 }
 
-// TestRefusalThatAsksForRestTeachesNothing checks that a backend server that turns everything
-// away looks no less busy and no quicker for it, neither here nor to others.
-func TestRefusalThatAsksForRestTeachesNothing(t *testing.T) {
-	p := placeOf("u", "v")
+// TestRetryAfterAnswerLeavesEstimatesUnchanged checks that a backend server that rejects
+// everything does not look less busy or quicker because of it, neither to this instance nor in
+// gossip.
+func TestRetryAfterAnswerLeavesEstimatesUnchanged(t *testing.T) {
+	p := fixtureWith("u", "v")
 	p.pickOf(t, "u").Done(Answered, &Report{Running: 5, Waiting: 2, Slots: 6})
 	u := p.stateOf("u")
 	load, work, share := u.load(p.now), u.work, u.share
-	p.turnAway(t, "u", time.Second)
+	p.requestBackoff(t, "u", time.Second)
 	k := p.pickOf(t, "v")
-	k.u = u // an answer of the backend server's own, a 503 that it ran
+	k.backend = u // a 503 of the backend server itself, after it ran the request
 	u.inFlight++
-	k.Heed(request.Notice{RetryAfter: time.Second})
+	k.ApplyNotice(request.Notice{RetryAfter: time.Second})
 	k.Done(Answered, &Report{Slots: 6})
 	assert.Equal(t, u.load(p.now), load)
 	assert.Equal(t, u.work, work)
 	assert.Equal(t, u.share, share)
 }
 
-// TestOnlyWhoMayBeSentOnFindsOut checks that a request that is on its last attempt is not
-// the one that finds out whether a rest is over, while others can take it.
-func TestOnlyWhoMayBeSentOnFindsOut(t *testing.T) {
-	p := placeOf("u", "v", "w")
-	p.turnAway(t, "u", time.Second)
+// TestLastAttemptDoesNotTestBackoff checks that a request on its last attempt does not
+// test whether a backoff is over, while others can accept it.
+func TestLastAttemptDoesNotTestBackoff(t *testing.T) {
+	p := fixtureWith("u", "v", "w")
+	p.requestBackoff(t, "u", time.Second)
 	p.now += time.Second
-	last := func(object uint64) string {
+	lastAttempt := func(object uint64) string {
 		q := p.query(object)
 		q.Tried = []string{"w"}
 		k, _ := p.Pick(q)
@@ -119,113 +120,113 @@
 		return k.Name
 	}
 	for object := range uint64(100) {
-		assert.Equal(t, last(object+1), "v")
+		assert.Equal(t, lastAttempt(object+1), "v")
 	}
-	p.row("v", func(b *version.Backend) { b.Leaving = true })
-	assert.Equal(t, last(1), "u", "no other can take it")
-	p.row("v", func(b *version.Backend) { b.Leaving = false })
-	p.now += untestedFor
+	p.changeRow("v", func(b *version.Backend) { b.Leaving = true })
+	assert.Equal(t, lastAttempt(1), "u", "no other can accept it")
+	p.changeRow("v", func(b *version.Backend) { b.Leaving = false })
+	p.now += retryableTrialsFor
 	got := 0
 	for object := range uint64(100) {
-		if last(object+1) == "u" {
+		if lastAttempt(object+1) == "u" {
 			got++
 		}
 	}
-	assert.Assert(t, got > 0, "nobody who might came")
+	assert.Assert(t, got > 0, "no retryable request came")
 }
 
-// TestRefusalSaysWhenTheFirstRestIsOver checks the time to come back, and that it is the usual
-// one if other reasons kept a backend server from being taken.
-func TestRefusalSaysWhenTheFirstRestIsOver(t *testing.T) {
-	p := placeOf("u", "v")
-	p.turnAway(t, "u", 5*time.Second)
-	p.turnAway(t, "v", 2*time.Second)
+// TestRetryAfterIsShortestBackoff checks the retry-after time of a refusal, and that it is the
+// usual one if a backend server was excluded for another reason.
+func TestRetryAfterIsShortestBackoff(t *testing.T) {
+	p := fixtureWith("u", "v")
+	p.requestBackoff(t, "u", 5*time.Second)
+	p.requestBackoff(t, "v", 2*time.Second)
 	k, refusal := p.Pick(p.query(1))
 	assert.Assert(t, k == nil)
 	assert.Equal(t, refusal.Code, request.NoBackend)
-	assert.Equal(t, refusal.Why.BackedOff, 2)
-	assert.Assert(t, refusal.Retry >= 2*time.Second && refusal.Retry < 2*time.Second+2*p.Policy.NoneComeBack, "%s", refusal.Retry)
+	assert.Equal(t, refusal.Explanation.BackedOff, 2)
+	assert.Assert(t, refusal.RetryAfter >= 2*time.Second && refusal.RetryAfter < 2*time.Second+2*p.Policy.NoBackendRetryAfter, "%s", refusal.RetryAfter)
 	p.backend("w", 0, nil)
 	p.install()
 	p.pick(t, 1).Done(Unreachable, nil)
 	_, refusal = p.Pick(p.query(1))
-	assert.Assert(t, refusal.Retry < 2*p.Policy.NoneComeBack, "%s", refusal.Retry)
+	assert.Assert(t, refusal.RetryAfter < 2*p.Policy.NoBackendRetryAfter, "%s", refusal.RetryAfter)
 }
 
-// TestRestOfAnotherInstanceIsAvoided checks that what another instance was asked for keeps
-// nothing from being served, ends by itself and with an own answer, and is not passed on.
-func TestRestOfAnotherInstanceIsAvoided(t *testing.T) {
+// TestGossipedBackoffMakesLastResort checks that a backoff learned by gossip refuses no request,
+// ends by itself and with an answer to this instance, and is not passed on.
+func TestGossipedBackoffMakesLastResort(t *testing.T) {
 	a, b, _ := twoInstances("u", "v")
-	a.turnAway(t, "u", 1990*time.Millisecond)
-	told := a.Observations(tellAll)
-	assert.Equal(t, len(told), observationBytes)
-	b.Hear(told)
+	a.requestBackoff(t, "u", 1990*time.Millisecond)
+	gossip := a.Observations(noSizeLimit)
+	assert.Equal(t, len(gossip), observationBytes)
+	b.ApplyObservations(gossip)
 	byName, refused := b.picks()
 	assert.Equal(t, byName["u"], 0)
 	assert.Equal(t, refused, 0)
-	assert.Equal(t, len(b.Observations(tellAll)), 0, "not passed on")
-	b.row("v", func(b *version.Backend) { b.Leaving = true })
+	assert.Equal(t, len(b.Observations(noSizeLimit)), 0, "not passed on")
+	b.changeRow("v", func(b *version.Backend) { b.Leaving = true })
 	k := b.pick(t, 1)
 	assert.Assert(t, k.Name == "u" && k.LastResort && k.Allowed())
 	b.now += time.Millisecond
 	k.Done(Answered, nil)
-	b.row("v", func(b *version.Backend) { b.Leaving = false })
+	b.changeRow("v", func(b *version.Backend) { b.Leaving = false })
 	byName, _ = b.picks()
-	assert.Assert(t, byName["u"] > 0, "it took a request of this instance")
-	b.Hear(told)
+	assert.Assert(t, byName["u"] > 0, "it accepted a request of this instance")
+	b.ApplyObservations(gossip)
 	b.now += 1800 * time.Millisecond
 	byName, _ = b.picks()
 	assert.Equal(t, byName["u"], 0)
 	b.now += 100 * time.Millisecond
 	byName, _ = b.picks()
-	assert.Assert(t, byName["u"] > 0, "rounded down, it was 1.9 s")
+	assert.Assert(t, byName["u"] > 0, "1.99 s is rounded down to 1.9 s")
 	a.now += 1900 * time.Millisecond
-	assert.Equal(t, len(a.Observations(tellAll)), 0, "too little is left")
+	assert.Equal(t, len(a.Observations(noSizeLimit)), 0, "too little time is left")
 }
 
-// TestNoRequestWithinARest draws answers, rests, rumours, rows, starts and jumps of the clock in
-// any order and checks the promise: no request is chosen, and none that was chosen may be
-// sent, while a start of a backend server wants rest; and once that is over and a request
-// that may be sent on comes alone, it is chosen again.
-func TestNoRequestWithinARest(t *testing.T) {
+// TestNoRequestDuringBackoff draws answers, backoffs, gossip, rows, restarts and clock jumps in
+// any order. No request may be chosen or sent while an incarnation of a backend server is backing
+// off. Once the backoff is over and no other request is in flight, a retryable request must be
+// sent to it.
+func TestNoRequestDuringBackoff(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := placeOf("u")
+		p := fixtureWith("u")
 		until, incarnation := time.Duration(0), int64(1)
-		var flying []*Pick
+		var inFlight []*Pick
 		t.Repeat(map[string]func(*rapid.T){
 			"time":    func(t *rapid.T) { p.now += time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond },
 			"suspend": func(*rapid.T) { p.now += time.Minute },
-			"rumour":  func(*rapid.T) { p.Hear(p.appendEntry(nil, 0, 20, backoffTold)) },
-			"row":     func(*rapid.T) { p.row("u", func(b *version.Backend) { b.Slots++ }) },
-			"start": func(*rapid.T) {
+			"gossip":  func(*rapid.T) { p.ApplyObservations(p.appendEntry(nil, 0, 20, loadBackoff)) },
+			"row":     func(*rapid.T) { p.changeRow("u", func(b *version.Backend) { b.Slots++ }) },
+			"restart": func(*rapid.T) {
 				incarnation++
-				until, flying = 0, nil
-				p.row("u", func(b *version.Backend) { b.Incarnation = incarnation })
+				until, inFlight = 0, nil
+				p.changeRow("u", func(b *version.Backend) { b.Incarnation = incarnation })
 			},
 			"send": func(t *rapid.T) {
 				k, _ := p.Pick(p.query(rapid.Uint64Range(1, 50).Draw(t, "object")))
 				if k == nil {
-					assert.Assert(t, p.now < until || len(flying) > 0, "it is not asked")
+					assert.Assert(t, p.now < until || len(inFlight) > 0, "it gets no request after the backoff")
 					return
 				}
-				assert.Assert(t, p.now >= until, "%s before the end", until-p.now)
-				flying = append(flying, k)
+				assert.Assert(t, p.now >= until, "%s before the end of the backoff", until-p.now)
+				inFlight = append(inFlight, k)
 			},
 			"answer": func(t *rapid.T) {
-				if len(flying) == 0 {
+				if len(inFlight) == 0 {
 					return
 				}
-				k := flying[0]
-				flying = flying[1:]
-				if d := rapid.IntRange(0, 4000).Draw(t, "rest"); d > 0 {
-					rest := time.Duration(d) * time.Millisecond
-					k.Heed(request.Notice{RetryAfter: rest})
-					until = max(until, p.now+rest)
+				k := inFlight[0]
+				inFlight = inFlight[1:]
+				if d := rapid.IntRange(0, 4000).Draw(t, "backoff"); d > 0 {
+					backoff := time.Duration(d) * time.Millisecond
+					k.ApplyNotice(request.Notice{RetryAfter: backoff})
+					until = max(until, p.now+backoff)
 				}
 				k.Done(Refused, &Report{Slots: 6})
 			},
 			"": func(t *rapid.T) {
-				for _, k := range flying {
+				for _, k := range inFlight {
 					assert.Equal(t, k.Allowed(), p.now >= until)
 				}
 			},
--- a/process/proxy/attempt.go
+++ b/process/proxy/attempt.go
@@ -140,8 +140,8 @@
 	pick, refusal := t.pickWithPermit(ctx)
 	if pick == nil {
 		t.rolloutAttempt.Done(rollout.Outcome{Inconclusive: true})
-		t.c.noBackendReason = &refusal.Why
-		return nil, t.result(refusal.Code, refusal.Retry)
+		t.c.noBackendReason = &refusal.Explanation
+		return nil, t.result(refusal.Code, refusal.RetryAfter)
 	}
 	t.query.Tried = append(t.query.Tried, pick.Name)
 	sent := time.Now()
@@ -228,7 +228,7 @@
 	t.p.Metrics.Notice(t.c.service, n)
 	t.c.notices.Leaving = t.c.notices.Leaving || n.Leaving
 	t.c.notices.RetryAfter = max(t.c.notices.RetryAfter, n.RetryAfter)
-	pick.Heed(n)
+	pick.ApplyNotice(n)
 	return n
 }
 
--- a/process/proxy/limit.go
+++ b/process/proxy/limit.go
@@ -17,9 +17,9 @@
 
 // pickWithPermit picks a backend server as pick does, and acquires a permit if it is rate-limited.
 func (t *transaction) pickWithPermit(ctx context.Context) (*balance.Pick, balance.Refusal) {
-	defer func() { t.query.Unlimited = false }()
+	defer func() { t.query.SkipLimited = false }()
 	for tries := 0; ; tries++ {
-		t.query.Unlimited = tries == maxPermitTries
+		t.query.SkipLimited = tries == maxPermitTries
 		pick, refusal := t.pick()
 		if pick == nil || t.acquirePermit(ctx, pick) {
 			return pick, refusal
@@ -33,13 +33,13 @@
 // permit if that is rate-limited.
 func (t *transaction) acquirePermit(ctx context.Context, pick *balance.Pick) bool {
 	t.permitFrom = 0
-	if t.p.Limits == nil || !t.p.Limits.Limited(pick.Limitable().Start) {
+	if t.p.Limits == nil || !t.p.Limits.Limited(pick.RateLimitBackend().Start) {
 		return true
 	}
-	if t.query.Unlimited {
+	if t.query.SkipLimited {
 		return false // the limit was reported after the pick
 	}
-	from, ok := t.p.Limits.Acquire(ctx, pick.Limitable(), t.query.Priority)
+	from, ok := t.p.Limits.Acquire(ctx, pick.RateLimitBackend(), t.query.Priority)
 	t.permitFrom = from
 	return ok
 }
@@ -47,13 +47,13 @@
 // permitValid reports whether the request may be sent to the backend server now. Its rate limit may
 // have been reported after the pick.
 func (t *transaction) permitValid(pick *balance.Pick) bool {
-	return t.p.Limits == nil || t.p.Limits.Valid(pick.Limitable().Start, t.permitFrom)
+	return t.p.Limits == nil || t.p.Limits.Valid(pick.RateLimitBackend().Start, t.permitFrom)
 }
 
 // returnPermit returns the permit of an attempt that sent nothing.
 func (t *transaction) returnPermit(pick *balance.Pick) {
 	if t.p.Limits != nil {
-		t.p.Limits.Return(pick.Limitable().Start, t.permitFrom)
+		t.p.Limits.Return(pick.RateLimitBackend().Start, t.permitFrom)
 	}
 }
 
@@ -73,7 +73,7 @@
 		t.p.Metrics.RateLimit(t.c.service)
 	}
 	if t.p.Limits != nil {
-		t.p.Limits.Answered(pick.Limitable(), limit, t.sentAt)
+		t.p.Limits.RecordAnswer(pick.RateLimitBackend(), limit, t.sentAt)
 	}
 	return limit
 }
--- a/process/proxy/proxy.go
+++ b/process/proxy/proxy.go
@@ -120,7 +120,7 @@
 	isCutOff           atomic.Bool // the caller was cut off because it did not read
 	body               *body
 	fingerprint        request.Fingerprint // zero until the body has been read
-	noBackendReason    *balance.Why        // the diagnosis of the last pick, if it found no backend server
+	noBackendReason    *balance.Explanation        // the diagnosis of the last pick, if it found no backend server
 	attempts           int                 // attempts of which at least one byte may have been sent
 	possibleRuns       int                 // attempts that the backend server may have run
 	notices            request.Notice      // the combined notices of the responses to its attempts
--- a/process/proxy/rollout.go
+++ b/process/proxy/rollout.go
@@ -110,7 +110,7 @@
 // time, less time than the backend server usually needs. Its failure then says nothing about the
 // backend server.
 func (c *call) deadlineTooShort(pick *balance.Pick, sent time.Time) bool {
-	return c.callerDeadline && c.deadline.Sub(sent) < pick.Needs
+	return c.callerDeadline && c.deadline.Sub(sent) < pick.ExpectedTime
 }
 
 // logLine begins a log line about an attempt at a backend server.
--- a/process/ratelimit/model_test.go
+++ b/process/ratelimit/model_test.go
@@ -11,36 +11,36 @@
 	"time"
 )
 
-// model is a fleet of instances on one clock whose callers all want one backend server. Datagrams
-// take a while and some are lost.
+// model simulates a fleet of instances on one clock, whose callers all send requests to one
+// backend server. Datagrams are delayed and may be lost.
 type model struct {
-	now     time.Duration
-	random  *rand.Rand
-	loss    float64
-	demand  float64 // requests a second that want the backend server, of all instances
-	nodes   []*node
-	events  events
-	limit   func(now time.Duration) float64 // that the backend server names
-	came    []arrival
-	asks    int
-	changes int    // starts, deaths and cuts since the model began
-	calm    *Owner // while there were none
+	now         time.Duration
+	random      *rand.Rand
+	loss        float64
+	demand      float64 // requests per second to the backend server, of all instances
+	nodes       []*node
+	events      events
+	limitAt     func(now time.Duration) float64 // that the backend server names
+	arrivals    []arrival
+	requests    int    // permit requests sent
+	changes     int    // starts, crashes and partitions since the model started
+	steadyOwner *Owner // the owner while there were none
 }
 
 // node is one instance.
 type node struct {
 	*Limiter
-	m       *model
-	index   int
-	name    string
-	hash    uint64 // by which owners are found
-	region  string
-	dead    bool
-	group   int             // instances of different groups do not reach each other
-	changed time.Duration   // when it died, started, or its group changed
-	told    time.Duration   // when the backend server first told it of a limit; zero: never
-	excused []span          // when it was cut off
-	denied  []time.Duration // when requests found no permit
+	m         *model
+	index     int
+	name      string
+	hash      uint64 // determines the owner
+	region    string
+	dead      bool
+	group     int             // instances of different groups can't reach each other
+	changed   time.Duration   // when it crashed or started, or its group changed
+	limitedAt time.Duration   // when the backend server first named a limit to it; zero: never
+	exempt    []span          // when it was partitioned
+	denied    []time.Duration // when requests got no permit
 }
 
 type span struct{ from, to time.Duration }
@@ -77,21 +77,21 @@
 }
 
 const (
-	modelStart   = 77 // of the backend server
-	modelRegions = 3
-	nearWay      = time.Millisecond
-	farWay       = 35 * time.Millisecond
-	modelWork    = 150 * time.Millisecond
-	modelBeat    = 500 * time.Millisecond
-	toldPerBeat  = 4
-	// deathKnown and birthKnown are how long it takes until all know that an instance has died, or
-	// has started.
-	deathKnown = 2 * time.Second
-	birthKnown = 3 * time.Second
+	modelStart        = 77 // of the backend server
+	modelRegions      = 3
+	nearDelay         = time.Millisecond
+	farDelay          = 35 * time.Millisecond
+	modelWork         = 150 * time.Millisecond
+	heartbeatInterval = 500 * time.Millisecond
+	gossipFanout      = 4
+	// downDetection and startDetection are the longest times until all know that an instance is
+	// down, or has started.
+	downDetection  = 2 * time.Second
+	startDetection = 3 * time.Second
 )
 
 func newModel(seed uint64, size int, demand float64, limit func(time.Duration) float64) *model {
-	m := &model{now: time.Hour, random: rand.New(rand.NewPCG(seed, 7)), demand: demand, limit: limit}
+	m := &model{now: time.Hour, random: rand.New(rand.NewPCG(seed, 7)), demand: demand, limitAt: limit}
 	for range size {
 		m.start(m.now - time.Minute)
 	}
@@ -110,8 +110,8 @@
 	if at >= time.Hour {
 		m.changes++
 	}
-	m.after(time.Duration(m.random.Int64N(int64(modelBeat))), n.beat)
-	m.after(m.pause(), n.want)
+	m.after(time.Duration(m.random.Int64N(int64(heartbeatInterval))), n.heartbeat)
+	m.after(m.interArrival(), n.arrive)
 	return n
 }
 
@@ -120,7 +120,7 @@
 	heap.Push(&m.events, event{m.now + d, m.events.seq, do})
 }
 
-// run plays a time.
+// run simulates a period.
 func (m *model) run(d time.Duration) {
 	until := m.now + d
 	for m.events.Len() > 0 && m.events.list[0].at <= until {
@@ -131,26 +131,26 @@
 	m.now = until
 }
 
-// pause draws the time until the next request of an instance.
-func (m *model) pause() time.Duration {
-	each := m.demand / float64(len(m.nodes))
-	return time.Duration(m.random.ExpFloat64() / each * float64(time.Second))
+// interArrival draws the time until the next request at an instance.
+func (m *model) interArrival() time.Duration {
+	rate := m.demand / float64(len(m.nodes))
+	return time.Duration(m.random.ExpFloat64() / rate * float64(time.Second))
 }
 
-// knows reports whether an instance takes another one for alive.
-func (n *node) knows(o *node) bool {
+// considersLive reports whether an instance considers another one live.
+func (n *node) considersLive(o *node) bool {
 	since := n.m.now - o.changed
 	switch {
 	case o == n:
 		return true
 	case o.dead:
-		return since < deathKnown
+		return since < downDetection
 	case o.group != n.group:
-		return n.m.now-max(o.changed, n.changed) < deathKnown
+		return n.m.now-max(o.changed, n.changed) < downDetection
 	}
-	// The later the news comes, the further it has to go.
-	late := time.Duration(mix(uint64(n.index)<<32|uint64(o.index)) % uint64(birthKnown))
-	return since >= late || o.changed < time.Hour
+	// Each pair of instances has its own detection delay.
+	delay := time.Duration(mix(uint64(n.index)<<32|uint64(o.index)) % uint64(startDetection))
+	return since >= delay || o.changed < time.Hour
 }
 
 func (n *node) owner(region string, _ uint64) Owner {
@@ -158,17 +158,17 @@
 	if m.changes > 0 {
 		return n.findOwner(region)
 	}
-	if m.calm == nil {
+	if m.steadyOwner == nil {
 		o := n.findOwner(region)
 		if o.Address == "" {
 			o = Owner{Name: n.name, Address: n.name}
 		}
-		m.calm = &o
+		m.steadyOwner = &o
 	}
-	if m.calm.Name == n.name {
+	if m.steadyOwner.Name == n.name {
 		return Owner{Name: n.name}
 	}
-	return *m.calm
+	return *m.steadyOwner
 }
 
 func (n *node) findOwner(region string) Owner {
@@ -176,7 +176,7 @@
 	lowest := uint64(0)
 	for pass := range 2 {
 		for _, o := range n.m.nodes {
-			if (pass == 1 || o.region == region) && (best == nil || o.hash < lowest) && n.knows(o) {
+			if (pass == 1 || o.region == region) && (best == nil || o.hash < lowest) && n.considersLive(o) {
 				best, lowest = o, o.hash
 			}
 		}
@@ -195,7 +195,7 @@
 		return len(n.m.nodes)
 	}
 	for _, o := range n.m.nodes {
-		if n.knows(o) {
+		if n.considersLive(o) {
 			count++
 		}
 	}
@@ -204,25 +204,25 @@
 
 func (n *node) send(address string, text []byte) {
 	m := n.m
-	o := m.named(address)
-	if text[0] == kindAsk {
-		m.asks++
+	o := m.byName(address)
+	if text[0] == kindRequest {
+		m.requests++
 	}
 	if n.dead || m.random.Float64() < m.loss {
 		return
 	}
-	way := nearWay
+	delay := nearDelay
 	if o.region != n.region {
-		way = farWay
+		delay = farDelay
 	}
-	m.after(way, func() {
+	m.after(delay, func() {
 		if !o.dead && o.group == n.group {
-			o.Hear(n.name, text)
+			o.Receive(n.name, text)
 		}
 	})
 }
 
-func (m *model) named(name string) *node {
+func (m *model) byName(name string) *node {
 	i, err := strconv.Atoi(name)
 	if err != nil {
 		panic(err)
@@ -230,7 +230,7 @@
 	return m.nodes[i]
 }
 
-// mix spreads the bits of a number (the finalizer of MurmurHash3).
+// mix mixes the bits of a number (the finalizer of MurmurHash3).
 func mix(x uint64) uint64 {
 	x = (x + 1) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>33) * 0xff51afd7ed558ccd
@@ -238,33 +238,33 @@
 	return x ^ x>>33
 }
 
-// beat tells some others of the limit, as observations do.
-func (n *node) beat() {
+// heartbeat gossips the limit to some others, as observations do.
+func (n *node) heartbeat() {
 	m := n.m
 	if n.dead {
 		return
 	}
 	n.Tick()
-	if at, ok := n.ToldAt(modelStart); ok {
-		for range toldPerBeat {
+	if at, ok := n.LastLimited(modelStart); ok {
+		for range gossipFanout {
 			o := m.nodes[m.random.IntN(len(m.nodes))]
 			if o != n && !o.dead && o.group == n.group && m.random.Float64() >= m.loss {
-				o.HearLimited(modelBackend, at)
+				o.ApplyLimited(modelBackend, at)
 			}
 		}
 	}
-	m.after(modelBeat, n.beat)
+	m.after(heartbeatInterval, n.heartbeat)
 }
 
 var modelBackend = Backend{Start: modelStart, Name: "b", Region: "0"}
 
-// want lets a request come that wants the backend server.
-func (n *node) want() {
+// arrive simulates the arrival of a request for the backend server.
+func (n *node) arrive() {
 	m := n.m
 	if n.dead {
 		return
 	}
-	m.after(m.pause(), n.want)
+	m.after(m.interArrival(), n.arrive)
 	if n.Blocked(modelStart, 0) > 0 {
 		n.denied = append(n.denied, m.now)
 		return
@@ -273,97 +273,99 @@
 	d := n.decide(modelBackend, 0, m.now)
 	n.mu.Unlock()
 	if d.pending == nil {
-		n.decided(d.granted)
+		n.finish(d.granted)
 		return
 	}
-	n.Send(d.address, d.ask)
+	n.Send(d.address, d.request)
 	n.poll(d, false)
 }
 
-// poll looks whether an ask was answered.
+// poll checks whether a permit request was answered.
 func (n *node) poll(d decision, resent bool) {
 	m := n.m
-	asked := d.pending.asked
+	sentAt := d.pending.sentAt
 	select {
-	case granted := <-d.pending.answered:
-		n.decided(granted)
+	case granted := <-d.pending.result:
+		n.finish(granted)
 		return
 	default:
 	}
-	if m.now-asked >= answerWithin {
-		n.decided(n.giveUp(d.pending))
+	if m.now-sentAt >= answerTimeout {
+		n.finish(n.timeOut(d.pending))
 		return
 	}
-	if !resent && m.now-asked >= resendAfter {
-		n.Send(d.address, d.ask)
+	if !resent && m.now-sentAt >= resendAfter {
+		n.Send(d.address, d.request)
 		resent = true
 	}
 	m.after(2*time.Millisecond, func() { n.poll(d, resent) })
 }
 
-// decided sends a request that may go, which is answered after a while.
-func (n *node) decided(granted bool) {
+// finish sends a request that got a permit, which is answered after a while.
+func (n *node) finish(granted bool) {
 	m := n.m
 	if !granted || n.dead {
 		n.denied = append(n.denied, m.now)
 		return
 	}
-	way := nearWay
+	delay := nearDelay
 	if n.region != modelBackend.Region {
-		way = farWay
+		delay = farDelay
 	}
 	sent := m.now
-	m.after(way, func() {
-		m.came = append(m.came, arrival{m.now, n})
+	m.after(delay, func() {
+		m.arrivals = append(m.arrivals, arrival{m.now, n})
 		work := modelWork + time.Duration(m.random.Int64N(int64(modelWork)))
 		m.after(work, func() {
-			limit := m.limit(m.now)
-			m.after(way, func() {
+			limit := m.limitAt(m.now)
+			m.after(delay, func() {
 				if n.dead {
 					return
 				}
-				if limit > 0 && n.told == 0 {
-					n.told = m.now
+				if limit > 0 && n.limitedAt == 0 {
+					n.limitedAt = m.now
 				}
-				n.Answered(modelBackend, limit, sent)
+				n.RecordAnswer(modelBackend, limit, sent)
 			})
 		})
 	})
 }
 
-// kill ends an instance.
+// kill crashes an instance.
 func (m *model) kill(n *node) {
 	n.dead, n.changed = true, m.now
 	m.changes++
 }
 
-// cut separates some instances from the others for a time. It excuses them.
-func (m *model) cut(cut []*node, d time.Duration) {
+// partition separates some instances from the others for a time and exempts them.
+func (m *model) partition(separated []*node, d time.Duration) {
 	m.changes++
-	for _, n := range cut {
+	for _, n := range separated {
 		n.group, n.changed = 1, m.now
-		n.excused = append(n.excused, span{m.now, m.now + d + contact})
+		n.exempt = append(n.exempt, span{m.now, m.now + d + graceTime})
 	}
 	m.after(d, func() {
-		for _, n := range cut {
+		for _, n := range separated {
 			n.group, n.changed = 0, m.now
 		}
 	})
 }
 
-// contact is how long after a backend server first names its limit, and after a fault, it counts.
-const contact = 3 * time.Second
+// graceTime is how long after a backend server first names its limit, and after a fault, the limit
+// is not checked.
+const graceTime = 3 * time.Second
 
-// over returns by how many requests the worst window of 4 s, between two times, is beyond what a
-// limit allows, of instances that were told half a second before and are not excused.
-func (m *model) over(limit float64, from, to time.Duration) float64 {
+// excess returns by how many requests the worst window of 4 s between two times exceeds what a
+// limit allows. It counts the requests of instances that have known the limit for half a second
+// and are not exempt.
+func (m *model) excess(limit float64, from, to time.Duration) float64 {
 	const window = 4 * time.Second
 	allowed := 1.5*limit*window.Seconds() + 5
 	var counted []time.Duration
 	worst := -allowed
-	for _, a := range m.came {
-		excused := slices.ContainsFunc(a.by.excused, func(s span) bool { return a.at >= s.from && a.at < s.to })
-		if a.at < from || a.at >= to || a.by.told == 0 || a.at < a.by.told+500*time.Millisecond || excused {
+	for _, a := range m.arrivals {
+		exempt := slices.ContainsFunc(a.by.exempt, func(s span) bool { return a.at >= s.from && a.at < s.to })
+		if a.at < from || a.at >= to || a.by.limitedAt == 0 || a.at < a.by.limitedAt+500*time.Millisecond || exempt {
 			continue
 		}
 		counted = append(counted, a.at)
@@ -375,10 +377,10 @@
 	return worst
 }
 
-// rate returns the requests a second that reached the backend server between two times.
+// rate returns the requests per second that reached the backend server between two times.
 func (m *model) rate(from, to time.Duration) float64 {
 	n := 0
-	for _, a := range m.came {
+	for _, a := range m.arrivals {
 		if a.at >= from && a.at < to {
 			n++
 		}
