--- a/process/proxy/proxy.go
+++ b/process/proxy/proxy.go
@@ -119,11 +119,11 @@
 	lease              *held.Lease // accounts for the memory of the request and its response
 	isCutOff           atomic.Bool // the caller was cut off because it did not read
 	body               *body
-	fingerprint        request.Fingerprint // zero until the body has been read
-	noBackendReason    *balance.Explanation        // the diagnosis of the last pick, if it found no backend server
-	attempts           int                 // attempts of which at least one byte may have been sent
-	possibleRuns       int                 // attempts that the backend server may have run
-	notices            request.Notice      // the combined notices of the responses to its attempts
+	fingerprint        request.Fingerprint  // zero until the body has been read
+	noBackendReason    *balance.Explanation // the diagnosis of the last pick, if it found no backend server
+	attempts           int                  // attempts of which at least one byte may have been sent
+	possibleRuns       int                  // attempts that the backend server may have run
+	notices            request.Notice       // the combined notices of the responses to its attempts
 }
 
 // ServeHTTP serves one request.
