--- a/process/cluster/answer.go
+++ b/process/cluster/answer.go
@@ -17,10 +17,10 @@
 )
 
 // maxReply bounds an answer of another instance, and a table in it, in bytes.
-const maxReply = 16 << 20
+const maxResponseBytes = 16 << 20
 
 // part is what an answer says of one table.
-type part struct {
+type encodedTable struct {
 	// Delta is a state.Delta without its age, compressed.
 	Delta []byte        `json:"d"`
 	Age   time.Duration `json:"a"`
@@ -36,10 +36,10 @@
 	return s2.Encode(nil, b), nil
 }
 
-func decodeDelta(p part) (state.Delta, error) {
+func decodeDelta(p encodedTable) (state.Delta, error) {
 	var d state.Delta
 	size, err := s2.DecodedLen(p.Delta)
-	if err != nil || size > maxReply {
+	if err != nil || size > maxResponseBytes {
 		return d, errors.Errorf("table of %d bytes: %v", size, err)
 	}
 	b, err := s2.Decode(nil, p.Delta)
@@ -54,8 +54,8 @@
 }
 
 // decodeAnswer reads an answer.
-func decodeAnswer(b []byte) (map[string]state.Delta, error) {
-	var parts map[string]part
+func decodeResponse(b []byte) (map[string]state.Delta, error) {
+	var parts map[string]encodedTable
 	if err := unmarshal(b, &parts); err != nil {
 		return nil, err
 	}
@@ -73,46 +73,46 @@
 // answers encodes answers. Whole tables are encoded once a version, since many ask
 // for them at the same time when all start: each encoding takes memory. The zero
 // value is ready.
-type answers struct {
-	mu    sync.Mutex
-	whole map[string]encoded // by table
+type responseEncoder struct {
+	mu        sync.Mutex
+	snapshots map[string]encodedSnapshot // by table
 }
 
-type encoded struct {
+type encodedSnapshot struct {
 	version int64
 	bytes   []byte
 }
 
 // encode returns the bytes of an answer.
-func (a *answers) encode(tables map[string]state.Delta) ([]byte, error) {
-	parts := make(map[string]part, len(tables))
+func (a *responseEncoder) encode(tables map[string]state.Delta) ([]byte, error) {
+	parts := make(map[string]encodedTable, len(tables))
 	for name, d := range tables {
-		b, err := a.delta(name, d)
+		b, err := a.encodeTable(name, d)
 		if err != nil {
 			return nil, err
 		}
-		parts[name] = part{Delta: b, Age: d.Age}
+		parts[name] = encodedTable{Delta: b, Age: d.Age}
 	}
 	return marshal(parts)
 }
 
-func (a *answers) delta(name string, d state.Delta) ([]byte, error) {
+func (a *responseEncoder) encodeTable(name string, d state.Delta) ([]byte, error) {
 	if !d.Whole {
 		return encodeDelta(d)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if e, ok := a.whole[name]; ok && e.version == d.Version {
+	if e, ok := a.snapshots[name]; ok && e.version == d.Version {
 		return e.bytes, nil
 	}
 	b, err := encodeDelta(d)
 	if err != nil {
 		return nil, err
 	}
-	if a.whole == nil {
-		a.whole = make(map[string]encoded)
+	if a.snapshots == nil {
+		a.snapshots = make(map[string]encodedSnapshot)
 	}
-	a.whole[name] = encoded{version: d.Version, bytes: b}
+	a.snapshots[name] = encodedSnapshot{version: d.Version, bytes: b}
 	return b, nil
 }
 
--- a/process/cluster/ask.go
+++ b/process/cluster/ask.go
@@ -24,19 +24,19 @@
 )
 
 // question asks what has changed after the given versions, by table.
-type question struct {
+type changesRequest struct {
 	After  map[string]int64 `json:"after"`
 	AgesMs map[string]int64 `json:"agesMs,omitempty"`
 	// Without are the tables to leave out.
-	Without []string `json:"without,omitempty"`
-	WaitMs  int64    `json:"waitMs"`
-	From    Member   `json:"from"`
+	Excluded []string `json:"without,omitempty"`
+	WaitMs   int64    `json:"waitMs"`
+	From     Member   `json:"from"`
 }
 
 // asked returns the question as the follower takes it.
-func (q *question) asked() state.Question {
-	out := state.Question{After: q.After, Without: q.Without, Ages: make(map[string]time.Duration, len(q.AgesMs))}
-	out.Wait = min(time.Duration(q.WaitMs)*time.Millisecond, maxWait)
+func (q *changesRequest) query() state.Question {
+	out := state.Question{After: q.After, Without: q.Excluded, Ages: make(map[string]time.Duration, len(q.AgesMs))}
+	out.Wait = min(time.Duration(q.WaitMs)*time.Millisecond, maxPollWait)
 	for name, age := range q.AgesMs {
 		out.Ages[name] = time.Duration(age) * time.Millisecond
 	}
@@ -48,10 +48,10 @@
 	Members  *Members
 	Follower *state.Follower
 	// OnCut, if set, is called when the store has ceased to answer this instance.
-	OnCut func()
+	OnStoreUnreachable func()
 
 	client  *http.Client
-	answers answers
+	encoder responseEncoder
 }
 
 // NewPeers returns a client of other instances. Dial opens connections.
@@ -68,8 +68,8 @@
 
 // StoreCalled notes whether a call of the store was answered.
 func (p *Peers) StoreCalled(answered bool) {
-	if p.Members.StoreCalled(answered) && p.OnCut != nil {
-		p.OnCut()
+	if p.Members.RecordStoreCall(answered) && p.OnStoreUnreachable != nil {
+		p.OnStoreUnreachable()
 	}
 }
 
@@ -80,23 +80,23 @@
 		return nil, false, nil
 	}
 	m := sources[i]
-	q := question{After: asked.After, Without: asked.Without, AgesMs: make(map[string]int64, len(asked.Ages)), WaitMs: asked.Wait.Milliseconds(), From: p.Members.Self()}
+	q := changesRequest{After: asked.After, Excluded: asked.Without, AgesMs: make(map[string]int64, len(asked.Ages)), WaitMs: asked.Wait.Milliseconds(), From: p.Members.Self()}
 	for name, age := range asked.Ages {
 		q.AgesMs[name] = age.Milliseconds()
 	}
 	b, err := p.call(ctx, m.Peer, PathChanges, q)
 	if ctx.Err() == nil || err == nil || errors.Is(err, context.DeadlineExceeded) {
-		p.Members.Called(m.Name, err == nil)
+		p.Members.RecordCall(m.Name, err == nil)
 	}
 	if err != nil {
 		return nil, true, err
 	}
-	out, err := decodeAnswer(b)
+	out, err := decodeResponse(b)
 	return out, true, errors.Annotatef(err, "answer of %s", m.Name)
 }
 
 // Fetch asks the instance at an address which instances it knows.
-func (p *Peers) Fetch(ctx context.Context, address string) error {
+func (p *Peers) FetchMembers(ctx context.Context, address string) error {
 	b, err := p.call(ctx, address, PathMembers, p.Members.Self())
 	if err != nil {
 		return err
@@ -105,22 +105,22 @@
 	if err := unmarshal(b, &list); err != nil {
 		return errors.Annotatef(err, "instances that %s knows", address)
 	}
-	p.Members.Learn(false, list...)
-	p.Members.Read()
+	p.Members.Merge(false, list...)
+	p.Members.MarkListed()
 	return nil
 }
 
 // Check asks another instance whether it lives, and notes whether it answers.
-func (p *Peers) Check(ctx context.Context, m Member) bool {
+func (p *Peers) Ping(ctx context.Context, m Member) bool {
 	_, err := p.call(ctx, m.Peer, PathAlive, struct{}{})
 	if err == nil || ctx.Err() == nil || errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		p.Members.Called(m.Name, err == nil)
+		p.Members.RecordCall(m.Name, err == nil)
 	}
 	return err == nil
 }
 
 // Ask asks the instance at an address for what it answers at a path of its own.
-func (p *Peers) Ask(ctx context.Context, address, path string) ([]byte, error) {
+func (p *Peers) Query(ctx context.Context, address, path string) ([]byte, error) {
 	return p.call(ctx, address, path, struct{}{})
 }
 
@@ -142,50 +142,50 @@
 	if res.StatusCode != http.StatusOK {
 		return nil, errors.Errorf("instance at %s answered %d", address, res.StatusCode)
 	}
-	out, err := io.ReadAll(io.LimitReader(res.Body, maxReply))
+	out, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	return out, errors.Annotatef(err, "answer of the instance at %s", address)
 }
 
 // maxWait bounds how long a question is held.
-const maxWait = 5 * time.Second
+const maxPollWait = 5 * time.Second
 
 // Handler answers other instances.
 func (p *Peers) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+PathChanges, func(w http.ResponseWriter, r *http.Request) {
-		var q question
-		if !readQuestion(w, r, &q) {
+		var q changesRequest
+		if !decodeRequest(w, r, &q) {
 			return
 		}
-		p.Members.Learn(true, q.From)
-		b, err := p.answers.encode(p.Follower.Answer(r.Context(), q.asked()))
-		reply(w, b, err)
+		p.Members.Merge(true, q.From)
+		b, err := p.encoder.encode(p.Follower.Answer(r.Context(), q.query()))
+		writeResponse(w, b, err)
 	})
 	mux.HandleFunc("POST "+PathMembers, func(w http.ResponseWriter, r *http.Request) {
 		var from Member
-		if !readQuestion(w, r, &from) {
+		if !decodeRequest(w, r, &from) {
 			return
 		}
-		p.Members.Learn(true, from)
-		b, err := marshal(append(p.Members.All(), p.Members.Self()))
-		reply(w, b, err)
+		p.Members.Merge(true, from)
+		b, err := marshal(append(p.Members.Others(), p.Members.Self()))
+		writeResponse(w, b, err)
 	})
 	mux.HandleFunc("POST "+PathAlive, func(http.ResponseWriter, *http.Request) {})
 	return mux
 }
 
 // maxQuestion bounds a question in bytes.
-const maxQuestion = 64 << 10
+const maxRequestBytes = 64 << 10
 
-func readQuestion(w http.ResponseWriter, r *http.Request, into any) bool {
-	err := json.NewDecoder(io.LimitReader(r.Body, maxQuestion)).Decode(into)
+func decodeRequest(w http.ResponseWriter, r *http.Request, into any) bool {
+	err := json.NewDecoder(io.LimitReader(r.Body, maxRequestBytes)).Decode(into)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	}
 	return err == nil
 }
 
-func reply(w http.ResponseWriter, b []byte, err error) {
+func writeResponse(w http.ResponseWriter, b []byte, err error) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
--- a/process/cluster/bench_test.go
+++ b/process/cluster/bench_test.go
@@ -9,40 +9,40 @@
 )
 
 // newLarge returns the members of an instance of a fleet in nine halls of three regions.
-func newLarge(fleet int) *Members {
+func newFleetMember(fleet int) *Members {
 	now := time.Hour
 	m := NewMembers(Member{Name: "edge-self", Region: "r0", Hall: "h0", Peer: "10.0.0.1:1"}, func() time.Duration { return now })
 	for i := range fleet {
-		m.Learn(true, Member{
+		m.Merge(true, Member{
 			Name: fmt.Sprintf("edge-%d-%d", i%9, i), Incarnation: 1, Region: fmt.Sprintf("r%d", i%3), Hall: fmt.Sprintf("h%d", i%9),
 			Front: fmt.Sprintf("10.1.%d.%d:8548", i/250, i%250), Peer: fmt.Sprintf("10.1.%d.%d:7540", i/250, i%250),
 		})
 	}
-	m.Read()
+	m.MarkListed()
 	return m
 }
 
 // BenchmarkMembers measures what an instance does all the time, among many others.
 func BenchmarkMembers(b *testing.B) {
 	for _, fleet := range []int{89, 985, 3550} {
-		m := newLarge(fleet)
-		text, err := marshal(datagram{Self: m.order[3].Member})
+		m := newFleetMember(fleet)
+		text, err := marshal(datagram{Self: m.sorted[3].Member})
 		if err != nil {
 			b.Fatal(err)
 		}
 		for name, f := range map[string]func(){
 			"hear": func() {
 				d, _ := decodeDatagram(text) // it is one
-				m.hear(&d)
+				m.receive(&d)
 				m.respond(&d)
 			},
 			"sources": func() { m.Sources() },
 			"relay":   func() { m.Relay() },
 			"live":    func() { m.Live() },
-			"tick":    func() { m.tick(false) },
+			"tick":    func() { m.advance(false) },
 			"beat": func() {
-				m.listeners()
-				m.probeSome(m.tell(false))
+				m.heartbeatTargets()
+				m.probeDatagrams(m.gossip(false))
 			},
 		} {
 			b.Run(fmt.Sprintf("%s/%d", name, fleet), func(b *testing.B) {
--- a/process/cluster/introduction_test.go
+++ b/process/cluster/introduction_test.go
@@ -11,11 +11,11 @@
 )
 
 // mostIntroduction bounds what an instance tells each other one of itself, in bytes.
-const mostIntroduction = 140
+const maxAnnouncementBytes = 140
 
 // TestIntroductionIsSmall checks the size of what each instance tells each other one
 // when all start, while it has just heard of several others that started too.
-func TestIntroductionIsSmall(t *testing.T) {
+func TestAnnouncementSize(t *testing.T) {
 	now := time.Hour
 	usual := func(i int) Member {
 		return Member{
@@ -25,12 +25,12 @@
 	}
 	m := NewMembers(usual(100), func() time.Duration { return now })
 	for i := range 10 {
-		m.Learn(true, usual(101+i))
+		m.Merge(true, usual(101+i))
 	}
-	text, err := marshal(m.introduction())
+	text, err := marshal(m.announcement())
 	assert.NilError(t, err)
-	withRumours, err := marshal(m.tell(false))
+	withRumours, err := marshal(m.gossip(false))
 	assert.NilError(t, err)
 	t.Logf("%d bytes, with rumours %d", len(text), len(withRumours))
-	assert.Assert(t, len(text) <= mostIntroduction, "%d bytes", len(text))
+	assert.Assert(t, len(text) <= maxAnnouncementBytes, "%d bytes", len(text))
 }
--- a/process/cluster/learn.go
+++ b/process/cluster/learn.go
@@ -12,65 +12,65 @@
 
 // Learn takes up what is said of other instances; heard is true when an
 // instance said it of itself just now.
-func (m *Members) Learn(heard bool, list ...Member) {
+func (m *Members) Merge(heard bool, list ...Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
 	for _, x := range list {
-		m.learn(heard, x, now)
+		m.merge(heard, x, now)
 	}
 	m.forget(now)
 }
 
 // learn takes up what is said of one other instance. The caller holds the lock.
-func (m *Members) learn(heard bool, x Member, now time.Duration) {
+func (m *Members) merge(heard bool, x Member, now time.Duration) {
 	if x.Name == "" || x.Name == m.self.Name {
 		return
 	}
-	k := m.others[x.Name]
-	if k == nil {
-		k = &known{Member: x, hash: xxhash.Sum64String(x.Name), learned: now}
-		m.add(k)
+	ps := m.others[x.Name]
+	if ps == nil {
+		ps = &peerState{Member: x, hash: xxhash.Sum64String(x.Name), firstSeen: now}
+		m.insert(ps)
 	}
-	if k.Incarnation < x.Incarnation || heard && k.Incarnation != x.Incarnation && now-k.heard > aliveFor {
+	if ps.Incarnation < x.Incarnation || heard && ps.Incarnation != x.Incarnation && now-ps.lastSeen > directTimeout {
 		// A lower incarnation that speaks while the higher one is silent was
 		// started after a step of the clock.
-		*k = known{Member: x, hash: k.hash, learned: now}
+		*ps = peerState{Member: x, hash: ps.hash, firstSeen: now}
 	}
-	if k.Incarnation > x.Incarnation {
+	if ps.Incarnation > x.Incarnation {
 		return
 	}
-	k.told = now
-	if x.Leaving && !k.Leaving && m.probes() {
-		m.note(k, verdictLeaving, now, now)
+	ps.lastReported = now
+	if x.Leaving && !ps.Leaving && m.usesProbing() {
+		m.queueReport(ps, statusLeaving, now, now)
 	}
-	k.Leaving = k.Leaving || x.Leaving
+	ps.Leaving = ps.Leaving || x.Leaving
 	if heard {
-		m.noteHeard(k, now)
-		k.Cut = x.Cut
-		k.Busy = x.Busy
+		m.markSeen(ps, now)
+		ps.StoreUnreachable = x.StoreUnreachable
+		ps.Busy = x.Busy
 	}
 }
 
 // add adds an instance in the order of the names. The caller holds the lock.
-func (m *Members) add(k *known) {
-	m.others[k.Name] = k
-	at, _ := slices.BinarySearchFunc(m.order, k.Name, func(o *known, name string) int { return cmp.Compare(o.Name, name) })
-	m.order = slices.Insert(m.order, at, k)
+func (m *Members) insert(ps *peerState) {
+	m.others[ps.Name] = ps
+	at, _ := slices.BinarySearchFunc(m.sorted, ps.Name, func(o *peerState, name string) int { return cmp.Compare(o.Name, name) })
+	m.sorted = slices.Insert(m.sorted, at, ps)
 }
 
 // forgetPause is the pause between two looks at who is to be forgotten.
-const forgetPause = time.Second
+const forgetInterval = time.Second
 
 func (m *Members) forget(now time.Duration) {
-	if now-m.forgot < forgetPause {
+	if now-m.lastForget < forgetInterval {
 		return
 	}
-	m.forgot = now
-	m.order = slices.DeleteFunc(m.order, func(k *known) bool {
-		old := now-max(k.heard, k.told) > forgetAfter
+	m.lastForget = now
+	m.sorted = slices.DeleteFunc(m.sorted, func(ps *peerState) bool {
+		old := now-max(ps.lastSeen, ps.lastReported) > forgetAfter
 		if old {
-			delete(m.others, k.Name)
+			delete(m.others, ps.Name)
 		}
 		return old
 	})
--- a/process/cluster/owner.go
+++ b/process/cluster/owner.go
@@ -11,13 +11,13 @@
 // ownerAge is how old a start of an instance must be, by the time of day, for it to
 // own something: by then all know it, so that all turn to it at the same moment.
 // Origin: the news of a start reaches a region of 103 in 3.7 s (gossip_test.go).
-const ownerAge = 4 * time.Second
+const minOwnerAge = 4 * time.Second
 
 // startSpread is how much later than the oldest one an instance may have started to come
 // of age with it: else whoever was first in a start of all owns everything until the
 // others are of age. Origin: instances that were started together, beside three busy
 // threads a processor, came of age together in 36 of 36 runs.
-const startSpread = time.Second
+const maxStartSpread = time.Second
 
 // Owners returns who owns each of n things: the live instance with the lowest hash of
 // name and number (rendezvous hashing), so that all instances that know the same
@@ -25,10 +25,10 @@
 func (m *Members) Owners(n int) []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	grown := m.grown()
+	eligible := m.eligibleOwners()
 	out := make([]Member, n)
 	for i := range out {
-		out[i] = ownerAmong(grown, uint64(i))
+		out[i] = ownerOf(eligible, uint64(i))
 	}
 	return out
 }
@@ -38,11 +38,11 @@
 func (m *Members) OwnerAtStore(number uint64) Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	grown := m.grown()
-	if answered := notCut(grown); len(answered) > 0 {
-		grown = answered
+	eligible := m.eligibleOwners()
+	if answered := reachingStore(eligible); len(answered) > 0 {
+		eligible = answered
 	}
-	return ownerAmong(grown, number)
+	return ownerOf(eligible, number)
 }
 
 // OwnerIn returns who owns the thing with a number among the instances of a region; ""
@@ -50,8 +50,8 @@
 func (m *Members) OwnerIn(region string, number uint64) Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	grown := slices.DeleteFunc(m.grown(), func(k *known) bool { return region != "" && k.Region != region })
-	return ownerAmong(grown, number)
+	eligible := slices.DeleteFunc(m.eligibleOwners(), func(ps *peerState) bool { return region != "" && ps.Region != region })
+	return ownerOf(eligible, number)
 }
 
 // NearestOwner returns who owns the thing with a number among the live instances of a region, or of
@@ -59,14 +59,14 @@
 func (m *Members) NearestOwner(region string, number uint64) Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var near, far *known
-	before := func(k, o *known) bool { return o == nil || rank(k.hash, number) < rank(o.hash, number) }
-	m.eachLive(func(k *known) {
-		if k.Region == region && before(k, near) {
-			near = k
+	var near, far *peerState
+	before := func(ps, o *peerState) bool { return o == nil || rank(ps.hash, number) < rank(o.hash, number) }
+	m.eachLive(func(ps *peerState) {
+		if ps.Region == region && before(ps, near) {
+			near = ps
 		}
-		if before(k, far) {
-			far = k
+		if before(ps, far) {
+			far = ps
 		}
 	})
 	switch {
@@ -81,32 +81,32 @@
 // grown returns the live instances that may own something: those of age, and those that
 // started with the oldest one; all that live if all have just started. The caller holds
 // the lock.
-func (m *Members) grown() []*known {
-	var all []*known
+func (m *Members) eligibleOwners() []*peerState {
+	var all []*peerState
 	now := time.Now()
 	oldest := time.Duration(0)
-	m.eachLive(func(k *known) {
-		all = append(all, k)
-		oldest = max(oldest, k.age(now))
+	m.eachLive(func(ps *peerState) {
+		all = append(all, ps)
+		oldest = max(oldest, ps.age(now))
 	})
-	if oldest < ownerAge {
+	if oldest < minOwnerAge {
 		return all
 	}
-	least := min(ownerAge, oldest-startSpread)
-	return slices.DeleteFunc(all, func(k *known) bool { return k.age(now) < least })
+	least := min(minOwnerAge, oldest-maxStartSpread)
+	return slices.DeleteFunc(all, func(ps *peerState) bool { return ps.age(now) < least })
 }
 
 // age returns how long ago an instance started, by its and this instance's time of day.
-func (k *known) age(now time.Time) time.Duration {
-	return now.Sub(time.Unix(0, k.Incarnation))
+func (ps *peerState) age(now time.Time) time.Duration {
+	return now.Sub(time.Unix(0, ps.Incarnation))
 }
 
 // notCut returns those that are not cut off from the store.
-func notCut(list []*known) []*known {
-	out := make([]*known, 0, len(list))
-	for _, k := range list {
-		if !k.Cut {
-			out = append(out, k)
+func reachingStore(list []*peerState) []*peerState {
+	out := make([]*peerState, 0, len(list))
+	for _, ps := range list {
+		if !ps.StoreUnreachable {
+			out = append(out, ps)
 		}
 	}
 	return out
@@ -114,12 +114,12 @@
 
 // ownerAmong returns which of some instances owns the thing with a number; the zero
 // value if there are none, as when this one is leaving and knows no other.
-func ownerAmong(list []*known, number uint64) Member {
+func ownerOf(list []*peerState, number uint64) Member {
 	var best Member
 	lowest := uint64(math.MaxUint64)
-	for _, k := range list {
-		if r := rank(k.hash, number); r < lowest {
-			best, lowest = k.Member, r
+	for _, ps := range list {
+		if r := rank(ps.hash, number); r < lowest {
+			best, lowest = ps.Member, r
 		}
 	}
 	return best
@@ -137,29 +137,29 @@
 
 // messageMark begins a datagram that holds a message of another part of the process.
 // No other datagram begins with it: MessagePack does not use it.
-const messageMark = 0xc1
+const messagePrefix = 0xc1
 
 // SendMessage sends a message to another instance's address for datagrams. It may be
 // lost.
-func (b *Beats) SendMessage(address string, text []byte) {
-	b.sendTo(address, append([]byte{messageMark}, text...))
+func (b *Gossiper) SendMessage(address string, text []byte) {
+	b.sendTo(address, append([]byte{messagePrefix}, text...))
 }
 
 // SendMessageToAll sends a message to all other instances. It may be lost.
-func (b *Beats) SendMessageToAll(text []byte) {
-	for _, m := range b.members.All() {
+func (b *Gossiper) BroadcastMessage(text []byte) {
+	for _, m := range b.members.Others() {
 		b.SendMessage(m.Peer, text)
 	}
 }
 
 // heardPeer notes that the instance with an address lives, and reports whether one has
 // it.
-func (m *Members) heardPeer(address string) bool {
+func (m *Members) markSeenAddress(address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, k := range m.order {
-		if k.Peer == address {
-			m.noteHeard(k, m.now())
+	for _, ps := range m.sorted {
+		if ps.Peer == address {
+			m.markSeen(ps, m.now())
 			return true
 		}
 	}
--- a/process/cluster/place.go
+++ b/process/cluster/place.go
@@ -3,25 +3,25 @@
 package cluster
 
 // Read notes that it was read which others there are.
-func (m *Members) Read() {
+func (m *Members) MarkListed() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.readAt == 0 {
-		m.readAt = m.now()
+	if m.listedAt == 0 {
+		m.listedAt = m.now()
 	}
 }
 
 // KnowsOthers reports whether it was read which others there are.
-func (m *Members) KnowsOthers() bool {
+func (m *Members) Listed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.readAt != 0
+	return m.listedAt != 0
 }
 
 // listed reports whether the list of the others is whole, or will not become so
 // soon. The caller holds the lock.
-func (m *Members) listed() bool {
-	if m.readAt != 0 && !m.awaits {
+func (m *Members) listComplete() bool {
+	if m.listedAt != 0 && !m.initialStart {
 		return true
 	}
 	return m.settled()
@@ -31,32 +31,32 @@
 // same time. The caller holds the lock.
 func (m *Members) settled() bool {
 	now := m.now()
-	return m.readAt != 0 && now-m.readAt >= settleTime || now-m.started >= unknownFor
+	return m.listedAt != 0 && now-m.listedAt >= settleTime || now-m.startedAt >= listTimeout
 }
 
 // Count returns the number of instances that may be at work, this one included;
 // zero while the others are not known.
 func (m *Members) Count() int {
-	_, of := m.Place()
+	_, of := m.Position()
 	return of
 }
 
 // Place returns the place of this instance in the order of the names of all
 // that may be at work, from 0, and their number; zero while the others are not
 // known.
-func (m *Members) Place() (place, of int) {
+func (m *Members) Position() (place, of int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.settled() {
 		return 0, 0
 	}
 	of = 1
-	for _, k := range m.order {
-		if k.Leaving {
+	for _, ps := range m.sorted {
+		if ps.Leaving {
 			continue
 		}
 		of++
-		if k.Name < m.self.Name {
+		if ps.Name < m.self.Name {
 			place++
 		}
 	}
--- a/process/cluster/probe_test.go
+++ b/process/cluster/probe_test.go
@@ -12,31 +12,31 @@
 	"gotest.tools/v3/assert"
 )
 
-var probedSizes = flag.Bool("large-regions", false, "play regions of 1,000 and 3,550 instances, which takes minutes and gigabytes")
+var largeRegions = flag.Bool("large-regions", false, "play regions of 1,000 and 3,550 instances, which takes minutes and gigabytes")
 
 // regionSizes are the sizes of regions that the tests of this file play.
 func regionSizes() []int {
-	if *probedSizes {
+	if *largeRegions {
 		return []int{100, 330, 1000, 3550}
 	}
 	return []int{100, 200}
 }
 
 // lossOfModel is the share of datagrams that are lost: one of a hundred, and one of ten.
-var lossOfModel = []float64{0.01, 0.1}
+var lossRates = []float64{0.01, 0.1}
 
 // lostPairs counts for how many pairs a running instance takes another one for dead, with what
 // the model knows of both.
-func (f *fleet) lostPairs() (n int) {
-	for _, x := range f.instances {
+func (f *model) falselyDown() (n int) {
+	for _, x := range f.nodes {
 		if x.dead || x.frozen {
 			continue
 		}
 		x.members.mu.Lock()
 		x.members.countNear()
-		for _, k := range x.members.order {
-			o := f.byPeer[k.Peer]
-			if !o.dead && !o.frozen && !x.members.alive(k, f.now) {
+		for _, ps := range x.members.sorted {
+			o := f.byPeer[ps.Peer]
+			if !o.dead && !o.frozen && !x.members.live(ps, f.now) {
 				n++
 			}
 		}
@@ -48,22 +48,22 @@
 // TestNobodyIsLostInALargeRegion lets large regions run with datagrams lost. News of all was
 // passed on in datagrams that hold 64, so that it aged with the region: at 330 instances each
 // took 13 living ones for lost on average, at 660 188.
-func TestNobodyIsLostInALargeRegion(t *testing.T) {
+func TestNoFalseDownInLargeRegion(t *testing.T) {
 	for _, size := range regionSizes() {
-		for _, loss := range lossOfModel {
+		for _, loss := range lossRates {
 			t.Run(fmt.Sprintf("%d/%g", size, loss), func(t *testing.T) {
 				t.Parallel()
-				f := newFleet(uint64(size), 1, size)
+				f := newModel(uint64(size), 1, size)
 				f.loss = loss
 				f.run(time.Second)
 				f.sent, f.bytes = 0, 0
 				seconds := 60
-				if !*probedSizes {
+				if !*largeRegions {
 					seconds = 15
 				}
 				for range seconds {
 					f.run(time.Second)
-					assert.Equal(t, f.lostPairs(), 0)
+					assert.Equal(t, f.falselyDown(), 0)
 				}
 				each := float64(f.bytes) / float64(seconds*size)
 				t.Logf("%.0f bytes and %.1f datagrams a second at an instance", each, float64(f.sent)/float64(seconds*size))
@@ -75,7 +75,7 @@
 
 // TestDeathReachesALargeRegion kills one instance, or a third of them, and checks when all of the
 // region know, and when those of another one do.
-func TestDeathReachesALargeRegion(t *testing.T) {
+func TestDownInstancesDetectedInLargeRegion(t *testing.T) {
 	const (
 		nearBound = 2500 * time.Millisecond
 		farBound  = 4 * time.Second
@@ -84,10 +84,10 @@
 		for _, dead := range []int{1, size / 3} {
 			t.Run(fmt.Sprintf("%d/%d", size, dead), func(t *testing.T) {
 				t.Parallel()
-				f := newFleet(uint64(size), 2, size)
+				f := newModel(uint64(size), 2, size)
 				f.loss = 0.01
 				f.run(2 * time.Second)
-				gone := f.instances[:dead]
+				gone := f.nodes[:dead]
 				for _, o := range gone {
 					o.dead = true
 				}
@@ -105,7 +105,7 @@
 				t.Logf("known to the region after %s, to the other one after %s", near, far)
 				assert.Assert(t, near != 0 && near <= nearBound, "%s, %d believe", near, f.believers(gone, "r0"))
 				assert.Assert(t, far != 0 && far <= farBound, "%s, %d believe", far, f.believers(gone, "r1"))
-				assert.Equal(t, f.lostPairs(), 0)
+				assert.Equal(t, f.falselyDown(), 0)
 			})
 		}
 	}
@@ -113,15 +113,15 @@
 
 // believers counts for how many pairs a running instance of a region takes one that is gone for
 // alive.
-func (f *fleet) believers(gone []*instance, region string) (n int) {
-	for _, x := range f.instances {
+func (f *model) believers(gone []*node, region string) (n int) {
+	for _, x := range f.nodes {
 		if x.dead || x.members.self.Region != region {
 			continue
 		}
 		x.members.mu.Lock()
 		x.members.countNear()
 		for _, o := range gone {
-			if k := x.members.others[o.members.self.Name]; k != nil && x.members.alive(k, f.now) {
+			if ps := x.members.others[o.members.self.Name]; ps != nil && x.members.live(ps, f.now) {
 				n++
 			}
 		}
@@ -132,35 +132,35 @@
 
 // TestHalvesOfALargeRegionMeetAgain cuts a region in two and joins it again, and lets some
 // instances stand still for 3 s: soon afterwards nobody is taken for lost.
-func TestHalvesOfALargeRegionMeetAgain(t *testing.T) {
+func TestLargeRegionHealsAfterPartition(t *testing.T) {
 	const size = 200
-	f := newFleet(5, 1, size)
+	f := newModel(5, 1, size)
 	f.loss = 0.01
 	f.run(2 * time.Second)
-	half := func(x *instance) int { return slices.Index(f.instances, x) % 2 }
-	for _, x := range f.instances {
-		for _, o := range f.instances {
+	half := func(x *node) int { return slices.Index(f.nodes, x) % 2 }
+	for _, x := range f.nodes {
+		for _, o := range f.nodes {
 			if half(x) != half(o) {
-				x.deaf[o.members.self.Name] = true
+				x.dropFrom[o.members.self.Name] = true
 			}
 		}
 	}
 	f.run(6 * time.Second)
-	lost := f.lostPairs()
+	lost := f.falselyDown()
 	t.Logf("%d of %d pairs lost while the region is cut", lost, size*size/2)
 	assert.Assert(t, lost > size*size/2*9/10, "%d", lost)
-	for _, x := range f.instances {
-		clear(x.deaf)
+	for _, x := range f.nodes {
+		clear(x.dropFrom)
 	}
 	f.run(6 * time.Second)
-	assert.Equal(t, f.lostPairs(), 0)
-	for _, x := range f.instances[:20] {
+	assert.Equal(t, f.falselyDown(), 0)
+	for _, x := range f.nodes[:20] {
 		x.frozen = true
 	}
 	f.run(3 * time.Second)
-	for _, x := range f.instances[:20] {
+	for _, x := range f.nodes[:20] {
 		x.frozen = false
 	}
 	f.run(4 * time.Second)
-	assert.Equal(t, f.lostPairs(), 0)
+	assert.Equal(t, f.falselyDown(), 0)
 }
--- a/process/cluster/room_test.go
+++ b/process/cluster/room_test.go
@@ -12,7 +12,7 @@
 
 // TestLargeInstancesPassTablesOn checks that in a large fleet what each instance asks leads over
 // large ones: small ones may not follow all tables. Instances of a small fleet count alike.
-func TestLargeInstancesPassTablesOn(t *testing.T) {
+func TestTreeUsesLargeInstances(t *testing.T) {
 	for _, x := range []struct{ halls, size, large int }{{9, 110, 10}, {3, 110, 2}, {3, 60, 40}} {
 		var all []Member
 		for h := range x.halls {
@@ -28,33 +28,33 @@
 		asked := make(map[string]int)
 		for i := 0; i < len(all); i += 7 {
 			m := NewMembers(all[i], func() time.Duration { return time.Hour })
-			m.Learn(true, all...)
-			m.Read()
-			for _, s := range m.Sources()[:headsAsked] {
+			m.Merge(true, all...)
+			m.MarkListed()
+			for _, s := range m.Sources()[:headsPerMember] {
 				assert.Assert(t, s.Cores > 1, "%s of %d x %d asks %s", all[i].Name, x.halls, x.size, s.Name)
 				asked[s.Name]++
 			}
 			assert.Assert(t, !m.Relay() || all[i].Cores > 1)
 			assert.Assert(t, !m.Head() || all[i].Cores > 1)
 		}
-		assert.Assert(t, len(asked) >= min(x.large, headsAsked)*x.halls, "%d are asked", len(asked))
+		assert.Assert(t, len(asked) >= min(x.large, headsPerMember)*x.halls, "%d are asked", len(asked))
 	}
 }
 
 // TestCapacityOfARegion checks what an instance sees of the large ones of its region.
-func TestCapacityOfARegion(t *testing.T) {
+func TestRegionCapacity(t *testing.T) {
 	m, _ := newMembers()
 	m.self.Cores, m.self.Link = 0.16, 20
-	assert.Assert(t, m.Capacity().Self, "it is the only one")
+	assert.Assert(t, m.RegionCapacity().SelfLarge, "it is the only one")
 	for i, cores := range []float64{1.6, 1.6, 0.16} {
 		x := member(fmt.Sprint("n", i), "north", 1)
 		x.Cores, x.Link, x.Busy = cores, 1000*cores, i == 1
-		m.Learn(true, x)
+		m.Merge(true, x)
 	}
 	far := member("far", "south", 1)
 	far.Cores, far.Link = 16, 10000
-	m.Learn(true, far)
-	c := m.Capacity()
-	assert.Assert(t, c.Large == 2 && c.Free == 1 && !c.Self, "%v", c)
-	assert.DeepEqual(t, names(c.Named), []string{"n0"})
+	m.Merge(true, far)
+	c := m.RegionCapacity()
+	assert.Assert(t, c.Large == 2 && c.Free == 1 && !c.SelfLarge, "%v", c)
+	assert.DeepEqual(t, names(c.Candidates), []string{"n0"})
 }
--- a/process/cluster/sources.go
+++ b/process/cluster/sources.go
@@ -17,61 +17,61 @@
 const membersPerHead = 8
 
 // headsAsked is the number of heads of its hall that an instance asks.
-const headsAsked = 2
+const headsPerMember = 2
 
 // tree is the way that tables travel in, as one instance sees it: from the store
 // to the relay of each region, from there to the heads of each hall, and from
 // those to the others of the hall. All instances that know the same ones see the
 // same tree.
-type tree struct {
-	relays map[string]*known // by region
-	hall   []*known          // of the own hall, by hash; in a large fleet the large ones first
-	large  int               // how many of these are large
+type distributionTree struct {
+	relays map[string]*peerState // by region
+	hall   []*peerState          // of the own hall, by hash; in a large fleet the large ones first
+	large  int                   // how many of these are large
 }
 
 // treeFor is how long a tree of a large fleet is good for: each look at it would walk all
 // instances, and an instance looks at it many times a second.
-const treeFor = 100 * time.Millisecond
+const treeTTL = 100 * time.Millisecond
 
 // growTree returns the tree over the instances that are alive. It must not be changed. The caller
 // holds the lock.
-func (m *Members) growTree() tree {
+func (m *Members) currentTree() distributionTree {
 	now := m.now()
-	large := len(m.order) > MostIntroduced
-	if large && m.tree != nil && now-m.treeAt < treeFor && m.treeOf == m.selfNow() {
-		return *m.tree
+	large := len(m.sorted) > MaxSmallFleet
+	if large && m.cachedTree != nil && now-m.cachedTreeAt < treeTTL && m.cachedTreeFor == m.selfNow() {
+		return *m.cachedTree
 	}
-	t := m.growNew()
+	t := m.buildTree()
 	if large {
-		m.tree, m.treeAt, m.treeOf = &t, now, m.selfNow()
+		m.cachedTree, m.cachedTreeAt, m.cachedTreeFor = &t, now, m.selfNow()
 	}
 	return t
 }
 
-func (m *Members) growNew() tree {
-	t := tree{relays: make(map[string]*known)}
-	rooms := m.rooms()
-	m.eachLive(func(k *known) {
-		if b := t.relays[k.Region]; b == nil || rooms.before(k, b) {
-			t.relays[k.Region] = k
+func (m *Members) buildTree() distributionTree {
+	t := distributionTree{relays: make(map[string]*peerState)}
+	maxima := m.regionMaxima()
+	m.eachLive(func(ps *peerState) {
+		if b := t.relays[ps.Region]; b == nil || maxima.preferredRelay(ps, b) {
+			t.relays[ps.Region] = ps
 		}
-		if k.Hall == m.self.Hall && k.Region == m.self.Region {
-			t.hall = append(t.hall, k)
-			if rooms.large(k) {
+		if ps.Hall == m.self.Hall && ps.Region == m.self.Region {
+			t.hall = append(t.hall, ps)
+			if maxima.large(ps) {
 				t.large++
 			}
 		}
 	})
-	slices.SortFunc(t.hall, func(a, b *known) int {
-		if x, y := rooms.large(a), rooms.large(b); x != y {
-			return boolOrder(x)
+	slices.SortFunc(t.hall, func(a, b *peerState) int {
+		if x, y := maxima.large(a), maxima.large(b); x != y {
+			return trueFirst(x)
 		}
 		return cmp.Compare(a.hash, b.hash)
 	})
 	return t
 }
 
-func boolOrder(first bool) int {
+func trueFirst(first bool) int {
 	if first {
 		return -1
 	}
@@ -80,50 +80,52 @@
 
 // rooms is the largest instance of each region of a large fleet. Those that are small beside it
 // may not follow all tables (Capacity), so they pass them on last. Nil: all count alike.
-type rooms map[string]Room
+type regionMaxima map[string]Resources
 
 // roomsFor is how long what they can carry is good for: it changes as instances come and go.
-const roomsFor = time.Second
+const maximaTTL = time.Second
 
 // rooms returns what the instances that are alive can carry. The caller holds the lock.
-func (m *Members) rooms() rooms {
-	if len(m.order) <= MostIntroduced {
+func (m *Members) regionMaxima() regionMaxima {
+	if len(m.sorted) <= MaxSmallFleet {
 		return nil
 	}
-	if now := m.now(); m.roomsOf == nil || now-m.roomsAt >= roomsFor {
-		m.roomsOf, m.roomsAt = make(rooms), now
-		m.eachLive(func(k *known) {
-			r := m.roomsOf[k.Region]
-			r.include(&k.Member)
-			m.roomsOf[k.Region] = r
+	if now := m.now(); m.cachedMaxima == nil || now-m.cachedMaximaAt >= maximaTTL {
+		m.cachedMaxima, m.cachedMaximaAt = make(regionMaxima), now
+		m.eachLive(func(ps *peerState) {
+			r := m.cachedMaxima[ps.Region]
+			r.include(&ps.Member)
+			m.cachedMaxima[ps.Region] = r
 		})
 	}
-	return m.roomsOf
+	return m.cachedMaxima
 }
 
-func (r rooms) large(k *known) bool { return r == nil || r[k.Region].Fills(&k.Member) }
+func (r regionMaxima) large(ps *peerState) bool {
+	return r == nil || r[ps.Region].MatchedBy(&ps.Member)
+}
 
 // before reports whether an instance is the relay of its region rather than
 // another one: it is not cut off from the store, or both are, it is large, or both are, and its
 // hash is lower.
-func (r rooms) before(k, o *known) bool {
-	if k.Cut != o.Cut {
-		return !k.Cut
+func (r regionMaxima) preferredRelay(ps, o *peerState) bool {
+	if ps.StoreUnreachable != o.StoreUnreachable {
+		return !ps.StoreUnreachable
 	}
-	if a, b := r.large(k), r.large(o); a != b {
+	if a, b := r.large(ps), r.large(o); a != b {
 		return a
 	}
-	return k.hash < o.hash
+	return ps.hash < o.hash
 }
 
 // heads returns those of the hall that ask the relay of the region: two at least,
 // so that the others have two to ask, and none that is small if there are enough others.
-func (t *tree) heads() []*known {
+func (t *distributionTree) heads() []*peerState {
 	n := (len(t.hall) + membersPerHead - 1) / membersPerHead
-	if t.large >= headsAsked {
+	if t.large >= headsPerMember {
 		n = min(n, t.large)
 	}
-	return t.hall[:min(len(t.hall), max(headsAsked, n))]
+	return t.hall[:min(len(t.hall), max(headsPerMember, n))]
 }
 
 // Relay reports whether this instance asks the store for its region. Before it
@@ -131,10 +133,10 @@
 func (m *Members) Relay() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.listed() {
+	if !m.listComplete() {
 		return false
 	}
-	t := m.growTree()
+	t := m.currentTree()
 	r := t.relays[m.self.Region]
 	return r != nil && r.Name == m.self.Name
 }
@@ -144,10 +146,10 @@
 func (m *Members) Head() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.readAt == 0 || m.awaits {
+	if m.listedAt == 0 || m.initialStart {
 		return false
 	}
-	t := m.growTree()
+	t := m.currentTree()
 	return slices.ContainsFunc(t.heads(), m.isSelf)
 }
 
@@ -158,24 +160,24 @@
 func (m *Members) Relays() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	t := m.growTree()
-	return plain(m.orderedRelays(&t))
+	t := m.currentTree()
+	return toMembers(m.orderedRelays(&t))
 }
 
 // orderedRelays returns the relays, that of the own region first. The caller
 // holds the lock.
-func (m *Members) orderedRelays(t *tree) []*known {
-	out := make([]*known, 0, len(t.relays))
+func (m *Members) orderedRelays(t *distributionTree) []*peerState {
+	out := make([]*peerState, 0, len(t.relays))
 	for _, x := range t.relays {
 		out = append(out, x)
 	}
-	order := func(x *known) uint64 {
+	order := func(x *peerState) uint64 {
 		if x.Region == m.self.Region {
 			return 0
 		}
 		return xxhash.Sum64String(m.self.Name+x.Region) | 1
 	}
-	slices.SortFunc(out, func(a, b *known) int { return cmp.Compare(order(a), order(b)) })
+	slices.SortFunc(out, func(a, b *peerState) int { return cmp.Compare(order(a), order(b)) })
 	return out
 }
 
@@ -186,17 +188,17 @@
 func (m *Members) Sources() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	t := m.growTree()
-	var out []*known
-	add := func(k *known) {
-		if !m.isSelf(k) && !slices.Contains(out, k) {
-			out = append(out, k)
+	t := m.currentTree()
+	var out []*peerState
+	add := func(ps *peerState) {
+		if !m.isSelf(ps) && !slices.Contains(out, ps) {
+			out = append(out, ps)
 		}
 	}
 	heads := t.heads()
 	if !slices.ContainsFunc(heads, m.isSelf) {
 		first := int(m.hash % uint64(max(1, len(heads))))
-		for i := range min(headsAsked, len(heads)) {
+		for i := range min(headsPerMember, len(heads)) {
 			add(heads[(first+i)%len(heads)])
 		}
 	}
@@ -204,21 +206,21 @@
 		add(r)
 	}
 	if len(out) == 0 {
-		m.eachLive(func(k *known) {
+		m.eachLive(func(ps *peerState) {
 			if len(out) == 0 {
-				add(k)
+				add(ps)
 			}
 		})
 	}
-	return plain(out)
+	return toMembers(out)
 }
 
-func (m *Members) isSelf(k *known) bool { return k.Name == m.self.Name }
+func (m *Members) isSelf(ps *peerState) bool { return ps.Name == m.self.Name }
 
-func plain(list []*known) []Member {
+func toMembers(list []*peerState) []Member {
 	out := make([]Member, 0, len(list))
-	for _, k := range list {
-		out = append(out, k.Member)
+	for _, ps := range list {
+		out = append(out, ps.Member)
 	}
 	return out
 }
--- a/process/cluster/work.go
+++ b/process/cluster/work.go
@@ -6,21 +6,21 @@
 
 // AtWork returns the instances that may have requests in flight, the own one included,
 // ordered by name: those that are alive, and those that are leaving and have not ended.
-func (m *Members) AtWork() []Member {
+func (m *Members) Active() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.countNear()
-	now, heardFor := m.now(), m.heardFor()
-	out := make([]Member, 0, len(m.order)+1)
+	now, heardFor := m.now(), m.livenessTimeout()
+	out := make([]Member, 0, len(m.sorted)+1)
 	selfDone := false
-	for _, k := range m.order {
-		if k.Name > m.self.Name && !selfDone {
+	for _, ps := range m.sorted {
+		if ps.Name > m.self.Name && !selfDone {
 			out = append(out, m.selfNow())
 			selfDone = true
 		}
-		ending := k.Leaving && k.heard != 0 && now-k.heard <= heardFor && k.failed <= k.heard
-		if ending || m.alive(k, now) {
-			out = append(out, k.Member)
+		ending := ps.Leaving && ps.lastSeen != 0 && now-ps.lastSeen <= heardFor && ps.callFailedAt <= ps.lastSeen
+		if ending || m.live(ps, now) {
+			out = append(out, ps.Member)
 		}
 	}
 	if !selfDone {
@@ -31,14 +31,14 @@
 
 // Silent returns those of the other instances that count as alive, and were not heard for
 // a time. Of asks whether one matters; it must not call the members.
-func (m *Members) Silent(least time.Duration, of func(Member) bool) []Member {
+func (m *Members) Unresponsive(least time.Duration, of func(Member) bool) []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
 	var out []Member
-	m.eachLive(func(k *known) {
-		if !m.isSelf(k) && now-k.heard > least && of(k.Member) {
-			out = append(out, k.Member)
+	m.eachLive(func(ps *peerState) {
+		if !m.isSelf(ps) && now-ps.lastSeen > least && of(ps.Member) {
+			out = append(out, ps.Member)
 		}
 	})
 	return out
--- a/process/cluster/work_test.go
+++ b/process/cluster/work_test.go
@@ -11,43 +11,43 @@
 
 // watched returns the members of an instance in the north that knows one more there and
 // one in the south, all heard at the time that now points to.
-func watched(now *time.Duration) *Members {
+func newWatched(now *time.Duration) *Members {
 	started := time.Now().Add(-time.Minute).UnixNano()
 	m := NewMembers(member("b", "north", started), func() time.Duration { return *now })
-	m.Learn(true, member("a", "north", started), member("c", "south", started))
+	m.Merge(true, member("a", "north", started), member("c", "south", started))
 	return m
 }
 
 // TestThoseThatLeaveAreAtWorkUntilTheyAreSilent checks it, for others and the instance
 // itself.
-func TestThoseThatLeaveAreAtWorkUntilTheyAreSilent(t *testing.T) {
+func TestLeavingInstancesAreActiveUntilUnresponsive(t *testing.T) {
 	now := time.Hour
-	m := watched(&now)
+	m := newWatched(&now)
 	leaving := member("a", "north", m.others["a"].Incarnation)
 	leaving.Leaving = true
-	m.Learn(true, leaving)
-	m.Leave()
+	m.Merge(true, leaving)
+	m.SetLeaving()
 	assert.DeepEqual(t, names(m.Live()), []string{"c"})
-	assert.DeepEqual(t, names(m.AtWork()), []string{"a", "b", "c"})
-	now += aliveFor + time.Millisecond
-	assert.DeepEqual(t, names(m.AtWork()), []string{"b", "c"})
-	m.Called("c", false)
-	assert.DeepEqual(t, names(m.AtWork()), []string{"b"})
+	assert.DeepEqual(t, names(m.Active()), []string{"a", "b", "c"})
+	now += directTimeout + time.Millisecond
+	assert.DeepEqual(t, names(m.Active()), []string{"b", "c"})
+	m.RecordCall("c", false)
+	assert.DeepEqual(t, names(m.Active()), []string{"b"})
 }
 
 // TestSilentAreThoseThatCountAsAliveUnheard checks which are, that a message of one
 // proves that it lives, and that a failed call ends it.
-func TestSilentAreThoseThatCountAsAliveUnheard(t *testing.T) {
+func TestUnresponsiveListsLiveButUnseen(t *testing.T) {
 	now := time.Hour
-	m := watched(&now)
+	m := newWatched(&now)
 	all := func(Member) bool { return true }
-	assert.Equal(t, len(m.Silent(time.Second, all)), 0)
+	assert.Equal(t, len(m.Unresponsive(time.Second, all)), 0)
 	now += 1200 * time.Millisecond
-	assert.DeepEqual(t, names(m.Silent(time.Second, all)), []string{"a", "c"})
-	assert.DeepEqual(t, names(m.Silent(time.Second, func(m Member) bool { return m.Name == "c" })), []string{"c"})
-	assert.Assert(t, m.heardPeer(m.others["c"].Peer))
-	assert.Assert(t, !m.heardPeer("127.0.0.9:9"))
-	assert.DeepEqual(t, names(m.Silent(time.Second, all)), []string{"a"})
-	m.Called("a", false)
-	assert.Equal(t, len(m.Silent(time.Second, all)), 0)
+	assert.DeepEqual(t, names(m.Unresponsive(time.Second, all)), []string{"a", "c"})
+	assert.DeepEqual(t, names(m.Unresponsive(time.Second, func(m Member) bool { return m.Name == "c" })), []string{"c"})
+	assert.Assert(t, m.markSeenAddress(m.others["c"].Peer))
+	assert.Assert(t, !m.markSeenAddress("127.0.0.9:9"))
+	assert.DeepEqual(t, names(m.Unresponsive(time.Second, all)), []string{"a"})
+	m.RecordCall("a", false)
+	assert.Equal(t, len(m.Unresponsive(time.Second, all)), 0)
 }
--- a/process/edge/belief.go
+++ b/process/edge/belief.go
@@ -87,7 +87,7 @@
 // storeLost tells the other instances of the region that the store does not answer this one.
 func (e *Edge) storeLost() {
 	e.log.Info().Bool("relay", e.peers.Relay()).Msg("store-lost")
-	e.beats.SendNear()
+	e.beats.SendToRegion()
 }
 
 // watchPause is the pause between two looks at which instances are alive.
--- a/process/edge/directory.go
+++ b/process/edge/directory.go
@@ -98,8 +98,8 @@
 // what an instance learns of backend servers, it learns from its own requests: few
 // instances that see many know far more than many that see few.
 func roomy(from, region []cluster.Member) []cluster.Member {
-	most := cluster.Largest(region)
-	large := filter(from, func(m cluster.Member) bool { return most.Fills(&m) })
+	most := cluster.MaxResources(region)
+	large := filter(from, func(m cluster.Member) bool { return most.MatchedBy(&m) })
 	free := filter(large, func(m cluster.Member) bool { return !m.Busy })
 	if len(free) >= enoughInHall || len(free) == len(large) {
 		return free
--- a/process/edge/edge.go
+++ b/process/edge/edge.go
@@ -62,7 +62,7 @@
 	started    time.Time
 	born       time.Duration // when it was started, by the deployment's clock
 	members    *cluster.Members
-	beats      *cluster.Beats
+	beats      *cluster.Gossiper
 	peers      *cluster.Peers
 	follower   *state.Follower
 	table      *balance.Table
@@ -123,7 +123,7 @@
 		Link: s.Link, Cores: s.Cores,
 	}, e.now)
 	if s.First {
-		e.members.AwaitOthers()
+		e.members.SetInitialStart()
 	}
 	var err error
 	if e.beats, err = cluster.Listen(e.members); err != nil {
@@ -160,7 +160,7 @@
 		},
 	}
 	e.peers.Follower = e.follower
-	e.peers.OnCut = e.storeLost
+	e.peers.OnStoreUnreachable = e.storeLost
 	e.documents = Documents{Key: e.deployment.DocumentKey, Translate: e.deployment.Configuration}
 	e.lapses.keep = keepLapsed(e.settings.DrainWithin)
 	dialer := conn.NewDialer(dialTimeout, backendSilence)
@@ -174,11 +174,11 @@
 			return &conn.Pool{Address: address, Dialer: dialer, IdleTime: backendIdle}
 		},
 	}
-	e.beats.Observations, e.beats.Hear, e.beats.Ask = e.table.Observations, e.table.Hear, e.askPeer
+	e.beats.Observations, e.beats.OnObservations, e.beats.RequestMembers = e.table.Observations, e.table.Hear, e.askPeer
 	e.quota = e.newQuota()
 	e.rollouts = e.newRollouts()
 	e.quarantine = e.newQuarantine()
-	e.beats.Message = e.hearMessage
+	e.beats.OnMessage = e.hearMessage
 	if e.settings.Memory > 0 {
 		e.held = &held.Budget{Limit: e.settings.Memory / heldShare, Now: e.now, OnCut: e.logCutOff}
 	}
--- a/process/edge/introduce.go
+++ b/process/edge/introduce.go
@@ -27,7 +27,7 @@
 // smallFleet is the number of instances up to which each reads the rows of all, and tells all of
 // itself. In a larger fleet that would grow with its square when all start: there an instance
 // reads some rows and tells some, and follows the table of instances along the tree.
-const smallFleet = cluster.MostIntroduced
+const smallFleet = cluster.MaxSmallFleet
 
 // introduce writes the own row and reads those of the others, and reads them
 // again now and then. When all start for the first time it writes first, so that
@@ -91,11 +91,11 @@
 		}
 		rows = append(rows, near...) // names that follow each other are mostly of one hall
 	}
-	first := !e.members.KnowsOthers()
+	first := !e.members.Listed()
 	e.learnRows(rows)
-	e.members.Read()
+	e.members.MarkListed()
 	if first {
-		e.beats.SendAll()
+		e.beats.Announce()
 	}
 	return nil
 }
@@ -111,7 +111,7 @@
 		}
 		list = append(list, m)
 	}
-	e.members.Learn(false, list...)
+	e.members.Merge(false, list...)
 }
 
 // followInstances takes up what the table of instances says, if it is followed, until the
@@ -163,7 +163,7 @@
 	pause := seedPause
 	for e.table.Routing() == nil && clock.Sleep(ctx, pause) {
 		pause = min(2*pause, longestPause)
-		if e.members.KnowsOthers() && len(e.members.Sources()) > 0 {
+		if e.members.Listed() && len(e.members.Sources()) > 0 {
 			continue
 		}
 		for _, seed := range e.settings.Seeds {
@@ -178,7 +178,7 @@
 func (e *Edge) askPeer(address string) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
-	err := e.peers.Fetch(ctx, address)
+	err := e.peers.FetchMembers(ctx, address)
 	e.log.Info().Str("from", address).AnErr("error", err).Int("live", len(e.members.Live())).Msg("instances-asked")
 }
 
@@ -186,9 +186,9 @@
 func (e *Edge) askSeed(ctx context.Context, seed string) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	if err := e.peers.Fetch(ctx, seed); err != nil {
+	if err := e.peers.FetchMembers(ctx, seed); err != nil {
 		e.log.Debug().Err(err).Str("seed", seed).Msg("seed-failed")
 		return
 	}
-	e.beats.SendAll()
+	e.beats.Announce()
 }
--- a/process/edge/introduce_test.go
+++ b/process/edge/introduce_test.go
@@ -83,9 +83,9 @@
 		assert.NilError(t, e.readRows(context.Background()))
 		assert.Assert(t, s.read <= x.rows && s.calls == x.calls, "%d instances: %d rows in %d calls", x.fleet, s.read, s.calls)
 		assert.Equal(t, e.wantsTable("instances"), x.follows)
-		assert.Assert(t, e.beats.Sent() <= cluster.MostIntroduced, "%d instances: %d datagrams", x.fleet, e.beats.Sent())
+		assert.Assert(t, e.beats.Sent() <= cluster.MaxSmallFleet, "%d instances: %d datagrams", x.fleet, e.beats.Sent())
 		if x.fleet <= smallFleet {
-			assert.Equal(t, len(e.members.Known()), x.fleet)
+			assert.Equal(t, len(e.members.NotLeaving()), x.fleet)
 		}
 	}
 }
--- a/process/edge/place.go
+++ b/process/edge/place.go
@@ -33,12 +33,12 @@
 	if p.at != 0 && now-p.at < placeFor {
 		return p.place, p.of
 	}
-	p.place, p.of = e.members.Place()
+	p.place, p.of = e.members.Position()
 	if p.of == 0 {
 		return 0, 0
 	}
 	p.at = now
-	if place, of := placeAmongLarge(e.members.Known(), e.settings.Instance); of > 0 {
+	if place, of := placeAmongLarge(e.members.NotLeaving(), e.settings.Instance); of > 0 {
 		p.place, p.of = place, of
 	}
 	return p.place, p.of
@@ -48,14 +48,14 @@
 // and their number; zero if it is none of them.
 func placeAmongLarge(known []cluster.Member, self string) (place, of int) {
 	found := false
-	rooms := make(map[string]cluster.Room) // by region
+	rooms := make(map[string]cluster.Resources) // by region
 	for _, m := range known {
 		r, ok := rooms[m.Region]
 		if !ok {
-			r = cluster.Largest(inRegion(known, m.Region))
+			r = cluster.MaxResources(inRegion(known, m.Region))
 			rooms[m.Region] = r
 		}
-		if !r.Fills(&m) {
+		if !r.MatchedBy(&m) {
 			continue
 		}
 		of++
--- a/process/edge/quarantine.go
+++ b/process/edge/quarantine.go
@@ -42,8 +42,8 @@
 func (e *Edge) newQuarantine() *quarantine.Quarantine {
 	q := quarantine.New()
 	q.Now, q.Owners, q.Log = e.now, e.quarantineOwners, e.log
-	q.Send, q.SendAll = e.beats.SendMessage, e.beats.SendMessageToAll
-	e.beats.Digest, e.beats.Differs = q.Digest, e.askList
+	q.Send, q.SendAll = e.beats.SendMessage, e.beats.BroadcastMessage
+	e.beats.Digest, e.beats.OnDigestMismatch = q.Digest, e.askList
 	return q
 }
 
@@ -163,7 +163,7 @@
 func (e *Edge) fetchList(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, listHold+peerSilence)
 	defer cancel()
-	text, err := e.peers.Ask(ctx, address, pathQuarantine)
+	text, err := e.peers.Query(ctx, address, pathQuarantine)
 	if err != nil {
 		return err
 	}
--- a/process/edge/quota.go
+++ b/process/edge/quota.go
@@ -40,7 +40,7 @@
 // quotaAnswers is told that the owner of some limits does not answer, or does again.
 func (e *Edge) quotaAnswers(name string, ok bool) {
 	e.log.Info().Str("other", name).Bool("answers", ok).Msg("quota-owner")
-	e.members.Called(name, ok)
+	e.members.RecordCall(name, ok)
 }
 
 // tickQuota tells and asks the owners of limits until the context ends.
--- a/process/edge/rollout.go
+++ b/process/edge/rollout.go
@@ -44,7 +44,7 @@
 		Now: e.now, Bounds: e.settings.Rollouts, Incarnation: e.started.UnixNano(),
 		Owner: e.rolloutOwner, Live: e.liveAddresses, InFlight: e.table.InFlight,
 		Send: e.beats.SendMessage, Log: e.logRollout,
-		Introduce: e.beats.Introduce,
+		Introduce: e.beats.AnnounceTo,
 		Late:      func() time.Duration { return e.lateness.Most(e.now()) },
 	}
 }
@@ -69,7 +69,7 @@
 // liveAddresses returns where the instances take messages that may have requests in
 // flight, "" for this one.
 func (e *Edge) liveAddresses() []string {
-	live := e.members.AtWork()
+	live := e.members.Active()
 	out := make([]string, 0, len(live))
 	for _, m := range live {
 		if m.Name == e.settings.Instance {
--- a/process/edge/silent.go
+++ b/process/edge/silent.go
@@ -29,7 +29,7 @@
 		if e.rolling.running.Load() == 0 {
 			continue
 		}
-		silent := e.members.Silent(silentFor, e.matters())
+		silent := e.members.Unresponsive(silentFor, e.matters())
 		var all sync.WaitGroup
 		for _, m := range silent[:min(len(silent), mostChecked)] {
 			all.Go(func() { e.check(ctx, m) })
@@ -56,7 +56,7 @@
 func (e *Edge) check(ctx context.Context, m cluster.Member) {
 	ctx, cancel := context.WithTimeout(ctx, 2*dialTimeout)
 	defer cancel()
-	if !e.peers.Check(ctx, m) {
+	if !e.peers.Ping(ctx, m) {
 		e.log.Info().Str("other", m.Name).Msg("instance-silent")
 	}
 }
--- a/process/edge/spare.go
+++ b/process/edge/spare.go
@@ -58,9 +58,9 @@
 	}
 	e.spare.looked.Store(int64(now))
 	large := e.followsInstances.Load() || e.members.Count() > smallFleet
-	var c cluster.Capacity
+	var c cluster.RegionCapacity
 	if large {
-		c = e.members.Capacity()
+		c = e.members.RegionCapacity()
 	}
 	if !large || e.rolling.wanted.Load() || e.spare.keyed.Load() || servesCallers(c) {
 		lasts := spareAfter
@@ -70,7 +70,7 @@
 		e.spare.needed.Store(int64(now + lasts))
 	}
 	is := large && now > time.Duration(e.spare.needed.Load())
-	others := e.spare.take(c.Named)
+	others := e.spare.take(c.Candidates)
 	if e.spare.is.Swap(is) != is {
 		e.log.Info().Bool("spare", is).Int("large", c.Large).Int("free", c.Free).Msg("spare")
 		go e.recompile()
@@ -81,8 +81,8 @@
 }
 
 // servesCallers reports whether callers may be sent to an instance as its region stands.
-func servesCallers(c cluster.Capacity) bool {
-	return c.Self || c.Free < max(leastFree, int(freeShare*float64(c.Large)))
+func servesCallers(c cluster.RegionCapacity) bool {
+	return c.SelfLarge || c.Free < max(leastFree, int(freeShare*float64(c.Large)))
 }
 
 // take takes up which large instances there are, and reports whether requests are to be passed on
--- a/process/edge/spare_test.go
+++ b/process/edge/spare_test.go
@@ -47,7 +47,7 @@
 	e.followsInstances.Store(instances > smallFleet)
 	for i := range instances {
 		if m := member(i); m.Name != self.Name {
-			e.members.Learn(false, m)
+			e.members.Merge(false, m)
 		}
 	}
 	return e, &now
@@ -71,11 +71,11 @@
 func TestSpareInstanceWakes(t *testing.T) {
 	const instances = 330
 	busy := func(e *Edge, busy bool) {
-		for _, m := range e.members.Known() {
+		for _, m := range e.members.NotLeaving() {
 			if m.Cores > 1 {
 				m.Busy = busy
 				m.Incarnation++
-				e.members.Learn(true, m)
+				e.members.Merge(true, m)
 			}
 		}
 	}
