--- a/process/cluster/answer.go
+++ b/process/cluster/answer.go
@@ -16,17 +16,17 @@
 	"shalewick/process/state"
 )
 
-// maxReply bounds an answer of another instance, and a table in it, in bytes.
+// maxResponseBytes bounds a response of another instance, and each decompressed table in it.
 const maxResponseBytes = 16 << 20
 
-// part is what an answer says of one table.
+// encodedTable is one table of a changes response.
 type encodedTable struct {
-	// Delta is a state.Delta without its age, compressed.
+	// Delta is a compressed state.Delta without its age.
 	Delta []byte        `json:"d"`
 	Age   time.Duration `json:"a"`
 }
 
-// encodeDelta returns the compressed bytes of a delta without its age.
+// encodeDelta encodes and compresses a delta without its age.
 func encodeDelta(d state.Delta) ([]byte, error) {
 	d.Age = 0
 	b, err := marshal(d)
@@ -40,7 +40,7 @@
 	var d state.Delta
 	size, err := s2.DecodedLen(p.Delta)
 	if err != nil || size > maxResponseBytes {
-		return d, errors.Errorf("table of %d bytes: %v", size, err)
+		return d, errors.Errorf("compressed table of %d bytes: %v", size, err)
 	}
 	b, err := s2.Decode(nil, p.Delta)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return d, nil
 }
 
-// decodeAnswer reads an answer.
+// decodeResponse decodes a changes response.
 func decodeResponse(b []byte) (map[string]state.Delta, error) {
 	var parts map[string]encodedTable
 	if err := unmarshal(b, &parts); err != nil {
@@ -70,9 +70,9 @@
 	return out, nil
 }
 
-// answers encodes answers. Whole tables are encoded once a version, since many ask
-// for them at the same time when all start: each encoding takes memory. The zero
-// value is ready.
+// responseEncoder encodes changes responses. A snapshot is encoded once per version, because many
+// instances request it at the same time when the whole fleet starts and each encoding takes
+// memory. The zero value is ready to use.
 type responseEncoder struct {
 	mu        sync.Mutex
 	snapshots map[string]encodedSnapshot // by table
@@ -83,7 +83,7 @@
 	bytes   []byte
 }
 
-// encode returns the bytes of an answer.
+// encode returns the encoded response for some tables.
 func (a *responseEncoder) encode(tables map[string]state.Delta) ([]byte, error) {
 	parts := make(map[string]encodedTable, len(tables))
 	for name, d := range tables {
@@ -126,7 +126,7 @@
 	return b.Bytes(), nil
 }
 
-// unmarshal reads exactly one value.
+// unmarshal decodes exactly one value.
 func unmarshal(b []byte, v any) error {
 	if err := packed.Check(b); err != nil {
 		return errors.Annotate(err, "decode")
@@ -138,7 +138,7 @@
 		return errors.Annotate(err, "decode")
 	}
 	if _, err := r.ReadByte(); err != io.EOF {
-		return errors.New("decode: bytes are left")
+		return errors.New("decode: trailing bytes after the value")
 	}
 	return nil
 }
--- a/process/cluster/ask.go
+++ b/process/cluster/ask.go
@@ -16,24 +16,24 @@
 	"shalewick/process/state"
 )
 
-// Paths of the calls between instances.
+// HTTP paths of the requests between instances.
 const (
 	PathChanges = "/peer/changes"
 	PathMembers = "/peer/members"
 	PathAlive   = "/peer/alive"
 )
 
-// question asks what has changed after the given versions, by table.
+// changesRequest requests the changes after the given versions, by table.
 type changesRequest struct {
 	After  map[string]int64 `json:"after"`
 	AgesMs map[string]int64 `json:"agesMs,omitempty"`
-	// Without are the tables to leave out.
+	// Excluded are the tables to leave out of the response.
 	Excluded []string `json:"without,omitempty"`
 	WaitMs   int64    `json:"waitMs"`
 	From     Member   `json:"from"`
 }
 
-// asked returns the question as the follower takes it.
+// query converts the request for the follower.
 func (q *changesRequest) query() state.Question {
 	out := state.Question{After: q.After, Without: q.Excluded, Ages: make(map[string]time.Duration, len(q.AgesMs))}
 	out.Wait = min(time.Duration(q.WaitMs)*time.Millisecond, maxPollWait)
@@ -43,48 +43,48 @@
 	return out
 }
 
-// Peers asks other instances, and answers them.
+// Peers sends requests to other instances and handles theirs.
 type Peers struct {
 	Members  *Members
 	Follower *state.Follower
-	// OnCut, if set, is called when the store has ceased to answer this instance.
+	// OnStoreUnreachable, if set, is called when the store becomes unreachable from this instance.
 	OnStoreUnreachable func()
 
 	client  *http.Client
 	encoder responseEncoder
 }
 
-// NewPeers returns a client of other instances. Dial opens connections.
+// NewPeers returns a client for other instances. Dial opens its connections.
 func NewPeers(members *Members, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Peers {
 	transport := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 2, DisableCompression: true, IdleConnTimeout: 30 * time.Second}
 	return &Peers{Members: members, client: &http.Client{Transport: transport}}
 }
 
-// Relay reports whether this instance asks the store for others.
+// Relay reports whether this instance queries the store on behalf of its region.
 func (p *Peers) Relay() bool { return p.Members.Relay() }
 
-// Head reports whether others learn the tables from this instance.
+// Head reports whether other instances of the hall get the tables from this one.
 func (p *Peers) Head() bool { return p.Members.Head() }
 
-// StoreCalled notes whether a call of the store was answered.
+// StoreCalled records whether a store call was answered.
 func (p *Peers) StoreCalled(answered bool) {
 	if p.Members.RecordStoreCall(answered) && p.OnStoreUnreachable != nil {
 		p.OnStoreUnreachable()
 	}
 }
 
-// Changes asks the i-th of the instances that this one learns from.
-func (p *Peers) Changes(ctx context.Context, i int, asked state.Question) (map[string]state.Delta, bool, error) {
+// Changes requests changes from the i-th source of this instance.
+func (p *Peers) Changes(ctx context.Context, i int, query state.Question) (map[string]state.Delta, bool, error) {
 	sources := p.Members.Sources()
 	if i >= len(sources) {
 		return nil, false, nil
 	}
 	m := sources[i]
-	q := changesRequest{After: asked.After, Excluded: asked.Without, AgesMs: make(map[string]int64, len(asked.Ages)), WaitMs: asked.Wait.Milliseconds(), From: p.Members.Self()}
-	for name, age := range asked.Ages {
-		q.AgesMs[name] = age.Milliseconds()
+	request := changesRequest{After: query.After, Excluded: query.Without, AgesMs: make(map[string]int64, len(query.Ages)), WaitMs: query.Wait.Milliseconds(), From: p.Members.Self()}
+	for name, age := range query.Ages {
+		request.AgesMs[name] = age.Milliseconds()
 	}
-	b, err := p.call(ctx, m.Peer, PathChanges, q)
+	b, err := p.call(ctx, m.Peer, PathChanges, request)
 	if ctx.Err() == nil || err == nil || errors.Is(err, context.DeadlineExceeded) {
 		p.Members.RecordCall(m.Name, err == nil)
 	}
@@ -92,10 +92,10 @@
 		return nil, true, err
 	}
 	out, err := decodeResponse(b)
-	return out, true, errors.Annotatef(err, "answer of %s", m.Name)
+	return out, true, errors.Annotatef(err, "decode response of instance %s", m.Name)
 }
 
-// Fetch asks the instance at an address which instances it knows.
+// FetchMembers merges the member list of the instance at an address.
 func (p *Peers) FetchMembers(ctx context.Context, address string) error {
 	b, err := p.call(ctx, address, PathMembers, p.Members.Self())
 	if err != nil {
@@ -103,14 +103,14 @@
 	}
 	var list []Member
 	if err := unmarshal(b, &list); err != nil {
-		return errors.Annotatef(err, "instances that %s knows", address)
+		return errors.Annotatef(err, "decode member list of %s", address)
 	}
 	p.Members.Merge(false, list...)
 	p.Members.MarkListed()
 	return nil
 }
 
-// Check asks another instance whether it lives, and notes whether it answers.
+// Ping calls another instance and records whether it responded.
 func (p *Peers) Ping(ctx context.Context, m Member) bool {
 	_, err := p.call(ctx, m.Peer, PathAlive, struct{}{})
 	if err == nil || ctx.Err() == nil || errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -119,12 +119,12 @@
 	return err == nil
 }
 
-// Ask asks the instance at an address for what it answers at a path of its own.
+// Query sends an empty request to a path of the instance at an address and returns the response.
 func (p *Peers) Query(ctx context.Context, address, path string) ([]byte, error) {
 	return p.call(ctx, address, path, struct{}{})
 }
 
-// call returns the body of the answer of another instance.
+// call posts a JSON request to another instance and returns the response body.
 func (p *Peers) call(ctx context.Context, address, path string, in any) ([]byte, error) {
 	b, err := json.Marshal(in)
 	if err != nil {
@@ -140,16 +140,16 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return nil, errors.Errorf("instance at %s answered %d", address, res.StatusCode)
+		return nil, errors.Errorf("instance at %s responded with status %d", address, res.StatusCode)
 	}
 	out, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
-	return out, errors.Annotatef(err, "answer of the instance at %s", address)
+	return out, errors.Annotatef(err, "read response of the instance at %s", address)
 }
 
-// maxWait bounds how long a question is held.
+// maxPollWait bounds how long a changes request is held open.
 const maxPollWait = 5 * time.Second
 
-// Handler answers other instances.
+// Handler serves the requests of other instances.
 func (p *Peers) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+PathChanges, func(w http.ResponseWriter, r *http.Request) {
@@ -174,7 +174,7 @@
 	return mux
 }
 
-// maxQuestion bounds a question in bytes.
+// maxRequestBytes bounds the body of a request.
 const maxRequestBytes = 64 << 10
 
 func decodeRequest(w http.ResponseWriter, r *http.Request, into any) bool {
@@ -191,5 +191,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/msgpack")
-	_, _ = w.Write(b) // the other instance asks again
+	_, _ = w.Write(b) // the other instance retries
 }
--- a/process/cluster/beat.go
+++ b/process/cluster/beat.go
@@ -18,59 +18,58 @@
 )
 
 const (
-	// farTold is the number of instances of other regions that are told at each
-	// beat.
+	// remoteTargets is the number of instances of other regions that get each heartbeat.
 	remoteTargets = 1
-	// beatBytes bounds what is sent to the own region at each beat, in bytes: with
-	// two beats a second and the headers of datagrams it stays below 4 KB/s.
+	// maxRegionBytes bounds the heartbeat traffic to the instance's own region per interval, in
+	// bytes: with two heartbeats a second and the datagram headers it stays below 4 KB/s.
 	maxRegionBytes = 1750
-	// memberBytes is the usual size of what a datagram says of one instance, and
-	// newsBytes that of news of one.
+	// memberBytes is the typical encoded size of one Member, and livenessBytes that of one
+	// liveness entry.
 	memberBytes = 120
-	// observationBytes bounds what a datagram tells of backend servers, in bytes. It
-	// takes the place of news.
+	// maxObservationBytes bounds the observations about backend servers in a datagram. They
+	// take space from the liveness entries.
 	maxObservationBytes = 180
 	livenessBytes       = len(livenessEntry{})
-	// leastTold is the number of instances of the region that are told at each
-	// beat at least: with fewer, news spreads too slowly. Where there are no more
-	// others, all hear each other at each beat, and no news is needed.
+	// minRegionTargets is the minimum number of instances of the region that get each
+	// heartbeat: with fewer, gossip spreads too slowly. In a region with no more other
+	// instances all receive each heartbeat directly, and no gossip is needed.
 	minRegionTargets = 4
 )
 
-// Beats sends and receives the datagrams that tell who is alive. In a small region
-// each instance tells all others at each beat. In a larger one it tells a few, any
-// of them, and passes on what it has heard of the others: gossip as in van Renesse,
-// Minsky, Hayden, "A gossip-style failure detection service" (1998). In one so large that a
-// datagram does not hold the news of all it probes a few (probe.go). So what an instance sends
-// does not grow with the region.
+// Gossiper exchanges heartbeats with the other instances over UDP. In a small region each instance
+// sends its heartbeat to all others. In a larger one it sends to a random few and adds when it last
+// knew the others to be live: gossip as in van Renesse, Minsky, Hayden, "A gossip-style failure
+// detection service" (1998). Where a datagram cannot hold the entries of the whole region, it
+// probes a few instances instead (probe.go). Thus the traffic of an instance does not grow with the
+// region.
 type Gossiper struct {
-	// What follows is set before Run.
+	// The fields below are set before Run.
 	//
-	// Observations, if set, returns what others should know of backend servers, in at
-	// most so many bytes, and Hear takes up what another instance told.
+	// Observations, if set, returns at most size bytes of observations about backend servers to
+	// gossip; OnObservations takes those of another instance.
 	Observations   func(size int) []byte
 	OnObservations func(observations []byte)
-	// Ask, if set, asks the instance at an address which others there are, and
-	// may take long.
+	// RequestMembers, if set, requests the member list of the instance at an address. It may
+	// block for long.
 	RequestMembers func(address string)
-	// Message, if set, takes up a message of another instance that is known, from
-	// its address. It must not keep the text.
-	OnMessage func(from string, text []byte)
-	// Digest, if set, returns what all instances should have the same of, and Differs is
-	// called with the address of one that has not.
+	// OnMessage, if set, is called with each message of a known instance and its address. It
+	// must not retain the data.
+	OnMessage func(from string, data []byte)
+	// Digest, if set, returns a digest of the state that all instances should share, and
+	// OnDigestMismatch is called with the address of an instance whose digest differs.
 	Digest           func() uint64
 	OnDigestMismatch func(address string)
 
 	members *Members
 	socket  *net.UDPConn
 	sent    atomic.Int64
-	wake    chan struct{} // there is something to look at before the next beat
+	wake    chan struct{} // signals pending work before the next heartbeat
 }
 
-// Sent returns the number of datagrams that were sent.
+// Sent returns the number of datagrams sent.
 func (b *Gossiper) Sent() int64 { return b.sent.Load() }
 
-// Listen opens the socket of the beats.
+// Listen opens the gossip socket.
 func Listen(members *Members) (*Gossiper, error) {
 	addr, err := net.ResolveUDPAddr("udp4", members.Self().Peer)
 	if err != nil {
@@ -78,12 +77,12 @@
 	}
 	s, err := net.ListenUDP("udp4", addr)
 	if err != nil {
-		return nil, errors.Annotate(err, "listen for beats")
+		return nil, errors.Annotate(err, "listen for heartbeats")
 	}
 	return &Gossiper{members: members, socket: s, wake: make(chan struct{}, 1)}, nil
 }
 
-// Run sends and receives until the context ends.
+// Run sends and receives until the context is done.
 func (b *Gossiper) Run(ctx context.Context) {
 	go b.receive()
 	for {
@@ -95,8 +94,8 @@
 	_ = b.socket.Close() // ends receive
 }
 
-// pause waits until the next beat, and looks at the answers of those that were probed meanwhile.
-// It reports whether the context goes on.
+// waitForHeartbeat waits until the next heartbeat is due and meanwhile advances pending probes. It
+// returns false when the context is done.
 func (b *Gossiper) waitForHeartbeat(ctx context.Context, d time.Duration) bool {
 	for end := b.members.now() + d; ; {
 		left := end - b.members.now()
@@ -117,8 +116,8 @@
 	}
 }
 
-// awaitMore waits for a time, or until there is something to look at. It reports whether the
-// context goes on.
+// waitForWork waits for a duration, or until there is pending work. It returns false when the
+// context is done.
 func (b *Gossiper) waitForWork(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -144,7 +143,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(HeartbeatInterval / 10) // an earlier datagram was refused
+			time.Sleep(HeartbeatInterval / 10) // the error may stem from an earlier datagram that was rejected
 			continue
 		}
 		if n > 0 && buf[0] == messagePrefix {
@@ -153,7 +152,7 @@
 		}
 		d, err := decodeDatagram(buf[:n])
 		if err != nil {
-			continue // it is not of another instance
+			continue // not from an instance
 		}
 		if b.members.receive(&d) && b.RequestMembers != nil {
 			go b.RequestMembers(d.Self.Peer)
@@ -162,113 +161,114 @@
 		if b.members.hasPendingWork() {
 			select {
 			case b.wake <- struct{}{}:
-			default: // it is known already
+			default: // a signal is already pending
 			}
 		}
 		if b.OnObservations != nil && len(d.Observations) > 0 {
 			b.OnObservations(d.Observations)
 		}
-		// One that knows of nothing can tell nothing, and asks by itself.
+		// An instance with a zero digest has nothing to offer, and requests the state itself.
 		if b.Digest != nil && d.Digest != 0 && d.Digest != b.Digest() {
 			b.OnDigestMismatch(d.Self.Peer)
 		}
 	}
 }
 
-// hearMessage takes up a message, unless its sender is not known.
-func (b *Gossiper) handleMessage(from netip.AddrPort, text []byte) {
+// handleMessage passes on a message, unless its sender is unknown.
+func (b *Gossiper) handleMessage(from netip.AddrPort, data []byte) {
 	address := netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String()
 	if b.OnMessage != nil && b.members.markSeenAddress(address) {
-		b.OnMessage(address, text)
+		b.OnMessage(address, data)
 	}
 }
 
-// sendSome tells some of the own region, and a few others, that this one is alive.
+// sendHeartbeat sends a heartbeat to some instances of the region and of other regions.
 func (b *Gossiper) sendHeartbeat() {
-	near, far, withLiveness := b.members.heartbeatTargets()
-	var seen []byte
+	local, remote, withLiveness := b.members.heartbeatTargets()
+	var observations []byte
 	if b.Observations != nil {
-		seen = b.Observations(maxObservationBytes)
+		observations = b.Observations(maxObservationBytes)
 	}
 	d := b.members.gossip(withLiveness)
-	d.Observations = seen
+	d.Observations = observations
 	if b.Digest != nil {
 		d.Digest = b.Digest()
 	}
-	d.Liveness = d.Liveness[:min(len(d.Liveness), maxLiveness*livenessBytes-len(seen)/livenessBytes*livenessBytes)]
+	d.Liveness = d.Liveness[:min(len(d.Liveness), maxLiveness*livenessBytes-len(observations)/livenessBytes*livenessBytes)]
 	if b.members.UsesProbing() {
 		b.sendOutgoing(b.members.probeDatagrams(d))
 	} else {
-		b.send(near, d)
+		b.send(local, d)
 	}
 	d.Liveness = nil
-	b.send(far, d)
+	b.send(remote, d)
 }
 
-// listeners returns whom to tell at a beat, and whether those of the own region
-// need to be told of others.
-func (m *Members) heartbeatTargets() (near, far []Member, withLiveness bool) {
+// heartbeatTargets returns the recipients of the next heartbeat in the own region and in others, and
+// whether those of the region need liveness entries about others.
+func (m *Members) heartbeatTargets() (local, remote []Member, withLiveness bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.countNear()
 	if m.usesProbing() {
 		return nil, m.sampleRemote(remoteTargets), false
 	}
-	next := 0 // of the own region in the order of names
+	next := 0 // index in local of the first instance that follows this one by name
 	for _, ps := range m.sorted {
 		switch {
 		case ps.Region != m.self.Region:
-			far = append(far, ps.Member)
+			remote = append(remote, ps.Member)
 			continue
 		case ps.Name < m.self.Name:
-			next = len(near) + 1
+			next = len(local) + 1
 		}
-		near = append(near, ps.Member)
+		local = append(local, ps.Member)
 	}
-	far = sample(m.shuffle, far, remoteTargets)
-	withLiveness = len(near) > minRegionTargets
-	size := memberBytes + livenessBytes*min(len(near), maxLiveness)
-	if n := max(minRegionTargets, maxRegionBytes/size); n < len(near) {
-		near = m.successorsAndSample(near, next, n)
+	remote = sample(m.shuffle, remote, remoteTargets)
+	withLiveness = len(local) > minRegionTargets
+	size := memberBytes + livenessBytes*min(len(local), maxLiveness)
+	if n := max(minRegionTargets, maxRegionBytes/size); n < len(local) {
+		local = m.successorsAndSample(local, next, n)
 	}
-	return near, far, withLiveness
+	return local, remote, withLiveness
 }
 
-// anyFar returns up to n instances of other regions, any of them. The caller holds the lock.
+// sampleRemote returns up to n random instances of other regions. The caller holds the lock.
 func (m *Members) sampleRemote(n int) []Member {
-	var far []*peerState
+	var remote []*peerState
 	for _, ps := range m.sorted {
 		if ps.Region != m.self.Region {
-			far = append(far, ps)
+			remote = append(remote, ps)
 		}
 	}
-	return toMembers(sample(m.shuffle, far, n))
+	return toMembers(sample(m.shuffle, remote, n))
 }
 
-// nextAndSome returns the two members that follow a place, so that nobody is left
-// out by chance, and any others, so that news travels far.
-func (m *Members) successorsAndSample(near []Member, next, n int) []Member {
-	near = slices.Concat(near[next:], near[:next])
-	return append(near[:2:2], sample(m.shuffle, near[2:], n-2)...)
+// successorsAndSample returns the two members from index next on, so that none is left out by
+// chance, and n-2 random others, so that gossip spreads widely.
+func (m *Members) successorsAndSample(local []Member, next, n int) []Member {
+	local = slices.Concat(local[next:], local[:next])
+	return append(local[:2:2], sample(m.shuffle, local[2:], n-2)...)
 }
 
 const (
-	// MostIntroduced is the number of instances up to which each tells all of itself as it starts
-	// or leaves. When all start together each tells that many, so that it counts how small a
-	// message is: without rumours 110 bytes (TestIntroductionIsSmall).
+	// MaxSmallFleet is the number of other instances up to which a fleet counts as small: each
+	// instance then announces its start and stop to all. When all start together each sends that
+	// many announcements, so their size matters: 110 bytes without NewInstances
+	// (TestAnnouncementSize).
 	MaxSmallFleet = 100
-	// fewIntroduced is how many of a larger fleet it tells.
+	// announceFanout is the number of instances that an announcement goes to in a larger fleet.
 	announceFanout = 30
 )
 
-// SendAll tells the other instances of this one alone, as when it starts or leaves: all of a small
-// fleet, and the nearest of a large one, which tell others.
+// Announce sends the state of this instance to others when it starts or leaves: to all in a small
+// fleet, and in a large one to the nearest, which spread it.
 func (b *Gossiper) Announce() {
 	b.send(b.members.announceTargets(), b.members.announcement())
 }
 
-// introduced returns the instances that one tells of itself: all, or in a large fleet some, those
-// of the own hall first, then those of the region.
+// announceTargets returns the recipients of an announcement: all instances, or in a large fleet
+// a sample that prefers the own hall, then the region.
 func (m *Members) announceTargets() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -290,36 +290,36 @@
 	return toMembers(all)
 }
 
-// SendNear tells those of the own region.
+// SendToRegion sends a heartbeat to all instances of the region at once.
 func (b *Gossiper) SendToRegion() {
-	var near []Member
+	var local []Member
 	region := b.members.Self().Region
 	for _, m := range b.members.Others() {
 		if m.Region == region {
-			near = append(near, m)
+			local = append(local, m)
 		}
 	}
-	b.send(near, b.members.gossip(false))
+	b.send(local, b.members.gossip(false))
 }
 
-// Introduce tells the instance at an address of this one alone.
+// AnnounceTo sends an announcement to one address.
 func (b *Gossiper) AnnounceTo(address string) {
 	b.send([]Member{{Peer: address}}, b.members.announcement())
 }
 
 func (b *Gossiper) send(to []Member, d datagram) {
-	text, err := marshal(d)
+	data, err := marshal(d)
 	if err != nil {
-		return // it holds nothing that can't be encoded
+		return // can't happen: every field can be encoded
 	}
 	for _, m := range to {
-		b.sendTo(m.Peer, text)
+		b.sendTo(m.Peer, data)
 	}
 }
 
-func (b *Gossiper) sendTo(address string, text []byte) {
+func (b *Gossiper) sendTo(address string, data []byte) {
 	if addr, err := netip.ParseAddrPort(address); err == nil {
 		b.sent.Add(1)
-		_, _ = b.socket.WriteToUDPAddrPort(text, addr) // lost datagrams are allowed for
+		_, _ = b.socket.WriteToUDPAddrPort(data, addr) // the protocol tolerates lost datagrams
 	}
 }
--- a/process/cluster/bench_test.go
+++ b/process/cluster/bench_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// newLarge returns the members of an instance of a fleet in nine halls of three regions.
+// newFleetMember returns the members of one instance in a fleet of nine halls in three regions.
 func newFleetMember(fleet int) *Members {
 	now := time.Hour
 	m := NewMembers(Member{Name: "edge-self", Region: "r0", Hall: "h0", Peer: "10.0.0.1:1"}, func() time.Duration { return now })
@@ -22,7 +22,7 @@
 	return m
 }
 
-// BenchmarkMembers measures what an instance does all the time, among many others.
+// BenchmarkMembers measures the frequent operations of an instance in fleets of several sizes.
 func BenchmarkMembers(b *testing.B) {
 	for _, fleet := range []int{89, 985, 3550} {
 		m := newFleetMember(fleet)
@@ -31,8 +31,8 @@
 			b.Fatal(err)
 		}
 		for name, f := range map[string]func(){
-			"hear": func() {
-				d, _ := decodeDatagram(text) // it is one
+			"receive": func() {
+				d, _ := decodeDatagram(text) // always valid
 				m.receive(&d)
 				m.respond(&d)
 			},
@@ -40,7 +40,7 @@
 			"relay":   func() { m.Relay() },
 			"live":    func() { m.Live() },
 			"tick":    func() { m.advance(false) },
-			"beat": func() {
+			"heartbeat": func() {
 				m.heartbeatTargets()
 				m.probeDatagrams(m.gossip(false))
 			},
--- a/process/cluster/cluster_test.go
+++ b/process/cluster/cluster_test.go
@@ -30,22 +30,22 @@
 	return m, c
 }
 
-// TestPlaceIsNotKnownBeforeTheOthersAre checks that an instance that has just
-// started does not take itself for the only one.
+// TestPositionUnknownUntilOthersAreListed guards against an instance that has just started and
+// assumes that it is the only one.
 func TestPositionUnknownUntilOthersAreListed(t *testing.T) {
 	c := &manualClock{now: time.Hour}
 	m := NewMembers(member("self", "north", 1), func() time.Duration { return c.now })
 	m.Merge(true, member("a", "north", 1))
 	assert.Equal(t, m.Count(), 0)
 	m.MarkListed()
-	assert.Equal(t, m.Count(), 0, "others read at the same time")
+	assert.Equal(t, m.Count(), 0, "others may be reading at the same time")
 	c.now += settleTime
 	place, of := m.Position()
 	assert.Equal(t, of, 2)
 	assert.Equal(t, place, 1)
 	m = NewMembers(member("self", "north", 1), func() time.Duration { return c.now })
 	c.now += listTimeout
-	assert.Equal(t, m.Count(), 1, "the store does not answer, and it has to serve")
+	assert.Equal(t, m.Count(), 1, "must serve although the store does not answer")
 }
 
 func names(ms []Member) []string {
@@ -77,15 +77,15 @@
 	left := a
 	left.Leaving = true
 	m.Merge(true, left)
-	m.Merge(true, a) // an older datagram that comes late
+	m.Merge(true, a) // an older datagram that was delayed
 	assert.DeepEqual(t, names(m.Live()), []string{"self"})
 	assert.Equal(t, m.Count(), 1)
 	m.Merge(true, member("a", "north", 6))
 	assert.DeepEqual(t, names(m.Live()), []string{"a", "self"})
 }
 
-// TestClockThatStepsBackHidesNobody checks that an instance started again with
-// a lower incarnation, after its clock stepped back, is heard.
+// TestLowerIncarnationAcceptedAfterClockStep guards against ignoring an instance that restarted with
+// a lower incarnation because its clock stepped back.
 func TestLowerIncarnationAcceptedAfterClockStep(t *testing.T) {
 	m, c := newMembers()
 	m.Merge(true, member("a", "north", 9))
@@ -94,15 +94,15 @@
 	assert.DeepEqual(t, names(m.Live()), []string{"a", "self"})
 }
 
-// TestRelayThatTheStoreTurnsAwayIsReplaced checks that another instance of the
-// region takes its place, that it may come back, and that a region of which all
-// are cut off still has one.
+// TestRelayWithoutStoreIsReplaced checks that another instance of the region takes over from a relay
+// that cannot reach the store, that the relay may come back, and that a region in which no instance
+// reaches the store still has a relay.
 func TestRelayWithoutStoreIsReplaced(t *testing.T) {
 	m, c := newMembers()
 	for i := range 3 {
 		m.Merge(true, member(fmt.Sprintf("n%d", i), "north", 1))
 	}
-	say := func(name string, cut bool) {
+	report := func(name string, cut bool) {
 		x := member(name, "north", 1)
 		x.StoreUnreachable = cut
 		m.Merge(true, x)
@@ -111,26 +111,26 @@
 	seen := map[string]bool{}
 	for range 4 {
 		r := relay()
-		assert.Assert(t, !seen[r], "%s was told to be cut off", r)
+		assert.Assert(t, !seen[r], "%s was reported to be without the store", r)
 		seen[r] = true
 		if r == "self" {
 			assert.Assert(t, m.RecordStoreCall(false))
-			assert.Assert(t, !m.RecordStoreCall(false), "told once")
+			assert.Assert(t, !m.RecordStoreCall(false), "reported once")
 		} else {
-			say(r, true)
+			report(r, true)
 		}
 	}
-	assert.Assert(t, seen[relay()], "all are cut off")
-	say("n1", false)
+	assert.Assert(t, seen[relay()], "no instance reaches the store")
+	report("n1", false)
 	assert.Equal(t, relay(), "n1")
-	say("n1", true)
+	report("n1", true)
 	m.RecordStoreCall(true)
-	assert.Assert(t, m.Self().StoreUnreachable, "one answer may be luck")
+	assert.Assert(t, m.Self().StoreUnreachable, "a single answer does not suffice")
 	c.now += minStoreUnreachable
 	assert.Equal(t, relay(), "self")
 	m.RecordStoreCall(false)
 	c.now += storeUnreachableFor
-	assert.Assert(t, !m.Self().StoreUnreachable, "it may try again")
+	assert.Assert(t, !m.Self().StoreUnreachable, "it may retry")
 }
 
 func TestOneRelayPerRegion(t *testing.T) {
@@ -144,19 +144,18 @@
 	if r[0].Name != "self" {
 		first := r[0].Name
 		c.now += gossipTimeout + 1
-		assert.Assert(t, m.Relays()[0].Name != first, "a dead relay is followed by another")
+		assert.Assert(t, m.Relays()[0].Name != first, "a relay that is down is replaced")
 	}
 }
 
-// TestInstancesFindEachOther runs the datagrams and calls of three instances
-// over loopback.
+// TestInstancesDiscoverEachOther exchanges the datagrams of three instances over loopback.
 func TestInstancesDiscoverEachOther(t *testing.T) {
-	begun := time.Now()
-	now := func() time.Duration { return time.Since(begun) + time.Hour }
+	started := time.Now()
+	now := func() time.Duration { return time.Since(started) + time.Hour }
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var all []*Members
-	var beats []*Gossiper
+	var gossipers []*Gossiper
 	for i := range 3 {
 		s, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		assert.NilError(t, err)
@@ -167,17 +166,17 @@
 		b, err := Listen(m)
 		assert.NilError(t, err)
 		go b.Run(ctx)
-		all, beats = append(all, m), append(beats, b)
+		all, gossipers = append(all, m), append(gossipers, b)
 	}
-	all[0].Merge(false, all[1].Self(), all[2].Self()) // the last one to start reads of the others
-	beats[0].Announce()
-	until(t, func() bool { return len(all[1].Live()) == 2 && len(all[2].Live()) == 2 })
+	all[0].Merge(false, all[1].Self(), all[2].Self()) // the last one to start reads the member list
+	gossipers[0].Announce()
+	waitUntil(t, func() bool { return len(all[1].Live()) == 2 && len(all[2].Live()) == 2 })
 	all[0].SetLeaving()
-	beats[0].Announce()
-	until(t, func() bool { return len(all[1].Live()) == 1 && len(all[2].Live()) == 1 })
+	gossipers[0].Announce()
+	waitUntil(t, func() bool { return len(all[1].Live()) == 1 && len(all[2].Live()) == 1 })
 }
 
-func until(t *testing.T, f func() bool) {
+func waitUntil(t *testing.T, f func() bool) {
 	t.Helper()
 	for range 300 {
 		if f() {
@@ -185,7 +184,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("not reached")
+	t.Fatal("condition not reached")
 }
 
 func TestChangesRequestsAreAnswered(t *testing.T) {
@@ -214,7 +213,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, len(d["t"].Rows), 0)
 	assert.NilError(t, p.FetchMembers(context.Background(), address))
-	assert.Assert(t, len(m.Others()) == 1, "who asks is learned of")
+	assert.Assert(t, len(m.Others()) == 1, "the requester becomes known")
 
 	for _, body := range []string{"", "{", "[]", `{"after":{"t":"x"}}`} {
 		res, err := http.Post(h.URL+PathChanges, "application/json", strings.NewReader(body))
@@ -224,9 +223,9 @@
 	}
 }
 
-// TestTablesTravelAlongATree checks over all instances of a large fleet that what
-// each asks leads to a relay, that few are asked by many, and that tables come into
-// a region by its relay and its heads only.
+// TestSourcesFormDistributionTree computes the sources of every instance of a large fleet, and checks
+// that they lead to a relay, that no instance serves too many others, and that only relays and heads
+// request tables from another region.
 func TestSourcesFormDistributionTree(t *testing.T) {
 	for _, size := range []int{2, 8, 9, 33, 60} {
 		var all []Member
@@ -237,7 +236,7 @@
 				all = append(all, x)
 			}
 		}
-		asked, far, relays := make(map[string]int), 0, make(map[string]bool)
+		requests, remote, relays := make(map[string]int), 0, make(map[string]bool)
 		sources := make(map[string][]Member)
 		for _, self := range all {
 			c := &manualClock{now: time.Hour}
@@ -247,21 +246,21 @@
 			relays[self.Name] = m.Relay()
 			sources[self.Name] = m.Sources()[:2]
 			for _, s := range sources[self.Name] {
-				asked[s.Name]++
+				requests[s.Name]++
 				if s.Region != self.Region {
-					far++
+					remote++
 				}
 			}
 		}
-		for name, n := range asked {
+		for name, n := range requests {
 			bound := 2*membersPerHead + 8 // a head
 			if relays[name] {
-				bound += 4 * max(headsPerMember, size/membersPerHead) // heads of its region, and half of the others
+				bound += 4 * max(headsPerMember, size/membersPerHead) // the heads of its region, and half of those of the others
 			}
-			assert.Assert(t, n <= bound, "%s is asked by %d of halls of %d", name, n, size)
+			assert.Assert(t, n <= bound, "%s serves %d instances in halls of %d", name, n, size)
 		}
 		heads := max(headsPerMember, (size+membersPerHead-1)/membersPerHead)
-		assert.Assert(t, far <= 6*(heads+1), "%d of %d questions leave their region", far, 2*len(all))
+		assert.Assert(t, remote <= 6*(heads+1), "%d of %d requests leave their region", remote, 2*len(all))
 		for _, self := range all {
 			x := self.Name
 			for step := 0; !relays[x]; step++ {
@@ -272,8 +271,8 @@
 	}
 }
 
-// TestWholeTablesAreEncodedOnce checks that many instances that ask for whole tables
-// get the same bytes, and each the age of its moment.
+// TestSnapshotsAreEncodedOnce checks that requests for the same snapshot share its encoded bytes, while
+// each response has the age at its own time.
 func TestSnapshotsAreEncodedOnce(t *testing.T) {
 	table := state.NewTable()
 	var rows []state.Row
--- a/process/cluster/datagram.go
+++ b/process/cluster/datagram.go
@@ -11,45 +11,45 @@
 )
 
 const (
-	// maxDatagram bounds a datagram in bytes.
+	// maxDatagram is the maximum size of a datagram in bytes.
 	maxDatagram = 2048
-	// mostRumours bounds the new instances that a datagram tells of.
+	// maxNewInstances bounds the recently started instances in a datagram.
 	maxNewInstances = 2
-	// rumourTime is how long a new start of an instance is told on: log(620) to
-	// the base of 4, in beats, twice over.
+	// newInstanceFor is how long a new incarnation is gossiped: twice log(620) to the base of 4,
+	// counted in heartbeats.
 	newInstanceFor = 5 * time.Second
-	// mostNews bounds the instances of whose life a datagram tells.
+	// maxLiveness bounds the liveness entries in a datagram.
 	maxLiveness = 64
-	// freshNews of them are the newest; the others make up for what was lost.
+	// recentLiveness of these are the most recently seen; the others make up for lost datagrams.
 	recentLiveness = 24
-	// newsUnit is the unit of the age of news.
+	// ageUnit is the unit of the age in liveness and status entries.
 	ageUnit = 50 * time.Millisecond
 )
 
-// datagram is what an instance tells another one unasked.
+// datagram is a gossip message.
 type datagram struct {
 	Self Member `json:"s"`
-	// Rumours are instances that have started a short while ago.
+	// NewInstances are instances that started recently.
 	NewInstances []Member `json:"r,omitempty"`
-	// News says of instances of the sender's region how long ago they lived, as
-	// far as it knows. A receiver that knows less takes it up; so the word of one
-	// instance reaches all in a few beats though it speaks to few.
+	// Liveness holds livenessEntry values: how long ago instances of the sender's region were
+	// live, as far as it knows. A receiver adopts entries newer than its own, so a heartbeat
+	// reaches all instances within a few intervals though it is sent to few.
 	Liveness []byte `json:"w,omitempty"`
-	// Observations are what the sender knows of backend servers, see balance.Table.
+	// Observations are the sender's observations of backend servers, see balance.Table.
 	Observations []byte `json:"o,omitempty"`
-	// Ask asks for an answer, and Check asks to ask the instance with an address and to tell what
-	// became of it; Missed is the address of one that did not answer.
+	// Probe requests a response. IndirectProbe is the address of an instance that the receiver
+	// should probe and report on, and ProbeFailed that of one that did not respond to such a probe.
 	Probe         bool   `json:"a,omitempty"`
 	IndirectProbe string `json:"c,omitempty"`
 	ProbeFailed   string `json:"x,omitempty"`
-	// Evidence is what is known of instances whose life was in doubt.
+	// Statuses holds statusEntry values of instances that are or were suspected.
 	Statuses []byte `json:"e,omitempty"`
-	// Digest is that of the quarantine of the sender; zero: it is empty.
+	// Digest is the digest of the sender's quarantine list; zero when it is empty.
 	Digest uint64 `json:"q,omitempty"`
 }
 
-// news is one entry of a datagram's News: three bytes of the hash of the name,
-// one of the incarnation, and the age in newsUnit.
+// livenessEntry is one entry of a datagram's Liveness: three bytes of the hash of the name, one of
+// the incarnation, and the age in ageUnit.
 type livenessEntry [5]byte
 
 func (ps *peerState) livenessEntry(now time.Duration) (n livenessEntry, ok bool) {
@@ -63,37 +63,36 @@
 	return n, true
 }
 
-// about reports whether the entry is about an instance.
+// matches reports whether the entry is for an instance.
 func (n livenessEntry) matches(ps *peerState) bool {
 	return n[0] == byte(ps.hash) && n[1] == byte(ps.hash>>8) && n[2] == byte(ps.hash>>16) && n[3] == incarnationByte(ps.Incarnation)
 }
 
 func (n livenessEntry) age() time.Duration { return time.Duration(n[4]) * ageUnit }
 
-// incarnationByte tells two starts of an instance apart, most of the time: they
-// lie a second apart or more, and the byte changes every 67 ms.
+// incarnationByte distinguishes successive incarnations of an instance most of the time: they start
+// at least a second apart, and the byte changes every 67 ms.
 func incarnationByte(incarnation int64) byte { return byte(incarnation >> 26) }
 
 func decodeDatagram(b []byte) (datagram, error) {
 	var d datagram
 	if err := unmarshal(b, &d); err != nil {
-		return d, errors.Annotate(err, "datagram")
+		return d, errors.Annotate(err, "decode datagram")
 	}
 	if len(d.Liveness)%len(livenessEntry{}) != 0 || len(d.NewInstances) > maxNewInstances || len(d.Statuses)%len(statusEntry{}) != 0 {
-		return d, errors.New("datagram out of range")
+		return d, errors.New("datagram exceeds its bounds")
 	}
 	return d, nil
 }
 
-// introduction returns what to tell those who may not know this instance.
+// announcement returns the datagram for instances that may not know this one.
 func (m *Members) announcement() datagram {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return datagram{Self: m.selfNow()}
 }
 
-// tell returns what to tell others now: to the own region with news, to another
-// region without.
+// gossip returns the next heartbeat, with liveness entries if it goes to the own region.
 func (m *Members) gossip(withLiveness bool) datagram {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -115,21 +114,21 @@
 	return d
 }
 
-// tellNews returns the news of at most mostNews instances of the region: those that
-// were alive last, and any others. The caller holds the lock.
+// livenessEntries returns encoded entries of at most maxLiveness instances of the region: the most
+// recently seen, and a random sample of the others. The caller holds the lock.
 func (m *Members) livenessEntries(now time.Duration) []byte {
 	var out []byte
-	var near []*peerState
+	var local []*peerState
 	for _, ps := range m.sorted {
 		if ps.Region == m.self.Region && !ps.Leaving {
-			near = append(near, ps)
+			local = append(local, ps)
 		}
 	}
-	if len(near) > maxLiveness {
-		slices.SortFunc(near, func(a, b *peerState) int { return cmp.Compare(b.lastSeen, a.lastSeen) })
-		near = append(near[:recentLiveness], sample(m.shuffle, near[recentLiveness:], maxLiveness-recentLiveness)...)
+	if len(local) > maxLiveness {
+		slices.SortFunc(local, func(a, b *peerState) int { return cmp.Compare(b.lastSeen, a.lastSeen) })
+		local = append(local[:recentLiveness], sample(m.shuffle, local[recentLiveness:], maxLiveness-recentLiveness)...)
 	}
-	for _, ps := range near {
+	for _, ps := range local {
 		if n, ok := ps.livenessEntry(now); ok {
 			out = append(out, n[:]...)
 		}
@@ -137,13 +136,12 @@
 	return out
 }
 
-// lackedFor is how long news must be of an instance, or a start of one, that is not
-// known before another instance is asked which there are: usually rumours tell it
-// sooner.
+// unknownDelay is how long liveness entries must refer to unknown instances or incarnations before
+// the member list of another instance is requested. Usually NewInstances names them sooner.
 const unknownDelay = time.Second
 
-// hear takes up a datagram. It reports whether its sender should be asked which
-// instances there are: its news was of one that is not known here for a while.
+// receive merges a datagram. It reports whether to request the member list of its sender, because
+// its liveness entries have referred to unknown instances for a while.
 func (m *Members) receive(d *datagram) (ask bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -163,8 +161,8 @@
 	return ask
 }
 
-// lacks notes how many instances in some news were not known, and reports whether
-// that has been so for lackedFor. The caller holds the lock.
+// noteUnknown records how many entries referred to unknown instances, and reports whether that has
+// gone on for unknownDelay. The caller holds the lock.
 func (m *Members) noteUnknown(unknown int, now time.Duration) bool {
 	switch {
 	case unknown == 0:
@@ -179,11 +177,11 @@
 	return true
 }
 
-// hearNews takes up when others were alive, and returns how many of them are not
-// known. The caller holds the lock.
-func (m *Members) mergeLiveness(text []byte, now time.Duration) (unknown int) {
-	entries := make(map[[3]byte]livenessEntry, len(text)/len(livenessEntry{}))
-	for e := range slices.Chunk(text, len(livenessEntry{})) {
+// mergeLiveness updates when instances were last seen, and returns the number of entries that refer
+// to unknown instances. The caller holds the lock.
+func (m *Members) mergeLiveness(data []byte, now time.Duration) (unknown int) {
+	entries := make(map[[3]byte]livenessEntry, len(data)/len(livenessEntry{}))
+	for e := range slices.Chunk(data, len(livenessEntry{})) {
 		n := livenessEntry(e)
 		entries[[3]byte(n[:3])] = n
 	}
@@ -203,7 +201,7 @@
 	return unknown
 }
 
-// some returns at most n of a list, any of them. It reorders the list.
+// sample returns up to n random elements of a list. It reorders the list.
 func sample[T any](shuffle func(n int, swap func(i, j int)), list []T, n int) []T {
 	if len(list) <= n {
 		return list
--- a/process/cluster/evidence.go
+++ b/process/cluster/evidence.go
@@ -8,53 +8,52 @@
 	"time"
 )
 
-// Evidence is what instances of a large region tell each other of those whose life was in
-// doubt, or that leave. Of all others nothing is told, so that it does not grow with the
-// region.
+// In a large region instances exchange status reports only about instances that were suspected or
+// are leaving, so that the traffic does not grow with the region.
 
-// verdict is what an entry says of an instance.
+// status is the state of an instance in a status report.
 type status byte
 
 const (
-	statusLive    status = iota // it was heard
-	statusDown                  // nobody who asked got an answer
-	statusLeaving               // it said that it leaves
+	statusLive    status = iota // it sent a datagram or responded
+	statusDown                  // it responded to none of the probers
+	statusLeaving               // it announced that it leaves
 )
 
 const (
-	// toldFor is how long evidence is told on: in that time it reaches all, though datagrams are
-	// lost.
+	// reportFor is how long a status report is gossiped: long enough to reach all instances
+	// despite lost datagrams.
 	reportFor = 3 * time.Second
-	// mostEvidence bounds the entries of a datagram.
+	// maxStatuses bounds the status entries in a datagram.
 	maxStatuses = 48
-	// forwardTo is the number of instances that new evidence is told at once: an epidemic in
-	// which each tells four reaches a region of 1,000 in some six steps.
+	// forwardFanout is the number of instances that a new report is forwarded to at once: an
+	// epidemic with a fanout of four reaches a region of 1,000 in some six steps.
 	forwardFanout = 4
-	// forwardTicks is in how many ticks it is told so: where a third has just died, all four may
-	// be among them.
+	// forwardTicks is the number of ticks in which it is forwarded: when a third of the region has
+	// just gone down, all four recipients of one tick may be among them.
 	forwardTicks = 2
 )
 
-// entry is one entry of a datagram's Evidence: three bytes of the hash of the name, one of the
-// incarnation, the verdict, and the age in newsUnit.
+// statusEntry is one entry of a datagram's Statuses: three bytes of the hash of the name, one of the
+// incarnation, the status, and the age in ageUnit.
 type statusEntry [6]byte
 
-// evidence is the newest that is known of an instance.
+// statusReport is the newest status report about an instance.
 type statusReport struct {
 	status         status
-	observedAt     time.Duration // when it was so
-	receivedAt     time.Duration // when it was heard here; zero: there is none
-	forwardedTicks int           // ticks in which it was told on at once
+	observedAt     time.Duration // when the status was observed
+	receivedAt     time.Duration // when the report reached this instance; zero: there is none
+	forwardedTicks int           // number of ticks in which it was forwarded at once
 }
 
-// entry returns the evidence as it is told.
+// statusEntry returns the report in its encoded form.
 func (ps *peerState) statusEntry(now time.Duration) statusEntry {
 	age := min(max(0, (now-ps.report.observedAt+ageUnit-1)/ageUnit), 0xff)
 	return statusEntry{byte(ps.hash), byte(ps.hash >> 8), byte(ps.hash >> 16), incarnationByte(ps.Incarnation), byte(ps.report.status), byte(age)}
 }
 
-// takeUp takes evidence up unless something newer is known, and reports whether it says
-// anything new. The caller holds the lock.
+// applyStatus applies a status report unless something newer is known, and reports whether it
+// changed anything. The caller holds the lock.
 func (m *Members) applyStatus(ps *peerState, v status, at, now time.Duration) bool {
 	switch v {
 	case statusLive:
@@ -71,10 +70,10 @@
 			m.refuteDown(ps, now)
 			return false
 		}
-		again := ps.down()
+		wasDown := ps.down()
 		ps.downAt = at
 		m.suspectedAt = now
-		if again {
+		if wasDown {
 			return false
 		}
 	case statusLeaving:
@@ -83,21 +82,21 @@
 		}
 		ps.Leaving = true
 	default:
-		return false // of a newer release
+		return false // a status added by a newer release
 	}
 	m.queueReport(ps, v, at, now)
 	return true
 }
 
-// refute lets others know that an instance lives that they take for lost. The caller holds the
-// lock.
+// refuteDown queues a live report about an instance that others still report as down. The caller
+// holds the lock.
 func (m *Members) refuteDown(ps *peerState, now time.Duration) {
 	if !ps.down() && now-ps.report.receivedAt > reportFor {
 		m.queueReport(ps, statusLive, ps.lastSeen, now)
 	}
 }
 
-// note lets evidence be told. The caller holds the lock.
+// queueReport queues a report to be gossiped. The caller holds the lock.
 func (m *Members) queueReport(ps *peerState, v status, at, now time.Duration) {
 	ps.report = statusReport{status: v, observedAt: at, receivedAt: now}
 	if m.pendingReports == nil {
@@ -106,7 +105,7 @@
 	m.pendingReports[ps] = struct{}{}
 }
 
-// noteHeard notes that an instance spoke; one that was taken for lost is told of. The caller
+// markSeen records a sign of life from an instance, and queues a report if it was down. The caller
 // holds the lock.
 func (m *Members) markSeen(ps *peerState, now time.Duration) {
 	if ps.down() && m.usesProbing() {
@@ -115,27 +114,27 @@
 	ps.lastSeen = now
 }
 
-// lost reports whether others found that an instance does not answer, and nothing was heard of
-// it since.
+// down reports whether the instance was found to be down and has not been seen since.
 func (ps *peerState) down() bool { return ps.downAt > ps.lastSeen }
 
-// tellEvidence returns what to tell now, any of it if there is more than a datagram holds; fresh
-// lets only what was not told on yet be told. The caller holds the lock.
-func (m *Members) statusEntries(now time.Duration, fresh bool) []byte {
-	var tell []*peerState
+// statusEntries returns the encoded reports to send, a random sample if a datagram cannot hold all.
+// With onlyNew it returns only reports that still have to be forwarded at once. The caller holds the
+// lock.
+func (m *Members) statusEntries(now time.Duration, onlyNew bool) []byte {
+	var reported []*peerState
 	for ps := range m.pendingReports {
 		switch {
 		case now-ps.report.receivedAt > reportFor:
 			delete(m.pendingReports, ps)
-		case !fresh || ps.report.forwardedTicks < forwardTicks:
-			tell = append(tell, ps)
+		case !onlyNew || ps.report.forwardedTicks < forwardTicks:
+			reported = append(reported, ps)
 		}
 	}
-	slices.SortFunc(tell, func(a, b *peerState) int { return cmp.Compare(a.Name, b.Name) }) // so that a model repeats
-	tell = sample(m.shuffle, tell, maxStatuses)
-	out := make([]byte, 0, len(statusEntry{})*len(tell))
-	for _, ps := range tell {
-		if fresh {
+	slices.SortFunc(reported, func(a, b *peerState) int { return cmp.Compare(a.Name, b.Name) }) // keeps simulations reproducible
+	reported = sample(m.shuffle, reported, maxStatuses)
+	out := make([]byte, 0, len(statusEntry{})*len(reported))
+	for _, ps := range reported {
+		if onlyNew {
 			ps.report.forwardedTicks++
 		}
 		e := ps.statusEntry(now)
@@ -144,13 +143,13 @@
 	return out
 }
 
-// hearEvidence takes up what another instance told. The caller holds the lock.
-func (m *Members) mergeStatuses(text []byte, now time.Duration) {
-	if len(text) == 0 {
+// mergeStatuses applies the status entries of another instance. The caller holds the lock.
+func (m *Members) mergeStatuses(data []byte, now time.Duration) {
+	if len(data) == 0 {
 		return
 	}
-	entries := make(map[[4]byte]statusEntry, len(text)/len(statusEntry{}))
-	for e := range slices.Chunk(text, len(statusEntry{})) {
+	entries := make(map[[4]byte]statusEntry, len(data)/len(statusEntry{}))
+	for e := range slices.Chunk(data, len(statusEntry{})) {
 		entries[[4]byte(e[:4])] = statusEntry(e)
 	}
 	for _, ps := range m.sorted {
--- a/process/cluster/gossip_test.go
+++ b/process/cluster/gossip_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// fleet is a model of the datagrams of many instances: each has its own Members on
-// one clock, and datagrams take effect after a delay, or are lost.
+// model simulates the datagrams of many instances: each has its own Members, all share one clock, and
+// datagrams are delivered after a delay or lost.
 type model struct {
 	now             time.Duration
 	random          *rand.Rand
@@ -22,20 +22,20 @@
 	byPeer          map[string]*node
 	inFlight        []arrival
 	sent            int
-	bytes           int // sent, with the headers of datagrams
-	largestDatagram int // datagram, in bytes
+	bytes           int // sent, including the headers of datagrams
+	largestDatagram int // in bytes
 }
 
-// headerBytes is the size of the headers of a datagram by IP and UDP.
+// headerBytes is the size of the IP and UDP headers of a datagram.
 const headerBytes = 28
 
 type node struct {
 	members       *Members
-	nextHeartbeat time.Duration // its next beat
-	nextTick      time.Duration // its next look at answers
-	dead          bool
+	nextHeartbeat time.Duration
+	nextTick      time.Duration // next check of pending probes
+	stopped       bool
 	frozen        bool
-	dropFrom      map[string]bool // senders that it does not hear
+	dropFrom      map[string]bool // senders whose datagrams it does not receive
 }
 
 type arrival struct {
@@ -75,7 +75,7 @@
 	return m
 }
 
-// introduce lets an instance read of all others, and tells them of it.
+// join lets an instance read the member list and announce itself.
 func (f *model) join(x *node) {
 	for _, o := range f.nodes {
 		x.members.Merge(false, o.members.Self())
@@ -115,13 +115,13 @@
 	}
 }
 
-// run moves the clock on.
+// run advances the clock.
 func (f *model) run(d time.Duration) {
 	const step = 10 * time.Millisecond
 	for end := f.now + d; f.now < end; f.now += step {
 		f.deliver()
 		for _, x := range f.nodes {
-			if x.dead || x.frozen {
+			if x.stopped || x.frozen {
 				continue
 			}
 			if f.now >= x.nextTick {
@@ -147,14 +147,14 @@
 func (f *model) deliver() {
 	var later []arrival
 	arrived := f.inFlight
-	f.inFlight = nil // answers are added
+	f.inFlight = nil // responses are appended during the loop
 	for _, a := range arrived {
 		switch {
 		case a.at > f.now:
 			later = append(later, a)
-		case a.to.dead || a.to.dropFrom[a.from]:
+		case a.to.stopped || a.to.dropFrom[a.from]:
 		case a.to.frozen:
-			a.at = f.now + time.Millisecond // it waits in the socket
+			a.at = f.now + time.Millisecond // it stays in the socket buffer
 			later = append(later, a)
 		default:
 			d, err := decodeDatagram(a.text)
@@ -171,12 +171,11 @@
 	f.inFlight = append(f.inFlight, later...)
 }
 
-// missing returns for how many pairs of one region a running instance takes
-// another running one for dead.
+// wrongPairs counts the pairs in which a running instance does not list another running one as live.
 func (f *model) wrongPairs() int {
 	n := 0
 	for _, x := range f.nodes {
-		if x.dead || x.frozen {
+		if x.stopped || x.frozen {
 			continue
 		}
 		live := make(map[string]bool)
@@ -184,7 +183,7 @@
 			live[m.Name] = true
 		}
 		for _, o := range f.nodes {
-			if !o.dead && !o.frozen && !live[o.members.Self().Name] {
+			if !o.stopped && !o.frozen && !live[o.members.Self().Name] {
 				n++
 			}
 		}
@@ -192,25 +191,25 @@
 	return n
 }
 
-// whoMisses says which running instance takes which other one for dead.
+// describeWrong describes which running instance lists which other ones as not live.
 func (f *model) describeWrong() string {
 	out := ""
 	for _, x := range f.nodes {
 		for _, ps := range x.members.sorted {
-			if !x.dead && !x.members.live(ps, f.now) {
-				out += fmt.Sprintf("%s misses %s %+v heard %s ago; ", x.members.self.Name, ps.Name, ps.Member, f.now-ps.lastSeen)
+			if !x.stopped && !x.members.live(ps, f.now) {
+				out += fmt.Sprintf("%s lists %s %+v as not live, last seen %s ago; ", x.members.self.Name, ps.Name, ps.Member, f.now-ps.lastSeen)
 			}
 		}
 	}
 	return out
 }
 
-// taken returns how many running instances of its region take one for alive.
+// believersOf counts the running instances of its region that list an instance as live.
 func (f *model) believersOf(x *node) int {
 	self := x.members.Self()
 	n := 0
 	for _, o := range f.nodes {
-		if o.dead || o == x || o.members.Self().Region != self.Region {
+		if o.stopped || o == x || o.members.Self().Region != self.Region {
 			continue
 		}
 		for _, m := range o.members.Live() {
@@ -222,30 +221,29 @@
 	return n
 }
 
-// TestNobodyAliveIsThoughtDead lets regions of several sizes run for 10 s with one
-// datagram of twenty lost.
+// TestNoFalseDownUnderLoss simulates regions of several sizes for 10 s with 5% of the datagrams lost.
 func TestNoFalseDownUnderLoss(t *testing.T) {
 	for _, size := range []int{4, 12, 13, 22, 33, 103} {
 		f := newModel(uint64(size), 1, size)
 		f.loss = 0.05
-		wrong, looks := 0, 0
+		wrong, pairs := 0, 0
 		for range 20 {
 			f.run(500 * time.Millisecond)
 			wrong += f.wrongPairs()
-			looks += size * (size - 1)
+			pairs += size * (size - 1)
 		}
-		// Three datagrams in a row may be lost between two that tell each other
-		// directly.
-		assert.Assert(t, wrong <= looks/2000, "%d of %d among %d instances", wrong, looks, size)
+		// Three consecutive datagrams between two instances may be lost where they send to
+		// each other directly.
+		assert.Assert(t, wrong <= pairs/2000, "%d of %d among %d instances", wrong, pairs, size)
 	}
 }
 
-// TestDatagramsOfAnInstanceDoNotGrow checks that what an instance sends is bounded
-// at 12 instances as at 620, in number and in bytes.
+// TestDatagramRateIsBounded checks that the traffic of an instance, in datagrams and in bytes, stays
+// below the same bounds in fleets of 12 to 620 instances.
 func TestDatagramRateIsBounded(t *testing.T) {
 	for _, x := range []struct{ regions, size int }{{3, 4}, {3, 22}, {3, 98}, {6, 103}} {
 		f := newModel(7, x.regions, x.size)
-		f.now += newInstanceFor // the rumours of the start are over
+		f.now += newInstanceFor // the start is no longer gossiped
 		f.run(HeartbeatInterval)
 		f.sent, f.bytes, f.largestDatagram = 0, 0, 0
 		const seconds = 2
@@ -258,19 +256,19 @@
 	}
 }
 
-// TestDeathIsKnownInTime kills one or a third of the instances of a region at once,
-// with datagrams lost, and checks that all others know within 4 s, and take nobody
-// else for dead but by rare chance.
+// TestDownInstancesDetectedInTime stops one or a third of the instances of a region at once, with
+// datagrams lost, and checks that all others know within 4 s and very rarely list a running instance
+// as down.
 func TestDownInstancesDetectedInTime(t *testing.T) {
-	for _, x := range []struct{ size, dead int }{{4, 1}, {22, 1}, {22, 7}, {33, 11}, {103, 1}, {103, 34}} {
-		f := newModel(uint64(x.dead), 1, x.size)
+	for _, x := range []struct{ size, stopped int }{{4, 1}, {22, 1}, {22, 7}, {33, 11}, {103, 1}, {103, 34}} {
+		f := newModel(uint64(x.stopped), 1, x.size)
 		f.loss = 0.05
 		f.run(2 * time.Second)
-		for _, o := range f.nodes[:x.dead] {
-			o.dead = true
+		for _, o := range f.nodes[:x.stopped] {
+			o.stopped = true
 		}
 		f.run(4 * time.Second)
-		for _, o := range f.nodes[:x.dead] {
+		for _, o := range f.nodes[:x.stopped] {
 			assert.Equal(t, f.believersOf(o), 0, "%v", x)
 		}
 		pairs := x.size * x.size
@@ -278,8 +276,8 @@
 	}
 }
 
-// TestInstancesThatComeBackAreFound freezes, cuts off one way, and starts anew
-// some instances of a region, and checks that all know all again soon after.
+// TestRecoveredInstancesAreRediscovered freezes instances of a region, drops all datagrams to them, or
+// restarts them, and checks that all instances list each other as live soon afterwards.
 func TestRecoveredInstancesAreRediscovered(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.SampledFrom([]int{6, 22}).Draw(t, "size")
@@ -287,13 +285,13 @@
 		f.loss = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "loss")
 		f.run(time.Second)
 		for range rapid.IntRange(1, 3).Draw(t, "faults") {
-			x := f.nodes[rapid.IntRange(0, size-1).Draw(t, "struck")]
-			switch rapid.SampledFrom([]string{"freeze", "deaf", "restart"}).Draw(t, "fault") {
+			x := f.nodes[rapid.IntRange(0, size-1).Draw(t, "instance")]
+			switch rapid.SampledFrom([]string{"freeze", "receive nothing", "restart"}).Draw(t, "fault") {
 			case "freeze":
 				x.frozen = true
 				f.run(3 * time.Second)
 				x.frozen = false
-			case "deaf":
+			case "receive nothing":
 				for _, o := range f.nodes {
 					x.dropFrom[o.members.Self().Name] = true
 				}
@@ -308,19 +306,19 @@
 	})
 }
 
-// restart ends an instance and starts it again a second later.
+// restart stops an instance and starts it again a second later.
 func (f *model) restart(x *node) {
-	x.dead = true
+	x.stopped = true
 	f.run(time.Second)
 	m := x.members.Self()
 	m.Incarnation = int64(f.now)
 	x.members = f.newMembers(m)
-	x.dead = false
+	x.stopped = false
 	f.join(x)
 }
 
-// TestRowsAreNotNeededToMeet lets an instance know one other only: the rest of the
-// region must learn of it by what others tell.
+// TestDiscoveryByGossipAlone starts an instance that knows one other only: the rest of the region must
+// learn of it by gossip.
 func TestDiscoveryByGossipAlone(t *testing.T) {
 	f := newModel(3, 2, 40)
 	f.run(time.Second)
@@ -331,7 +329,7 @@
 }
 
 func FuzzDatagram(f *testing.F) {
-	f.Add([]byte("\x81\xa1r\xdd\xff\xff\xff\xf0")) // a list that says that it has four billion members
+	f.Add([]byte("\x81\xa1r\xdd\xff\xff\xff\xf0")) // declares a list of four billion members
 	m := NewMembers(member("a", "north", 1), func() time.Duration { return time.Hour })
 	m.Merge(true, member("b", "north", 2))
 	text, _ := marshal(m.gossip(true))
--- a/process/cluster/learn.go
+++ b/process/cluster/learn.go
@@ -10,20 +10,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Learn takes up what is said of other instances; heard is true when an
-// instance said it of itself just now.
-func (m *Members) Merge(heard bool, list ...Member) {
+// Merge merges information about other instances. Direct says that each instance in the list just
+// sent it itself.
+func (m *Members) Merge(direct bool, list ...Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
 	for _, x := range list {
-		m.merge(heard, x, now)
+		m.merge(direct, x, now)
 	}
 	m.forget(now)
 }
 
-// learn takes up what is said of one other instance. The caller holds the lock.
-func (m *Members) merge(heard bool, x Member, now time.Duration) {
+// merge merges information about one other instance. The caller holds the lock.
+func (m *Members) merge(direct bool, x Member, now time.Duration) {
 	if x.Name == "" || x.Name == m.self.Name {
 		return
 	}
@@ -32,9 +32,9 @@
 		ps = &peerState{Member: x, hash: xxhash.Sum64String(x.Name), firstSeen: now}
 		m.insert(ps)
 	}
-	if ps.Incarnation < x.Incarnation || heard && ps.Incarnation != x.Incarnation && now-ps.lastSeen > directTimeout {
-		// A lower incarnation that speaks while the higher one is silent was
-		// started after a step of the clock.
+	if ps.Incarnation < x.Incarnation || direct && ps.Incarnation != x.Incarnation && now-ps.lastSeen > directTimeout {
+		// A lower incarnation that sends while the higher one is silent was started after the clock
+		// of its machine stepped back.
 		*ps = peerState{Member: x, hash: ps.hash, firstSeen: now}
 	}
 	if ps.Incarnation > x.Incarnation {
@@ -45,21 +45,21 @@
 		m.queueReport(ps, statusLeaving, now, now)
 	}
 	ps.Leaving = ps.Leaving || x.Leaving
-	if heard {
+	if direct {
 		m.markSeen(ps, now)
 		ps.StoreUnreachable = x.StoreUnreachable
 		ps.Busy = x.Busy
 	}
 }
 
-// add adds an instance in the order of the names. The caller holds the lock.
+// insert adds an instance, keeping the list sorted by name. The caller holds the lock.
 func (m *Members) insert(ps *peerState) {
 	m.others[ps.Name] = ps
 	at, _ := slices.BinarySearchFunc(m.sorted, ps.Name, func(o *peerState, name string) int { return cmp.Compare(o.Name, name) })
 	m.sorted = slices.Insert(m.sorted, at, ps)
 }
 
-// forgetPause is the pause between two looks at who is to be forgotten.
+// forgetInterval is the interval between two scans for instances to forget.
 const forgetInterval = time.Second
 
 func (m *Members) forget(now time.Duration) {
--- a/process/cluster/members.go
+++ b/process/cluster/members.go
@@ -10,160 +10,160 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Member is one start of an instance.
+// Member is one incarnation of an instance.
 type Member struct {
 	Name string `json:"n"`
-	// Incarnation rises with each start of the instance.
+	// Incarnation increases with each start of the instance.
 	Incarnation int64  `json:"i"`
 	Front       string `json:"f"` // address for clients
 	Peer        string `json:"p"` // address for other instances, TCP and UDP
 	Hall        string `json:"h"`
 	Region      string `json:"r"`
 	Leaving     bool   `json:"l,omitempty"`
-	// Cut says that the store does not answer the instance.
+	// StoreUnreachable says that the store does not answer the instance.
 	StoreUnreachable bool `json:"c,omitempty"`
-	// Link is what its network link carries, in Mbit/s, and Cores its share of
-	// processors; zero: not told.
+	// Link is the capacity of its network link in Mbit/s, and Cores its share of the processors;
+	// zero: unknown.
 	Link  float64 `json:"m,omitempty"`
 	Cores float64 `json:"u,omitempty"`
-	// Busy says that most of what it can carry is in use.
+	// Busy says that most of its capacity is in use.
 	Busy bool `json:"b,omitempty"`
 }
 
-// Times of liveness.
+// Timing of failure detection.
 const (
-	// Beat is the pause between two rounds of datagrams.
+	// HeartbeatInterval is the mean interval between two heartbeats.
 	HeartbeatInterval = 500 * time.Millisecond
-	// aliveFor is how long an instance of the own region counts as alive after
-	// it was heard, when each tells all others at each beat.
+	// directTimeout is how long an instance of the own region counts as live after it was last
+	// seen, in a region where each instance sends each heartbeat to all others.
 	directTimeout = 1800 * time.Millisecond
-	// aliveTold is that time for a region in which the news that an instance lives
-	// reaches some only by way of others. In larger regions instances are probed, and aliveFar is
-	// how long one that leaves counts as at work.
+	// gossipTimeout is that time for a region where heartbeats reach some instances only through
+	// others. Larger regions use probes instead; there probedTimeout is how long a leaving
+	// instance counts as active.
 	gossipTimeout = 2400 * time.Millisecond
 	probedTimeout = 3600 * time.Millisecond
-	// grace is how long an instance counts as alive that was only read of.
+	// initialGrace is how long an instance counts as live that is only known from its row or a
+	// member list.
 	initialGrace = 4 * time.Second
-	// settleTime is how long after an instance has read which others there are
-	// those that read it at the same time are heard of.
+	// settleTime is how long after an instance has read the member list it has learned of the
+	// instances that read theirs at the same time.
 	settleTime = 300 * time.Millisecond
-	// unknownFor is how long after its start an instance that could not read it
-	// takes itself to know the others.
+	// listTimeout is how long after its start an instance that could not read the member list
+	// assumes that it knows the others.
 	listTimeout = 3 * time.Second
-	// cutFor is how long after a call of the store that was not answered an
-	// instance counts as cut off from it, unless it is answered again.
+	// storeUnreachableFor is how long after a failed store call the store counts as unreachable,
+	// unless a later call succeeds.
 	storeUnreachableFor = 10 * time.Second
-	// cutLeast is how long it counts as cut off even so: some calls may be
-	// answered while others are not.
+	// minStoreUnreachable is how long it counts so even if a later call succeeds: some calls may
+	// be answered while others are not.
 	minStoreUnreachable = 2 * time.Second
-	// forgetAfter is how long an instance is kept that was not heard, nor read
-	// of.
+	// forgetAfter is how long an instance is remembered that was neither seen nor reported.
 	forgetAfter = 2 * time.Minute
 )
 
-// Members are the instances that one knows of. Use NewMembers.
+// Members is the set of instances that one instance knows of. Use NewMembers.
 type Members struct {
 	mu            sync.Mutex
 	self          Member
 	busy          bool
 	hash          uint64        // of the own name
-	storeFailedAt time.Duration // when the store last did not answer; zero: never
-	storeAnswered bool          // it has answered since
+	storeFailedAt time.Duration // time of the last failed store call; zero: none
+	storeAnswered bool          // a store call succeeded since
 	startedAt     time.Duration
-	listedAt      time.Duration // when it was first read which others there are; zero: not yet
-	unknownSince  time.Duration // since when news is of instances that are not known; zero: it is not
-	initialStart  bool          // others write that they are there at the same time
+	listedAt      time.Duration // when the member list was first read; zero: not yet
+	unknownSince  time.Duration // since when liveness entries refer to unknown instances; zero: they don't
+	initialStart  bool          // the other instances register at the same time
 	others        map[string]*peerState
 	sorted        []*peerState // the others by name
 	now           func() time.Duration
-	shuffle       func(n int, swap func(i, j int)) // rand.Shuffle, but in a model
-	// What follows is of use where the region is probed.
-	regionPeers    int                     // other instances of the region, as counted last
-	probeQueue     []*peerState            // whose turn to be probed is still to come
-	probes         []*probe                // that may still be answered
-	checks         []*indirectCheck        // asked for others
-	pendingReports map[*peerState]struct{} // of which there is evidence to tell
-	cachedTree     *distributionTree       // of a large fleet, as of treeAt and for what this instance was then
+	shuffle       func(n int, swap func(i, j int)) // rand.Shuffle, except in simulations
+	// The fields below, up to pendingReports, are used in regions that use probing.
+	regionPeers    int                     // number of other instances of the region, as last counted
+	probeQueue     []*peerState            // still to be probed in this round
+	probes         []*probe                // awaiting a response
+	checks         []*indirectCheck        // probes on behalf of others
+	pendingReports map[*peerState]struct{} // instances whose status report is being gossiped
+	cachedTree     *distributionTree       // tree of a large fleet, valid for cachedTreeAt and cachedTreeFor
 	cachedTreeAt   time.Duration
 	cachedTreeFor  Member
-	cachedMaxima   regionMaxima // as of roomsAt
+	cachedMaxima   regionMaxima // valid for cachedMaximaAt
 	cachedMaximaAt time.Duration
-	lastForget     time.Duration // when forget last looked
-	regionLastSeen time.Duration // when any of the region spoke last; zero: never
-	suspectedAt    time.Duration // when one did not answer twice, or was found to be lost, last; zero: never
+	lastForget     time.Duration // when forget last scanned the instances
+	regionLastSeen time.Duration // when any instance of the region was last heard; zero: never
+	suspectedAt    time.Duration // when an instance was last suspected or found to be down; zero: never
 }
 
 type peerState struct {
 	Member
 	hash         uint64        // of the name
-	lastSeen     time.Duration // when it was alive last, by its own word or that of others; zero: not known
-	firstSeen    time.Duration // when this start of it was first known
-	lastReported time.Duration // when it was last known from whatever source
+	lastSeen     time.Duration // when it was last known to be live, directly or by gossip; zero: unknown
+	firstSeen    time.Duration // when this incarnation became known
+	lastReported time.Duration // when any source last named it
 	callFailedAt time.Duration // when a call to it last failed; zero: never
-	// lostAt is when it was found that it does not answer, and evidence what is told of it.
+	// downAt is when it was found to be down, and report the status report about it to gossip.
 	downAt time.Duration
 	report statusReport
 }
 
-// NewMembers returns the members that an instance knows of at its start.
+// NewMembers returns the members that an instance knows at its start: itself only.
 func NewMembers(self Member, now func() time.Duration) *Members {
 	return &Members{self: self, hash: xxhash.Sum64String(self.Name), others: make(map[string]*peerState), now: now, startedAt: now(), shuffle: rand.Shuffle}
 }
 
-// AwaitOthers says that all instances start for the first time, so that those of
-// which it is read at first are not all that there are.
+// SetInitialStart says that the whole fleet starts for the first time, so that the first member
+// list read is incomplete.
 func (m *Members) SetInitialStart() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.initialStart = true
 }
 
-// Self returns the instance itself.
+// Self returns this instance.
 func (m *Members) Self() Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.selfNow()
 }
 
-// selfNow returns the instance itself as it is now. The caller holds the lock.
+// selfNow returns the current state of this instance. The caller holds the lock.
 func (m *Members) selfNow() Member {
 	out := m.self
 	out.Busy = m.busy
-	silence := m.now() - m.storeFailedAt
-	out.StoreUnreachable = m.storeFailedAt != 0 && (silence < minStoreUnreachable || silence < storeUnreachableFor && !m.storeAnswered)
+	sinceFailure := m.now() - m.storeFailedAt
+	out.StoreUnreachable = m.storeFailedAt != 0 && (sinceFailure < minStoreUnreachable || sinceFailure < storeUnreachableFor && !m.storeAnswered)
 	return out
 }
 
-// StoreCalled notes whether a call of the store was answered, and reports whether
-// the instance counts as cut off from it now and did not before.
-func (m *Members) RecordStoreCall(answered bool) (cut bool) {
+// RecordStoreCall records whether a store call was answered, and reports whether the store has just
+// become unreachable.
+func (m *Members) RecordStoreCall(answered bool) (lost bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	before := m.selfNow().StoreUnreachable
+	wasUnreachable := m.selfNow().StoreUnreachable
 	if !answered {
 		m.storeFailedAt = m.now()
 	}
 	m.storeAnswered = answered
-	return !before && m.selfNow().StoreUnreachable
+	return !wasUnreachable && m.selfNow().StoreUnreachable
 }
 
-// SetBusy notes whether most of what this instance can carry is in use.
+// SetBusy sets whether most of the capacity of this instance is in use.
 func (m *Members) SetBusy(busy bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.busy = busy
 }
 
-// Leave marks the instance itself as leaving.
+// SetLeaving marks this instance as leaving.
 func (m *Members) SetLeaving() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.self.Leaving = true
 }
 
-// alive reports whether an instance counts as alive. One of another region is
-// heard seldom, so it does until a call to it fails, or it is found to be lost. The caller holds
-// the lock, and has counted those of the region.
+// live reports whether an instance counts as live. An instance of another region is seldom heard, so
+// it counts as live until a call to it fails or it is found to be down. The caller holds the lock
+// and has called countNear.
 func (m *Members) live(ps *peerState, now time.Duration) bool {
 	if ps.Leaving || ps.down() {
 		return false
@@ -180,8 +180,8 @@
 	return now-ps.lastSeen <= m.livenessTimeout() && ps.lastSeen != 0 || ps.lastSeen == 0 && now-ps.firstSeen <= initialGrace
 }
 
-// heardFor returns how long an instance of the own region counts as alive after
-// it was heard. The caller holds the lock, and has counted those of the region.
+// livenessTimeout returns how long an instance of the own region counts as live after it was last
+// seen. The caller holds the lock and has called countNear.
 func (m *Members) livenessTimeout() time.Duration {
 	switch {
 	case m.regionPeers <= minRegionTargets:
@@ -192,8 +192,8 @@
 	return probedTimeout
 }
 
-// eachLive calls f for the instances that are alive, ordered by name, the own
-// one included unless it is leaving. The caller holds the lock.
+// eachLive calls f for each live instance by name, including this one unless it is leaving. The
+// caller holds the lock.
 func (m *Members) eachLive(f func(*peerState)) {
 	now := m.now()
 	m.countNear()
@@ -215,8 +215,7 @@
 	self()
 }
 
-// Live returns the instances that are alive, the own one included unless it is
-// leaving, ordered by name.
+// Live returns the live instances by name, including this one unless it is leaving.
 func (m *Members) Live() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -225,8 +224,7 @@
 	return out
 }
 
-// Known returns the instances that may be at work, the own one included: those that
-// have not said that they leave.
+// NotLeaving returns this instance and all known others that have not announced that they leave.
 func (m *Members) NotLeaving() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -239,14 +237,14 @@
 	return out
 }
 
-// All returns all other instances, ordered by name.
+// Others returns all other instances by name.
 func (m *Members) Others() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return toMembers(m.sorted)
 }
 
-// Called notes whether a call to an instance was answered.
+// RecordCall records whether a call to an instance was answered.
 func (m *Members) RecordCall(name string, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -260,6 +258,6 @@
 	}
 	ps.callFailedAt = m.now()
 	if m.usesProbing() {
-		m.probeQueue = append(m.probeQueue, ps) // its turn is next
+		m.probeQueue = append(m.probeQueue, ps) // probe it next
 	}
 }
--- a/process/cluster/owner.go
+++ b/process/cluster/owner.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// ownerAge is how old a start of an instance must be, by the time of day, for it to
-// own something: by then all know it, so that all turn to it at the same moment.
-// Origin: the news of a start reaches a region of 103 in 3.7 s (gossip_test.go).
+// minOwnerAge is the age, by wall-clock time, at which an instance may own something: by then all
+// others know it, so that all switch to it at the same moment. Gossip of a start takes 3.7 s to
+// reach a region of 103 (gossip_test.go).
 const minOwnerAge = 4 * time.Second
 
-// startSpread is how much later than the oldest one an instance may have started to come
-// of age with it: else whoever was first in a start of all owns everything until the
-// others are of age. Origin: instances that were started together, beside three busy
-// threads a processor, came of age together in 36 of 36 runs.
+// maxStartSpread is how much later than the oldest instance another one may have started to become
+// eligible together with it: otherwise the first instance of a fleet start would own everything
+// until the others reach minOwnerAge. With this value instances that were started together, beside
+// three busy threads per processor, became eligible together in 36 of 36 runs.
 const maxStartSpread = time.Second
 
-// Owners returns who owns each of n things: the live instance with the lowest hash of
-// name and number (rendezvous hashing), so that all instances that know the same
-// ones name the same owner, and few things change hands when one starts or dies.
+// Owners returns the owner of each of n numbered items: the live instance with the lowest hash of
+// name and number (rendezvous hashing). All instances that know the same members compute the same
+// owners, and few items change owner when an instance starts or goes down.
 func (m *Members) Owners(n int) []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -33,20 +33,19 @@
 	return out
 }
 
-// OwnerAtStore returns who owns the thing with a number if the owner has to call the
-// store: one that is not cut off from it, or any if all are.
+// OwnerAtStore returns the owner of an item whose owner has to call the store: an instance that
+// reaches the store, or any if none does.
 func (m *Members) OwnerAtStore(number uint64) Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	eligible := m.eligibleOwners()
-	if answered := reachingStore(eligible); len(answered) > 0 {
-		eligible = answered
+	if reaching := reachingStore(eligible); len(reaching) > 0 {
+		eligible = reaching
 	}
 	return ownerOf(eligible, number)
 }
 
-// OwnerIn returns who owns the thing with a number among the instances of a region; ""
-// stands for all regions.
+// OwnerIn returns the owner of an item among the instances of a region; "" means all regions.
 func (m *Members) OwnerIn(region string, number uint64) Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -54,33 +53,33 @@
 	return ownerOf(eligible, number)
 }
 
-// NearestOwner returns who owns the thing with a number among the live instances of a region, or of
-// all if none lives there, whatever their age: who asks too early or too late is told so.
+// NearestOwner returns the owner of an item among the live instances of a region, or of all regions
+// if that one has none, regardless of their age: a requester that comes too early or too late is
+// told so.
 func (m *Members) NearestOwner(region string, number uint64) Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var near, far *peerState
+	var inRegion, anywhere *peerState
 	before := func(ps, o *peerState) bool { return o == nil || rank(ps.hash, number) < rank(o.hash, number) }
 	m.eachLive(func(ps *peerState) {
-		if ps.Region == region && before(ps, near) {
-			near = ps
+		if ps.Region == region && before(ps, inRegion) {
+			inRegion = ps
 		}
-		if before(ps, far) {
-			far = ps
+		if before(ps, anywhere) {
+			anywhere = ps
 		}
 	})
 	switch {
-	case near != nil:
-		return near.Member
-	case far != nil:
-		return far.Member
+	case inRegion != nil:
+		return inRegion.Member
+	case anywhere != nil:
+		return anywhere.Member
 	}
 	return Member{}
 }
 
-// grown returns the live instances that may own something: those of age, and those that
-// started with the oldest one; all that live if all have just started. The caller holds
-// the lock.
+// eligibleOwners returns the live instances that may own items: those that are old enough or started
+// together with the oldest one, or all if all have just started. The caller holds the lock.
 func (m *Members) eligibleOwners() []*peerState {
 	var all []*peerState
 	now := time.Now()
@@ -92,16 +91,16 @@
 	if oldest < minOwnerAge {
 		return all
 	}
-	least := min(minOwnerAge, oldest-maxStartSpread)
-	return slices.DeleteFunc(all, func(ps *peerState) bool { return ps.age(now) < least })
+	minAge := min(minOwnerAge, oldest-maxStartSpread)
+	return slices.DeleteFunc(all, func(ps *peerState) bool { return ps.age(now) < minAge })
 }
 
-// age returns how long ago an instance started, by its and this instance's time of day.
+// age returns the time since an instance started, which compares its wall clock with the local one.
 func (ps *peerState) age(now time.Time) time.Duration {
 	return now.Sub(time.Unix(0, ps.Incarnation))
 }
 
-// notCut returns those that are not cut off from the store.
+// reachingStore returns the instances that reach the store.
 func reachingStore(list []*peerState) []*peerState {
 	out := make([]*peerState, 0, len(list))
 	for _, ps := range list {
@@ -112,8 +111,8 @@
 	return out
 }
 
-// ownerAmong returns which of some instances owns the thing with a number; the zero
-// value if there are none, as when this one is leaving and knows no other.
+// ownerOf returns the owner of an item among some instances; the zero value if there are none, as
+// when this instance is leaving and knows no other.
 func ownerOf(list []*peerState, number uint64) Member {
 	var best Member
 	lowest := uint64(math.MaxUint64)
@@ -135,25 +134,24 @@
 	return x ^ x>>33
 }
 
-// messageMark begins a datagram that holds a message of another part of the process.
-// No other datagram begins with it: MessagePack does not use it.
+// messagePrefix is the first byte of a datagram that carries a message of another package. It is
+// unused in MessagePack, so no other datagram starts with it.
 const messagePrefix = 0xc1
 
-// SendMessage sends a message to another instance's address for datagrams. It may be
-// lost.
-func (b *Gossiper) SendMessage(address string, text []byte) {
-	b.sendTo(address, append([]byte{messagePrefix}, text...))
+// SendMessage sends a message to the datagram address of another instance. It may be lost.
+func (b *Gossiper) SendMessage(address string, data []byte) {
+	b.sendTo(address, append([]byte{messagePrefix}, data...))
 }
 
-// SendMessageToAll sends a message to all other instances. It may be lost.
-func (b *Gossiper) BroadcastMessage(text []byte) {
+// BroadcastMessage sends a message to all other instances. It may be lost.
+func (b *Gossiper) BroadcastMessage(data []byte) {
 	for _, m := range b.members.Others() {
-		b.SendMessage(m.Peer, text)
+		b.SendMessage(m.Peer, data)
 	}
 }
 
-// heardPeer notes that the instance with an address lives, and reports whether one has
-// it.
+// markSeenAddress records a sign of life from the instance with an address, and reports whether there
+// is one.
 func (m *Members) markSeenAddress(address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/process/cluster/owner_test.go
+++ b/process/cluster/owner_test.go
@@ -11,8 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// fleetOf returns members as each of so many instances that all know each other has
-// them, all of an age.
+// newFullMesh returns the members of n instances that all know each other and are of the same age.
 func newFullMesh(n int, age time.Duration) []*Members {
 	started := time.Now().Add(-age).UnixNano()
 	var out []*Members
@@ -26,33 +25,34 @@
 	return out
 }
 
-// TestAllNameTheSameOwners checks that, and that owning is dealt evenly.
+// TestOwnersAgreeAndBalance checks that all instances compute the same owners and that each owns a
+// similar number of items.
 func TestOwnersAgreeAndBalance(t *testing.T) {
-	const things = 200
+	const items = 200
 	fleet := newFullMesh(10, time.Minute)
-	want := names(fleet[0].Owners(things))
+	want := names(fleet[0].Owners(items))
 	count := make(map[string]int)
 	for _, name := range want {
 		count[name]++
 	}
 	for _, m := range fleet {
-		assert.DeepEqual(t, names(m.Owners(things)), want)
+		assert.DeepEqual(t, names(m.Owners(items)), want)
 		assert.Assert(t, count[m.Self().Name] >= 8 && count[m.Self().Name] <= 40, "%v", count)
 	}
 }
 
-// TestOwnersChangeLittle checks that what others own stays where it is when one
-// leaves, and that one that has just started owns nothing yet.
+// TestOwnersChangeMinimally checks that only the items of an instance that leaves change owner, and that
+// one that has just started owns nothing yet.
 func TestOwnersChangeMinimally(t *testing.T) {
-	const things = 200
+	const items = 200
 	m := newFullMesh(10, time.Minute)[0]
-	before := names(m.Owners(things))
+	before := names(m.Owners(items))
 	m.Merge(true, member("new", "north", time.Now().UnixNano()))
-	assert.DeepEqual(t, names(m.Owners(things)), before)
+	assert.DeepEqual(t, names(m.Owners(items)), before)
 	left := member("edge-3", "north", time.Now().UnixNano())
 	left.Leaving = true
 	m.Merge(true, left)
-	for i, name := range names(m.Owners(things)) {
+	for i, name := range names(m.Owners(items)) {
 		assert.Assert(t, name != "edge-3")
 		assert.Assert(t, name == before[i] || before[i] == "edge-3")
 	}
@@ -60,29 +60,29 @@
 	assert.Assert(t, started.Owners(1)[0].Name != "", "all have just started")
 }
 
-// TestMessagesComeFromInstancesOnly sends messages to an instance, from one that it
-// knows and from a stranger.
+// TestMessagesFromUnknownSendersAreDropped sends messages to an instance from a known and from an
+// unknown address.
 func TestMessagesFromUnknownSendersAreDropped(t *testing.T) {
-	socket := func() string {
+	freeAddress := func() string {
 		c, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		assert.NilError(t, err)
 		defer c.Close()
 		return c.LocalAddr().String()
 	}
-	beats := func() *Gossiper {
+	newGossiper := func() *Gossiper {
 		self := member("edge-"+fmt.Sprint(time.Now().UnixNano()), "north", 1)
-		self.Peer = socket()
+		self.Peer = freeAddress()
 		b, err := Listen(NewMembers(self, func() time.Duration { return time.Hour }))
 		assert.NilError(t, err)
 		t.Cleanup(func() { b.socket.Close() })
 		return b
 	}
-	a, b, stranger := beats(), beats(), beats()
+	a, b, unknown := newGossiper(), newGossiper(), newGossiper()
 	got := make(chan string, 4)
 	b.OnMessage = func(from string, text []byte) { got <- from + " " + string(text) }
 	b.members.Merge(true, a.members.Self())
 	go b.receive()
-	stranger.SendMessage(b.members.Self().Peer, []byte("no"))
+	unknown.SendMessage(b.members.Self().Peer, []byte("no"))
 	a.SendMessage(b.members.Self().Peer, []byte("yes"))
 	assert.Equal(t, <-got, a.members.Self().Peer+" yes")
 	select {
@@ -92,25 +92,25 @@
 	}
 }
 
-// TestOwnersDoNotMoveAsAllComeOfAge checks a start of all, in which one is some
-// milliseconds before the others: as it comes of the age to own, they come of it too.
-// Else all things change hands twice within those milliseconds, and each new owner asks
-// the store for what it is to own.
+// TestOwnersStableWhileFleetReachesOwnerAge covers a fleet start in which one instance starts some
+// milliseconds before the others: when it reaches minOwnerAge the others become eligible together with
+// it. Otherwise all items would change owner twice within those milliseconds, and each new owner would
+// query the store for its items.
 func TestOwnersStableWhileFleetReachesOwnerAge(t *testing.T) {
-	const things = 200
-	of := func(ages ...time.Duration) []string {
+	const items = 200
+	owners := func(ages ...time.Duration) []string {
 		m := NewMembers(member("edge-0", "north", time.Now().Add(-ages[0]).UnixNano()), func() time.Duration { return time.Hour })
 		for i, age := range ages {
 			m.Merge(true, member(fmt.Sprintf("edge-%d", i), "north", time.Now().Add(-age).UnixNano()))
 		}
-		return names(m.Owners(things))
+		return names(m.Owners(items))
 	}
 	const first, last = 40 * time.Millisecond, 900 * time.Millisecond
-	young := of(time.Second, time.Second-first, time.Second-last)
-	assert.DeepEqual(t, of(minOwnerAge+first, minOwnerAge-first, minOwnerAge+first-last), young)
-	assert.DeepEqual(t, of(time.Minute, time.Minute-first, time.Minute-last), young)
-	for _, name := range of(minOwnerAge+first, minOwnerAge-first, minOwnerAge-2*time.Second) {
-		assert.Assert(t, name != "edge-2", "the others may not know it yet")
+	atStart := owners(time.Second, time.Second-first, time.Second-last)
+	assert.DeepEqual(t, owners(minOwnerAge+first, minOwnerAge-first, minOwnerAge+first-last), atStart)
+	assert.DeepEqual(t, owners(time.Minute, time.Minute-first, time.Minute-last), atStart)
+	for _, name := range owners(minOwnerAge+first, minOwnerAge-first, minOwnerAge-2*time.Second) {
+		assert.Assert(t, name != "edge-2", "others may not know it yet")
 	}
 }
 
@@ -128,10 +128,10 @@
 	}
 }
 
-// TestOwnerAtStoreIsNotCutOff checks that one that is cut off from the store owns nothing
-// that needs it unless all are, and that all name the same.
+// TestOwnerAtStoreReachesStore checks that an instance that does not reach the store owns no items that
+// need it, unless none reaches it, and that all instances compute the same owners.
 func TestOwnerAtStoreReachesStore(t *testing.T) {
-	const things = 50
+	const items = 50
 	fleet := newFullMesh(5, time.Minute)
 	started := fleet[0].Self().Incarnation
 	cut := func(which ...int) {
@@ -144,21 +144,21 @@
 			}
 		}
 	}
-	before := names(fleet[0].Owners(things))
-	for n := range things {
+	before := names(fleet[0].Owners(items))
+	for n := range items {
 		assert.Equal(t, fleet[1].OwnerAtStore(uint64(n)).Name, before[n])
 	}
 	cut(3)
 	for _, m := range fleet {
-		for n := range things {
+		for n := range items {
 			owner := m.OwnerAtStore(uint64(n)).Name
 			assert.Assert(t, owner != "edge-3")
 			assert.Assert(t, owner == before[n] || before[n] == "edge-3")
 		}
 	}
-	assert.DeepEqual(t, names(fleet[0].Owners(things)), before)
+	assert.DeepEqual(t, names(fleet[0].Owners(items)), before)
 	cut(0, 1, 2, 4)
-	for n := range things {
+	for n := range items {
 		assert.Equal(t, fleet[2].OwnerAtStore(uint64(n)).Name, before[n])
 	}
 }
--- a/process/cluster/place.go
+++ b/process/cluster/place.go
@@ -2,7 +2,7 @@
 
 package cluster
 
-// Read notes that it was read which others there are.
+// MarkListed records that the member list has been read.
 func (m *Members) MarkListed() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -11,15 +11,15 @@
 	}
 }
 
-// KnowsOthers reports whether it was read which others there are.
+// Listed reports whether the member list has been read.
 func (m *Members) Listed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.listedAt != 0
 }
 
-// listed reports whether the list of the others is whole, or will not become so
-// soon. The caller holds the lock.
+// listComplete reports whether the member list is complete, or won't become so soon. The caller holds
+// the lock.
 func (m *Members) listComplete() bool {
 	if m.listedAt != 0 && !m.initialStart {
 		return true
@@ -27,38 +27,37 @@
 	return m.settled()
 }
 
-// settled reports whether the others are known, with those that started at the
-// same time. The caller holds the lock.
+// settled reports whether the other instances are known, including those that started at the same
+// time. The caller holds the lock.
 func (m *Members) settled() bool {
 	now := m.now()
 	return m.listedAt != 0 && now-m.listedAt >= settleTime || now-m.startedAt >= listTimeout
 }
 
-// Count returns the number of instances that may be at work, this one included;
-// zero while the others are not known.
+// Count returns the number of instances that are not leaving, including this one; zero while the
+// others are unknown.
 func (m *Members) Count() int {
-	_, of := m.Position()
-	return of
+	_, count := m.Position()
+	return count
 }
 
-// Place returns the place of this instance in the order of the names of all
-// that may be at work, from 0, and their number; zero while the others are not
-// known.
-func (m *Members) Position() (place, of int) {
+// Position returns the index (from 0) of this instance among all that are not leaving, sorted by name, and
+// their number; zeros while the others are unknown.
+func (m *Members) Position() (index, count int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.settled() {
 		return 0, 0
 	}
-	of = 1
+	count = 1
 	for _, ps := range m.sorted {
 		if ps.Leaving {
 			continue
 		}
-		of++
+		count++
 		if ps.Name < m.self.Name {
-			place++
+			index++
 		}
 	}
-	return place, of
+	return index, count
 }
--- a/process/cluster/probe.go
+++ b/process/cluster/probe.go
@@ -4,74 +4,75 @@
 
 import "time"
 
-// In a large region an instance asks few others at each beat whether they live, all of them in
-// turn. If one does not answer, it asks some more to ask as well, and only if several got no
-// answer either, and none got one, does it count as lost: probing as in Das, Gupta,
-// Motivala, "SWIM: Scalable weakly-consistent infection-style process group membership protocol"
-// (2002), with the caution of Dadgar, Phillips, Currey, "Lifeguard: Local health awareness for
-// more accurate failure detection" (2018): who stood still himself has no say. So neither
-// the cost nor how old news is depends on the size of the region.
+// In a large region each instance probes a few others per heartbeat, all of them in turn. If one does
+// not respond, it asks several others to probe it as well (indirect probes), and declares it down only
+// if several of them report no response and none got one: probing as in Das, Gupta, Motivala, "SWIM:
+// Scalable weakly-consistent infection-style process group membership protocol" (2002), with the
+// local health awareness of Dadgar, Phillips, Currey, "Lifeguard: Local health awareness for more
+// accurate failure detection" (2018): an instance that was itself stalled discards its findings. So
+// neither the cost nor the detection time depends on the size of the region.
 
 const (
-	// probedFrom is the number of other instances in a region from which they are probed: a
-	// datagram does not hold the news of more.
+	// minProbedRegion is the number of other instances in a region from which it uses probing: a
+	// datagram cannot hold liveness entries of more.
 	minProbedRegion = maxLiveness + 1
-	// probesABeat is the number of instances that are asked at each beat, and probesInDoubt that
-	// for doubtFor after one did not answer twice, or was found to be lost: others may be, too.
+	// probesPerHeartbeat is the number of instances probed per heartbeat, and probesWhileSuspect
+	// that for suspectFor after one was suspected or found to be down: others may be down, too.
 	probesPerHeartbeat = 2
 	probesWhileSuspect = 6
 	suspectFor         = 2 * time.Second
-	// Tick is the pause between two looks at the answers.
+	// ProbeCheckInterval is the interval at which pending probes are checked.
 	ProbeCheckInterval = 100 * time.Millisecond
-	// askAgain is how long an answer is waited for until the question is asked again, and
-	// directWait until others are asked to ask; these give up after checkWait, and probeWait is
-	// when the answers of all are counted.
+	// After reprobeAfter without a response the probe is sent again, and after directProbeTimeout
+	// indirect probes are requested. Those give up after indirectProbeTimeout, and at probeTimeout
+	// all results are evaluated.
 	reprobeAfter         = 150 * time.Millisecond
 	directProbeTimeout   = 300 * time.Millisecond
 	indirectProbeTimeout = 350 * time.Millisecond
 	probeTimeout         = directProbeTimeout + indirectProbeTimeout + ProbeCheckInterval + ProbeCheckInterval/2
-	// helpers is the number of others that are asked to ask, and mustMiss how many of them must
-	// have got no answer.
+	// indirectProbers is the number of instances asked for an indirect probe, and minFailedProbers
+	// how many of them must report no response for the instance to be declared down.
 	indirectProbers  = 6
 	minFailedProbers = 3
-	// stoodStill is how late a tick must be for all that is under way to be dropped.
+	// stallThreshold is the delay of a tick from which all pending probes are dropped.
 	stallThreshold = 2 * ProbeCheckInterval
-	// failedFor is how long an instance counts as not alive after a call to it failed, unless it
-	// is found to be lost.
+	// callFailureFor is how long an instance does not count as live after a call to it failed,
+	// unless it is found to be down.
 	callFailureFor = 2 * time.Second
-	// aloneAfter is the silence of all others after which an instance takes them for lost.
+	// isolatedAfter is how long the whole region must be silent before an instance treats all others
+	// in it as down.
 	isolatedAfter = probedTimeout
-	// mostChecks bounds what an instance asks for others at a time.
+	// maxIndirectChecks bounds the concurrent indirect probes on behalf of others.
 	maxIndirectChecks = 64
 )
 
-// probe is an instance that was asked whether it lives.
+// probe is a probe sent to an instance.
 type probe struct {
 	peer     *peerState
 	sentAt   time.Duration
-	retried  bool // it was asked again
-	indirect bool // others were asked to ask
-	failures int  // of them that got no answer
+	retried  bool // the probe was sent again
+	indirect bool // indirect probes were requested
+	failures int  // number of indirect probers that reported no response
 }
 
-// check is an instance that is asked for another one.
+// indirectCheck is a probe on behalf of another instance.
 type indirectCheck struct {
 	peer      *peerState
-	requester string // address of who wants to know
+	requester string // its address
 	startedAt time.Duration
-	retried   bool // it was asked again
+	retried   bool // the probe was sent again
 }
 
-// outgoing is a datagram to send to an address.
+// outgoing is a datagram and the address to send it to.
 type outgoing struct {
 	to       string
 	datagram datagram
 }
 
-// probes reports whether the instances of the own region are probed. The caller holds the lock.
+// usesProbing reports whether the own region uses probing. The caller holds the lock.
 func (m *Members) usesProbing() bool { return m.regionPeers >= minProbedRegion }
 
-// Probes reports whether the instances of the own region are probed, so that Tick is to be called.
+// UsesProbing reports whether the own region uses probing.
 func (m *Members) UsesProbing() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -79,7 +80,7 @@
 	return m.usesProbing()
 }
 
-// countNear counts the other instances of the own region. The caller holds the lock.
+// countNear updates the number of other instances in the own region. The caller holds the lock.
 func (m *Members) countNear() {
 	m.regionPeers = 0
 	for _, ps := range m.sorted {
@@ -89,9 +90,8 @@
 	}
 }
 
-// probeSome returns the datagrams that ask the next few instances of the region whether they
-// live, and one of those that are lost: it may have come back. Those to which a call failed come
-// first.
+// probeDatagrams returns probes of the next few instances of the region, those with failed calls first,
+// and of one that is down, since it may have come back.
 func (m *Members) probeDatagrams(d datagram) []outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -116,22 +116,21 @@
 	return out
 }
 
-// anyLost returns one of the lost instances of the region; nil: there is none. The caller holds
-// the lock.
+// randomDown returns a random instance of the region that is down, or nil. The caller holds the lock.
 func (m *Members) randomDown() *peerState {
-	var lost []*peerState
+	var down []*peerState
 	for _, ps := range m.sorted {
 		if ps.Region == m.self.Region && ps.down() && !ps.Leaving {
-			lost = append(lost, ps)
+			down = append(down, ps)
 		}
 	}
-	if len(lost) == 0 {
+	if len(down) == 0 {
 		return nil
 	}
-	return sample(m.shuffle, lost, 1)[0]
+	return sample(m.shuffle, down, 1)[0]
 }
 
-// nextProbed returns the instance whose turn it is; nil: there is none. The caller holds the lock.
+// nextToProbe returns the next instance to probe, or nil. The caller holds the lock.
 func (m *Members) nextToProbe() *peerState {
 	for range 2 {
 		for len(m.probeQueue) > 0 {
@@ -151,8 +150,8 @@
 	return nil
 }
 
-// respond returns the answers to a datagram: that this instance lives, a question to one that
-// the sender can't reach.
+// respond returns the datagrams to send in response to one: a response to a probe, and the indirect
+// probe that the sender requested.
 func (m *Members) respond(d *datagram) (out []outgoing) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -170,13 +169,13 @@
 	return out
 }
 
-// introduce returns a datagram that says that this instance lives, and what it has to tell. The
-// caller holds the lock.
+// statusDatagram returns a response to a probe, with the pending status entries. The caller holds the
+// lock.
 func (m *Members) statusDatagram(now time.Duration) datagram {
 	return datagram{Self: m.selfNow(), Statuses: m.statusEntries(now, false)}
 }
 
-// ask returns a question whether an instance lives. The caller holds the lock.
+// probeDatagram returns a probe of an instance. The caller holds the lock.
 func (m *Members) probeDatagram(ps *peerState, now time.Duration) outgoing {
 	d := datagram{Self: m.selfNow(), Probe: true}
 	if ps.down() {
@@ -186,8 +185,7 @@
 	return outgoing{ps.Peer, d}
 }
 
-// byPeer returns the instance with an address for others; nil: none is known. The caller holds
-// the lock.
+// findByAddress returns the instance with a peer address, or nil. The caller holds the lock.
 func (m *Members) findByAddress(address string) *peerState {
 	if address == "" {
 		return nil
@@ -200,7 +198,7 @@
 	return nil
 }
 
-// noteMissed notes that a helper got no answer. The caller holds the lock.
+// noteProbeFailed counts an indirect probe that got no response. The caller holds the lock.
 func (m *Members) noteProbeFailed(address string) {
 	for _, p := range m.probes {
 		if p.peer.Peer == address && p.indirect {
@@ -209,7 +207,7 @@
 	}
 }
 
-// pending reports whether there is something to look at: tick is then to be called after a Tick.
+// hasPendingWork reports whether advance is to be called after a ProbeCheckInterval.
 func (m *Members) hasPendingWork() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -224,8 +222,8 @@
 	return false
 }
 
-// tick looks at the answers that have come, and returns what to send. Late says that it was called
-// so late that answers may wait unread.
+// advance evaluates pending probes and checks, and returns the datagrams to send. Late says that the
+// call was so late that responses may be waiting unread.
 func (m *Members) advance(late bool) []outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -235,8 +233,8 @@
 	}
 	out := m.advanceProbes(now)
 	out = append(out, m.advanceChecks(now)...)
-	if text := m.statusEntries(now, true); len(text) > 0 {
-		d := datagram{Self: m.selfNow(), Statuses: text}
+	if data := m.statusEntries(now, true); len(data) > 0 {
+		d := datagram{Self: m.selfNow(), Statuses: data}
 		for _, ps := range m.sampleLive(forwardFanout, nil, now) {
 			out = append(out, outgoing{ps.Peer, d})
 		}
@@ -245,7 +243,7 @@
 }
 
 func (m *Members) advanceProbes(now time.Duration) (out []outgoing) {
-	open := m.probes[:0]
+	pending := m.probes[:0]
 	for _, p := range m.probes {
 		switch {
 		case p.peer.lastSeen >= p.sentAt:
@@ -257,30 +255,30 @@
 			p.indirect = true
 			m.suspectedAt = now
 			out = append(out, m.probeDatagram(p.peer, now))
-			for _, h := range m.sampleLive(indirectProbers, p.peer, now) {
-				out = append(out, outgoing{h.Peer, datagram{Self: m.selfNow(), IndirectProbe: p.peer.Peer}})
+			for _, helper := range m.sampleLive(indirectProbers, p.peer, now) {
+				out = append(out, outgoing{helper.Peer, datagram{Self: m.selfNow(), IndirectProbe: p.peer.Peer}})
 			}
 		case now-p.sentAt >= probeTimeout:
 			if p.failures >= minFailedProbers && !p.peer.down() {
-				// What it sent before it was last asked may still have come after the first question.
+				// Datagrams sent before the direct probe timed out may still have arrived after the first probe.
 				m.applyStatus(p.peer, statusDown, p.sentAt+directProbeTimeout, now)
 			}
 			continue
 		}
-		open = append(open, p)
+		pending = append(pending, p)
 	}
-	m.probes = open
+	m.probes = pending
 	return out
 }
 
 func (m *Members) advanceChecks(now time.Duration) (out []outgoing) {
-	open := m.checks[:0]
+	pending := m.checks[:0]
 	for _, c := range m.checks {
 		switch {
 		case c.peer.lastSeen >= c.startedAt:
-			alive := *c.peer
-			alive.report = statusReport{status: statusLive, observedAt: c.peer.lastSeen}
-			e := alive.statusEntry(now)
+			live := *c.peer
+			live.report = statusReport{status: statusLive, observedAt: c.peer.lastSeen}
+			e := live.statusEntry(now)
 			out = append(out, outgoing{c.requester, datagram{Self: m.selfNow(), Statuses: e[:]}})
 			continue
 		case now-c.startedAt >= indirectProbeTimeout:
@@ -290,26 +288,26 @@
 			c.retried = true
 			out = append(out, m.probeDatagram(c.peer, now))
 		}
-		open = append(open, c)
+		pending = append(pending, c)
 	}
-	m.checks = open
+	m.checks = pending
 	return out
 }
 
-// anyLive returns up to n live instances of the own region, any of them but one. The caller holds
+// sampleLive returns up to n random live instances of the own region, except one. The caller holds
 // the lock.
-func (m *Members) sampleLive(n int, but *peerState, now time.Duration) []*peerState {
+func (m *Members) sampleLive(n int, except *peerState, now time.Duration) []*peerState {
 	var live []*peerState
 	for _, ps := range m.sorted {
-		if ps != but && ps.Region == m.self.Region && m.live(ps, now) {
+		if ps != except && ps.Region == m.self.Region && m.live(ps, now) {
 			live = append(live, ps)
 		}
 	}
 	return sample(m.shuffle, live, n)
 }
 
-// alone reports whether nobody was heard for so long that this instance must be the one that is
-// cut off. The caller holds the lock.
+// isolated reports whether the whole region has been silent for so long that this instance must be
+// the one that is partitioned. The caller holds the lock.
 func (m *Members) isolated(now time.Duration) bool {
 	return m.regionLastSeen != 0 && now-m.regionLastSeen > isolatedAfter
 }
--- a/process/cluster/probe_test.go
+++ b/process/cluster/probe_test.go
@@ -12,9 +12,9 @@
 	"gotest.tools/v3/assert"
 )
 
-var largeRegions = flag.Bool("large-regions", false, "play regions of 1,000 and 3,550 instances, which takes minutes and gigabytes")
+var largeRegions = flag.Bool("large-regions", false, "simulate regions of 1,000 and 3,550 instances, which takes minutes and several GB of memory")
 
-// regionSizes are the sizes of regions that the tests of this file play.
+// regionSizes are the simulated region sizes.
 func regionSizes() []int {
 	if *largeRegions {
 		return []int{100, 330, 1000, 3550}
@@ -22,21 +22,21 @@
 	return []int{100, 200}
 }
 
-// lossOfModel is the share of datagrams that are lost: one of a hundred, and one of ten.
+// lossRates are the simulated shares of lost datagrams: 1% and 10%.
 var lossRates = []float64{0.01, 0.1}
 
-// lostPairs counts for how many pairs a running instance takes another one for dead, with what
-// the model knows of both.
+// falselyDown counts the pairs in which a running instance considers another running one not live. It
+// inspects the internal state of Members.
 func (f *model) falselyDown() (n int) {
 	for _, x := range f.nodes {
-		if x.dead || x.frozen {
+		if x.stopped || x.frozen {
 			continue
 		}
 		x.members.mu.Lock()
 		x.members.countNear()
 		for _, ps := range x.members.sorted {
 			o := f.byPeer[ps.Peer]
-			if !o.dead && !o.frozen && !x.members.live(ps, f.now) {
+			if !o.stopped && !o.frozen && !x.members.live(ps, f.now) {
 				n++
 			}
 		}
@@ -45,9 +45,9 @@
 	return n
 }
 
-// TestNobodyIsLostInALargeRegion lets large regions run with datagrams lost. News of all was
-// passed on in datagrams that hold 64, so that it aged with the region: at 330 instances each
-// took 13 living ones for lost on average, at 660 188.
+// TestNoFalseDownInLargeRegion simulates large regions with datagrams lost. Before probing, liveness
+// entries of all instances were gossiped in datagrams that hold 64, so their age grew with the region: at
+// 330 instances each took 13 live ones for down on average, at 660 it was 188.
 func TestNoFalseDownInLargeRegion(t *testing.T) {
 	for _, size := range regionSizes() {
 		for _, loss := range lossRates {
@@ -66,61 +66,60 @@
 					assert.Equal(t, f.falselyDown(), 0)
 				}
 				each := float64(f.bytes) / float64(seconds*size)
-				t.Logf("%.0f bytes and %.1f datagrams a second at an instance", each, float64(f.sent)/float64(seconds*size))
+				t.Logf("%.0f bytes and %.1f datagrams a second per instance", each, float64(f.sent)/float64(seconds*size))
 				assert.Assert(t, each <= 4096)
 			})
 		}
 	}
 }
 
-// TestDeathReachesALargeRegion kills one instance, or a third of them, and checks when all of the
-// region know, and when those of another one do.
+// TestDownInstancesDetectedInLargeRegion stops one instance, or a third of them, and measures when all
+// instances of the region know, and when those of another region do.
 func TestDownInstancesDetectedInLargeRegion(t *testing.T) {
 	const (
 		nearBound = 2500 * time.Millisecond
 		farBound  = 4 * time.Second
 	)
 	for _, size := range regionSizes() {
-		for _, dead := range []int{1, size / 3} {
-			t.Run(fmt.Sprintf("%d/%d", size, dead), func(t *testing.T) {
+		for _, count := range []int{1, size / 3} {
+			t.Run(fmt.Sprintf("%d/%d", size, count), func(t *testing.T) {
 				t.Parallel()
 				f := newModel(uint64(size), 2, size)
 				f.loss = 0.01
 				f.run(2 * time.Second)
-				gone := f.nodes[:dead]
-				for _, o := range gone {
-					o.dead = true
+				stopped := f.nodes[:count]
+				for _, o := range stopped {
+					o.stopped = true
 				}
-				died := f.now
+				stoppedAt := f.now
 				near, far := time.Duration(0), time.Duration(0)
-				for far == 0 && f.now-died < 2*farBound {
+				for far == 0 && f.now-stoppedAt < 2*farBound {
 					f.run(100 * time.Millisecond)
-					if near == 0 && f.believers(gone, "r0") == 0 {
-						near = f.now - died
+					if near == 0 && f.believers(stopped, "r0") == 0 {
+						near = f.now - stoppedAt
 					}
-					if near != 0 && f.believers(gone, "r1") == 0 {
-						far = f.now - died
+					if near != 0 && f.believers(stopped, "r1") == 0 {
+						far = f.now - stoppedAt
 					}
 				}
-				t.Logf("known to the region after %s, to the other one after %s", near, far)
-				assert.Assert(t, near != 0 && near <= nearBound, "%s, %d believe", near, f.believers(gone, "r0"))
-				assert.Assert(t, far != 0 && far <= farBound, "%s, %d believe", far, f.believers(gone, "r1"))
+				t.Logf("known in the region after %s, in the other one after %s", near, far)
+				assert.Assert(t, near != 0 && near <= nearBound, "%s, %d still consider it live", near, f.believers(stopped, "r0"))
+				assert.Assert(t, far != 0 && far <= farBound, "%s, %d still consider it live", far, f.believers(stopped, "r1"))
 				assert.Equal(t, f.falselyDown(), 0)
 			})
 		}
 	}
 }
 
-// believers counts for how many pairs a running instance of a region takes one that is gone for
-// alive.
-func (f *model) believers(gone []*node, region string) (n int) {
+// believers counts the pairs in which a running instance of a region considers a stopped one live.
+func (f *model) believers(stopped []*node, region string) (n int) {
 	for _, x := range f.nodes {
-		if x.dead || x.members.self.Region != region {
+		if x.stopped || x.members.self.Region != region {
 			continue
 		}
 		x.members.mu.Lock()
 		x.members.countNear()
-		for _, o := range gone {
+		for _, o := range stopped {
 			if ps := x.members.others[o.members.self.Name]; ps != nil && x.members.live(ps, f.now) {
 				n++
 			}
@@ -130,8 +129,8 @@
 	return n
 }
 
-// TestHalvesOfALargeRegionMeetAgain cuts a region in two and joins it again, and lets some
-// instances stand still for 3 s: soon afterwards nobody is taken for lost.
+// TestLargeRegionHealsAfterPartition partitions a region into two halves and joins them, then freezes some
+// instances for 3 s: soon after each fault no running instance is considered down.
 func TestLargeRegionHealsAfterPartition(t *testing.T) {
 	const size = 200
 	f := newModel(5, 1, size)
@@ -146,9 +145,9 @@
 		}
 	}
 	f.run(6 * time.Second)
-	lost := f.falselyDown()
-	t.Logf("%d of %d pairs lost while the region is cut", lost, size*size/2)
-	assert.Assert(t, lost > size*size/2*9/10, "%d", lost)
+	down := f.falselyDown()
+	t.Logf("%d of %d pairs down while the region is partitioned", down, size*size/2)
+	assert.Assert(t, down > size*size/2*9/10, "%d", down)
 	for _, x := range f.nodes {
 		clear(x.dropFrom)
 	}
--- a/process/cluster/room.go
+++ b/process/cluster/room.go
@@ -2,18 +2,18 @@
 
 package cluster
 
-// roomyShare is the part of what the largest of some instances can carry from which another
-// one is large among them.
+// largeShare is the share of the maximum resources in a group from which an instance of it counts as
+// large.
 const largeShare = 0.5
 
-// Room is what an instance can carry.
+// Resources are the resources of an instance.
 type Resources struct {
 	Link, Cores float64 // as in Member
 }
 
-// Largest returns the most that any of some instances can carry.
-func MaxResources(of []Member) (r Resources) {
-	for _, m := range of {
+// MaxResources returns the maximum of each resource over some instances.
+func MaxResources(members []Member) (r Resources) {
+	for _, m := range members {
 		r.include(&m)
 	}
 	return r
@@ -24,38 +24,38 @@
 	r.Cores = max(r.Cores, m.Cores)
 }
 
-// Fills reports whether an instance can carry much, compared with that.
+// MatchedBy reports whether an instance counts as large where these are the maximum resources.
 func (r Resources) MatchedBy(m *Member) bool {
 	return m.Link >= largeShare*r.Link && m.Cores >= largeShare*r.Cores
 }
 
-// Capacity is how the instances of the own region stand.
+// RegionCapacity describes the other instances of the own region.
 type RegionCapacity struct {
-	// Large is the number of others that can carry much, compared with the largest, and may be at
-	// work, and Free that of those of them that are alive and not busy.
+	// Large is the number of large instances that are not leaving, and Free the number of those
+	// that are live and not busy.
 	Large, Free int
-	// Named are the free ones by name, or if there are none those that are alive.
+	// Candidates are the free ones by name, or if there are none the live large ones.
 	Candidates []Member
-	// Self reports whether this instance is large, too.
+	// SelfLarge reports whether this instance is large.
 	SelfLarge bool
 }
 
-// Capacity returns how the instances of the own region stand.
+// RegionCapacity returns the capacity of the own region.
 func (m *Members) RegionCapacity() (c RegionCapacity) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
 	m.countNear()
-	var most Resources
-	most.include(&m.self)
+	var maxima Resources
+	maxima.include(&m.self)
 	for _, ps := range m.sorted {
 		if ps.Region == m.self.Region && !ps.Leaving {
-			most.include(&ps.Member)
+			maxima.include(&ps.Member)
 		}
 	}
 	var busy []Member
 	for _, ps := range m.sorted {
-		if ps.Region != m.self.Region || ps.Leaving || !most.MatchedBy(&ps.Member) {
+		if ps.Region != m.self.Region || ps.Leaving || !maxima.MatchedBy(&ps.Member) {
 			continue
 		}
 		c.Large++
@@ -71,6 +71,6 @@
 	if c.Free == 0 {
 		c.Candidates = busy
 	}
-	c.SelfLarge = most.MatchedBy(&m.self)
+	c.SelfLarge = maxima.MatchedBy(&m.self)
 	return c
 }
--- a/process/cluster/room_test.go
+++ b/process/cluster/room_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestLargeInstancesPassTablesOn checks that in a large fleet what each instance asks leads over
-// large ones: small ones may not follow all tables. Instances of a small fleet count alike.
+// TestTreeUsesLargeInstances checks that in a large fleet the sources of each instance are large ones:
+// small ones may not follow all tables. In a small fleet all instances count as large.
 func TestTreeUsesLargeInstances(t *testing.T) {
 	for _, x := range []struct{ halls, size, large int }{{9, 110, 10}, {3, 110, 2}, {3, 60, 40}} {
 		var all []Member
@@ -25,27 +25,27 @@
 				all = append(all, m)
 			}
 		}
-		asked := make(map[string]int)
+		requests := make(map[string]int)
 		for i := 0; i < len(all); i += 7 {
 			m := NewMembers(all[i], func() time.Duration { return time.Hour })
 			m.Merge(true, all...)
 			m.MarkListed()
 			for _, s := range m.Sources()[:headsPerMember] {
-				assert.Assert(t, s.Cores > 1, "%s of %d x %d asks %s", all[i].Name, x.halls, x.size, s.Name)
-				asked[s.Name]++
+				assert.Assert(t, s.Cores > 1, "%s of %d x %d requests from %s", all[i].Name, x.halls, x.size, s.Name)
+				requests[s.Name]++
 			}
 			assert.Assert(t, !m.Relay() || all[i].Cores > 1)
 			assert.Assert(t, !m.Head() || all[i].Cores > 1)
 		}
-		assert.Assert(t, len(asked) >= min(x.large, headsPerMember)*x.halls, "%d are asked", len(asked))
+		assert.Assert(t, len(requests) >= min(x.large, headsPerMember)*x.halls, "%d serve requests", len(requests))
 	}
 }
 
-// TestCapacityOfARegion checks what an instance sees of the large ones of its region.
+// TestRegionCapacity checks the counts of large and free instances of the region.
 func TestRegionCapacity(t *testing.T) {
 	m, _ := newMembers()
 	m.self.Cores, m.self.Link = 0.16, 20
-	assert.Assert(t, m.RegionCapacity().SelfLarge, "it is the only one")
+	assert.Assert(t, m.RegionCapacity().SelfLarge, "the only instance")
 	for i, cores := range []float64{1.6, 1.6, 0.16} {
 		x := member(fmt.Sprint("n", i), "north", 1)
 		x.Cores, x.Link, x.Busy = cores, 1000*cores, i == 1
--- a/process/cluster/sources.go
+++ b/process/cluster/sources.go
@@ -10,31 +10,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// membersPerHead is the number of instances of a hall from which a further one of
-// them asks the relay of its region. Each of the others asks two heads, so that
-// a head answers some 16 of them, whatever the size of hall and region, and a relay
-// the heads besides.
+// membersPerHead is the number of instances of a hall per head, which requests the tables from the
+// relay of its region. Each of the others requests them from two heads, so a head serves some 16 of
+// them, whatever the size of hall and region, and a relay serves the heads besides.
 const membersPerHead = 8
 
-// headsAsked is the number of heads of its hall that an instance asks.
+// headsPerMember is the number of heads of its hall that an instance requests tables from.
 const headsPerMember = 2
 
-// tree is the way that tables travel in, as one instance sees it: from the store
-// to the relay of each region, from there to the heads of each hall, and from
-// those to the others of the hall. All instances that know the same ones see the
-// same tree.
+// distributionTree is the tree that tables are distributed along, as seen by one instance: from the
+// store to the relay of each region, from there to the heads of each hall, and from those to the other
+// instances of the hall. All instances that know the same members compute the same tree.
 type distributionTree struct {
 	relays map[string]*peerState // by region
-	hall   []*peerState          // of the own hall, by hash; in a large fleet the large ones first
-	large  int                   // how many of these are large
+	hall   []*peerState          // instances of the own hall by hash; in a large fleet the large ones first
+	large  int                   // number of large ones among these
 }
 
-// treeFor is how long a tree of a large fleet is good for: each look at it would walk all
-// instances, and an instance looks at it many times a second.
+// treeTTL is how long the tree of a large fleet is cached: building it iterates over all instances, and
+// it is used many times a second.
 const treeTTL = 100 * time.Millisecond
 
-// growTree returns the tree over the instances that are alive. It must not be changed. The caller
-// holds the lock.
+// currentTree returns the tree over the live instances. It must not be modified. The caller holds the
+// lock.
 func (m *Members) currentTree() distributionTree {
 	now := m.now()
 	large := len(m.sorted) > MaxSmallFleet
@@ -78,14 +76,15 @@
 	return 1
 }
 
-// rooms is the largest instance of each region of a large fleet. Those that are small beside it
-// may not follow all tables (Capacity), so they pass them on last. Nil: all count alike.
+// regionMaxima holds the maximum resources of each region of a large fleet. Instances that are small
+// in comparison may not follow all tables (RegionCapacity), so they distribute them only if there is
+// no choice. Nil: all instances count as large.
 type regionMaxima map[string]Resources
 
-// roomsFor is how long what they can carry is good for: it changes as instances come and go.
+// maximaTTL is how long the maxima are cached; they change as instances start and stop.
 const maximaTTL = time.Second
 
-// rooms returns what the instances that are alive can carry. The caller holds the lock.
+// regionMaxima returns the maximum resources of the live instances. The caller holds the lock.
 func (m *Members) regionMaxima() regionMaxima {
 	if len(m.sorted) <= MaxSmallFleet {
 		return nil
@@ -105,9 +104,8 @@
 	return r == nil || r[ps.Region].MatchedBy(&ps.Member)
 }
 
-// before reports whether an instance is the relay of its region rather than
-// another one: it is not cut off from the store, or both are, it is large, or both are, and its
-// hash is lower.
+// preferredRelay reports whether an instance is preferred to another as the relay of their region: one
+// that reaches the store comes first, then a large one, then the one with the lower hash.
 func (r regionMaxima) preferredRelay(ps, o *peerState) bool {
 	if ps.StoreUnreachable != o.StoreUnreachable {
 		return !ps.StoreUnreachable
@@ -118,8 +116,8 @@
 	return ps.hash < o.hash
 }
 
-// heads returns those of the hall that ask the relay of the region: two at least,
-// so that the others have two to ask, and none that is small if there are enough others.
+// heads returns the instances of the hall that request tables from the relay of the region: at least
+// two, so that the others have two sources, and no small ones if there are enough large ones.
 func (t *distributionTree) heads() []*peerState {
 	n := (len(t.hall) + membersPerHead - 1) / membersPerHead
 	if t.large >= headsPerMember {
@@ -128,8 +126,8 @@
 	return t.hall[:min(len(t.hall), max(headsPerMember, n))]
 }
 
-// Relay reports whether this instance asks the store for its region. Before it
-// knows which others there are it is none, unless that takes long.
+// Relay reports whether this instance queries the store for its region. It does not until the other
+// instances are known, unless that takes long.
 func (m *Members) Relay() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -141,8 +139,8 @@
 	return r != nil && r.Name == m.self.Name
 }
 
-// Head reports whether this instance is one of those of its hall that the others
-// ask. While all start for the first time it is none: there is nothing to tell yet.
+// Head reports whether this instance is a head of its hall. During the initial start of the fleet it is
+// not: there is nothing to distribute yet.
 func (m *Members) Head() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -153,10 +151,9 @@
 	return slices.ContainsFunc(t.heads(), m.isSelf)
 }
 
-// Relays returns the relay of each region, that of the own region first, then
-// in an order that differs by instance. The own instance may be among them. An
-// instance that is cut off from the store is the relay only if all of its region
-// are.
+// Relays returns the relay of each region, that of the own region first, then in an order that differs
+// by instance. This instance may be among them. An instance that does not reach the store is a relay
+// only if none of its region does.
 func (m *Members) Relays() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -164,8 +161,7 @@
 	return toMembers(m.orderedRelays(&t))
 }
 
-// orderedRelays returns the relays, that of the own region first. The caller
-// holds the lock.
+// orderedRelays returns the relays in the order of Relays. The caller holds the lock.
 func (m *Members) orderedRelays(t *distributionTree) []*peerState {
 	out := make([]*peerState, 0, len(t.relays))
 	for _, x := range t.relays {
@@ -181,10 +177,9 @@
 	return out
 }
 
-// Sources returns the instances that this one learns tables from, the best
-// first. For most these are two heads of the hall, for a head the relay of the
-// region, for a relay those of the other regions; after them the others of these,
-// for when the first are gone.
+// Sources returns the instances that this one requests tables from, best first: for most instances two
+// heads of the hall, for a head the relay of the region, for a relay those of the other regions. The
+// relays follow as a fallback for when the first are down.
 func (m *Members) Sources() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/process/cluster/work.go
+++ b/process/cluster/work.go
@@ -4,13 +4,13 @@
 
 import "time"
 
-// AtWork returns the instances that may have requests in flight, the own one included,
-// ordered by name: those that are alive, and those that are leaving and have not ended.
+// Active returns the instances that may have requests in flight by name, including this one: those that
+// are live, and those that are leaving but have not stopped yet.
 func (m *Members) Active() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.countNear()
-	now, heardFor := m.now(), m.livenessTimeout()
+	now, timeout := m.now(), m.livenessTimeout()
 	out := make([]Member, 0, len(m.sorted)+1)
 	selfDone := false
 	for _, ps := range m.sorted {
@@ -18,8 +18,8 @@
 			out = append(out, m.selfNow())
 			selfDone = true
 		}
-		ending := ps.Leaving && ps.lastSeen != 0 && now-ps.lastSeen <= heardFor && ps.callFailedAt <= ps.lastSeen
-		if ending || m.live(ps, now) {
+		stopping := ps.Leaving && ps.lastSeen != 0 && now-ps.lastSeen <= timeout && ps.callFailedAt <= ps.lastSeen
+		if stopping || m.live(ps, now) {
 			out = append(out, ps.Member)
 		}
 	}
@@ -29,15 +29,15 @@
 	return out
 }
 
-// Silent returns those of the other instances that count as alive, and were not heard for
-// a time. Of asks whether one matters; it must not call the members.
-func (m *Members) Unresponsive(least time.Duration, of func(Member) bool) []Member {
+// Unresponsive returns the other instances that count as live but have not been seen for more than
+// minSilence. Relevant selects the instances of interest; it must not call methods of Members.
+func (m *Members) Unresponsive(minSilence time.Duration, relevant func(Member) bool) []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
 	var out []Member
 	m.eachLive(func(ps *peerState) {
-		if !m.isSelf(ps) && now-ps.lastSeen > least && of(ps.Member) {
+		if !m.isSelf(ps) && now-ps.lastSeen > minSilence && relevant(ps.Member) {
 			out = append(out, ps.Member)
 		}
 	})
--- a/process/cluster/work_test.go
+++ b/process/cluster/work_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// watched returns the members of an instance in the north that knows one more there and
-// one in the south, all heard at the time that now points to.
+// newWatched returns the members of an instance in the north that knows another one there and one in the
+// south, both last seen at the time that now points to.
 func newWatched(now *time.Duration) *Members {
 	started := time.Now().Add(-time.Minute).UnixNano()
 	m := NewMembers(member("b", "north", started), func() time.Duration { return *now })
@@ -18,7 +18,7 @@
 	return m
 }
 
-// TestThoseThatLeaveAreAtWorkUntilTheyAreSilent checks it, for others and the instance
+// TestLeavingInstancesAreActiveUntilUnresponsive checks this for other instances and for the instance
 // itself.
 func TestLeavingInstancesAreActiveUntilUnresponsive(t *testing.T) {
 	now := time.Hour
@@ -35,8 +35,8 @@
 	assert.DeepEqual(t, names(m.Active()), []string{"b"})
 }
 
-// TestSilentAreThoseThatCountAsAliveUnheard checks which are, that a message of one
-// proves that it lives, and that a failed call ends it.
+// TestUnresponsiveListsLiveButUnseen checks the list, that a message proves its sender live, and that an
+// instance with a failed call is no longer listed.
 func TestUnresponsiveListsLiveButUnseen(t *testing.T) {
 	now := time.Hour
 	m := newWatched(&now)
