--- a/process/cluster/answer.go
+++ b/process/cluster/answer.go
@@ -97,7 +97,7 @@
 }
 
 func (a *responseEncoder) encodeTable(name string, d state.Delta) ([]byte, error) {
-	if !d.Whole {
+	if !d.Full {
 		return encodeDelta(d)
 	}
 	a.mu.Lock()
--- a/process/cluster/ask.go
+++ b/process/cluster/ask.go
@@ -34,8 +34,8 @@
 }
 
 // query converts the request for the follower.
-func (q *changesRequest) query() state.Question {
-	out := state.Question{After: q.After, Without: q.Excluded, Ages: make(map[string]time.Duration, len(q.AgesMs))}
+func (q *changesRequest) query() state.Query {
+	out := state.Query{After: q.After, Excluded: q.Excluded, Ages: make(map[string]time.Duration, len(q.AgesMs))}
 	out.Wait = min(time.Duration(q.WaitMs)*time.Millisecond, maxPollWait)
 	for name, age := range q.AgesMs {
 		out.Ages[name] = time.Duration(age) * time.Millisecond
@@ -67,20 +67,20 @@
 func (p *Peers) Head() bool { return p.Members.Head() }
 
 // StoreCalled records whether a store call was answered.
-func (p *Peers) StoreCalled(answered bool) {
+func (p *Peers) RecordStoreCall(answered bool) {
 	if p.Members.RecordStoreCall(answered) && p.OnStoreUnreachable != nil {
 		p.OnStoreUnreachable()
 	}
 }
 
 // Changes requests changes from the i-th source of this instance.
-func (p *Peers) Changes(ctx context.Context, i int, query state.Question) (map[string]state.Delta, bool, error) {
+func (p *Peers) Changes(ctx context.Context, i int, query state.Query) (map[string]state.Delta, bool, error) {
 	sources := p.Members.Sources()
 	if i >= len(sources) {
 		return nil, false, nil
 	}
 	m := sources[i]
-	request := changesRequest{After: query.After, Excluded: query.Without, AgesMs: make(map[string]int64, len(query.Ages)), WaitMs: query.Wait.Milliseconds(), From: p.Members.Self()}
+	request := changesRequest{After: query.After, Excluded: query.Excluded, AgesMs: make(map[string]int64, len(query.Ages)), WaitMs: query.Wait.Milliseconds(), From: p.Members.Self()}
 	for name, age := range query.Ages {
 		request.AgesMs[name] = age.Milliseconds()
 	}
@@ -158,7 +158,7 @@
 			return
 		}
 		p.Members.Merge(true, q.From)
-		b, err := p.encoder.encode(p.Follower.Answer(r.Context(), q.query()))
+		b, err := p.encoder.encode(p.Follower.Respond(r.Context(), q.query()))
 		writeResponse(w, b, err)
 	})
 	mux.HandleFunc("POST "+PathMembers, func(w http.ResponseWriter, r *http.Request) {
--- a/process/cluster/cluster_test.go
+++ b/process/cluster/cluster_test.go
@@ -190,7 +190,7 @@
 func TestChangesRequestsAreAnswered(t *testing.T) {
 	m, _ := newMembers()
 	table := state.NewTable()
-	table.Apply(state.Delta{Rows: []state.Row{{Key: "k", Value: []byte("v"), Version: 3}}, Version: 3, Whole: true}, time.Hour)
+	table.Apply(state.Delta{Rows: []state.Row{{Key: "k", Value: []byte("v"), Version: 3}}, Version: 3, Full: true}, time.Hour)
 	server := NewPeers(m, new(net.Dialer).DialContext)
 	server.Follower = &state.Follower{Tables: map[string]*state.Table{"t": table}, Now: func() time.Duration { return time.Hour }}
 	h := httptest.NewServer(server.Handler())
@@ -205,11 +205,11 @@
 	p := NewPeers(requester, new(net.Dialer).DialContext)
 	p.Follower = &state.Follower{}
 	requester.MarkListed()
-	d, ok, err := p.Changes(context.Background(), 0, state.Question{After: map[string]int64{}, Wait: 50 * time.Millisecond})
+	d, ok, err := p.Changes(context.Background(), 0, state.Query{After: map[string]int64{}, Wait: 50 * time.Millisecond})
 	assert.NilError(t, err)
 	assert.Assert(t, ok)
 	assert.Equal(t, string(d["t"].Rows[0].Value), "v")
-	d, _, err = p.Changes(context.Background(), 0, state.Question{After: map[string]int64{"t": 3}, Wait: 20 * time.Millisecond})
+	d, _, err = p.Changes(context.Background(), 0, state.Query{After: map[string]int64{"t": 3}, Wait: 20 * time.Millisecond})
 	assert.NilError(t, err)
 	assert.Equal(t, len(d["t"].Rows), 0)
 	assert.NilError(t, p.FetchMembers(context.Background(), address))
@@ -279,7 +279,7 @@
 	for i := range 1000 {
 		rows = append(rows, state.Row{Key: fmt.Sprint(i), Value: []byte(fmt.Sprintf(`{"address":"10.9.0.1:%d"}`, i)), Version: 3})
 	}
-	table.Apply(state.Delta{Rows: rows, Version: 3, Whole: true}, time.Hour)
+	table.Apply(state.Delta{Rows: rows, Version: 3, Full: true}, time.Hour)
 	var a responseEncoder
 	for i := range 3 {
 		age := time.Duration(i) * time.Second
@@ -289,7 +289,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, len(out["t"].Rows), len(rows))
 		assert.Equal(t, out["t"].Age, age)
-		assert.Assert(t, out["t"].Whole)
+		assert.Assert(t, out["t"].Full)
 	}
 	first := &a.snapshots["t"].bytes[0]
 	_, err := a.encode(map[string]state.Delta{"t": table.Since(0, time.Hour)})
@@ -305,7 +305,7 @@
 
 func FuzzResponse(f *testing.F) {
 	var a responseEncoder
-	b, _ := a.encode(map[string]state.Delta{"t": {Rows: []state.Row{{Key: "k", Value: []byte("v"), Version: 3}}, Version: 3, Whole: true}})
+	b, _ := a.encode(map[string]state.Delta{"t": {Rows: []state.Row{{Key: "k", Value: []byte("v"), Version: 3}}, Version: 3, Full: true}})
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		tables, err := decodeResponse(b)
--- a/process/edge/configuration.go
+++ b/process/edge/configuration.go
@@ -69,14 +69,14 @@
 	e.compiling.Lock()
 	defer e.compiling.Unlock()
 	if spare {
-		backends.Forget()
+		backends.Reset()
 		e.lapses = lapses{keep: e.lapses.keep}
 		e.compile(operator.Rows(), nil, spare)
 		return
 	}
 	now := e.now()
 	present := backends.Rows()
-	rows, again := e.lapses.rows(present, backends.Returned(), now)
+	rows, again := e.lapses.rows(present, backends.StoreRecoveredAt(), now)
 	if len(rows) > len(present) {
 		e.log.Info().Int("kept", len(rows)-len(present)).Dur("until", again-now).Msg("backends-lapsed")
 	}
@@ -97,7 +97,7 @@
 	if c == nil {
 		return
 	}
-	if e.follower.Tables[e.deployment.BackendTable].Holding() {
+	if e.follower.Tables[e.deployment.BackendTable].Retaining() {
 		laterStarts(c.Announced, e.announced)
 	}
 	e.announced = c.Announced
--- a/process/edge/edge.go
+++ b/process/edge/edge.go
@@ -150,12 +150,12 @@
 func (e *Edge) build() {
 	e.peers = cluster.NewPeers(e.members, conn.NewDialer(dialTimeout, peerSilence).DialContext)
 	e.follower = &state.Follower{
-		Store: e.deployment.Store, Peers: e.peers, Log: e.log, Now: e.now, Wanted: e.wantsTable, Instances: e.members.Count,
-		Declines: func(table string) bool { return table == e.deployment.BackendTable && e.isSpare() },
+		Store: e.deployment.Store, Peers: e.peers, Log: e.log, Now: e.now, Subscribed: e.wantsTable, Instances: e.members.Count,
+		Excluded: func(table string) bool { return table == e.deployment.BackendTable && e.isSpare() },
 		Tables: map[string]*state.Table{
-			e.deployment.OperatorTable: state.NewHoldingTable(state.Hold{Missing: holdOperator, Older: holdOperator}),
-			e.deployment.BackendTable:  state.NewHoldingTable(state.Hold{Missing: keepLapsed(e.settings.DrainWithin), Older: holdBackends}),
-			e.deployment.RecordTable:   state.NewHoldingTable(state.Hold{}),
+			e.deployment.OperatorTable: state.NewRetainingTable(state.Retention{Missing: holdOperator, Reverted: holdOperator}),
+			e.deployment.BackendTable:  state.NewRetainingTable(state.Retention{Missing: keepLapsed(e.settings.DrainWithin), Reverted: holdBackends}),
+			e.deployment.RecordTable:   state.NewRetainingTable(state.Retention{}),
 			e.deployment.InstanceTable: state.NewTable(),
 		},
 	}
--- a/process/edge/epoch.go
+++ b/process/edge/epoch.go
@@ -54,7 +54,7 @@
 func (e *Edge) storeWentBack(from, to int64) {
 	held := 0
 	for _, t := range e.follower.Tables {
-		held += len(t.Held())
+		held += len(t.Retained())
 	}
 	e.log.Info().Int64("from", from).Int64("to", to).Int("held", held).Msg("store-went-back")
 	e.quarantineRows.reset()
--- a/process/edge/quarantinerow.go
+++ b/process/edge/quarantinerow.go
@@ -148,7 +148,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = e.deployment.Store.Write(ctx, nil, []state.Written{
+	_, err = e.deployment.Store.Write(ctx, nil, []state.Put{
 		{Table: e.deployment.QuarantineTable, Key: x.Request.String(), Value: value}, told,
 	})
 	return err
--- a/process/edge/record.go
+++ b/process/edge/record.go
@@ -33,7 +33,7 @@
 
 // knownRecords returns what the table says, by service, and what of it can't be read.
 func knownRecords(table *state.Table) (map[string]knownRecord, []error) {
-	held := table.Held()
+	held := table.Retained()
 	out := make(map[string]knownRecord)
 	var problems []error
 	for _, row := range table.Rows() {
@@ -80,8 +80,8 @@
 	}
 	table, key := e.deployment.RecordTable, p.Record.Service
 	revision, err := e.deployment.Store.Write(ctx,
-		[]state.Expected{{Table: table, Key: key, Version: p.Revision}},
-		[]state.Written{{Table: table, Key: key, Value: value}, told})
+		[]state.Precondition{{Table: table, Key: key, Version: p.Revision}},
+		[]state.Put{{Table: table, Key: key, Value: value}, told})
 	if err != nil {
 		return 0, err
 	}
--- a/process/edge/rollout_test.go
+++ b/process/edge/rollout_test.go
@@ -124,7 +124,7 @@
 	good, err := json.Marshal(rollout.Record{Service: "other", Order: 7, Target: "v2", Phase: rollout.Canary, Deadline: version.Duration(time.Minute)})
 	assert.NilError(t, err)
 	table := state.NewTable()
-	table.Apply(state.Delta{Whole: true, Version: 5, Rows: []state.Row{{Key: "s", Value: good, Version: 4}, {Key: "t", Value: []byte("{"), Version: 5}}}, time.Hour)
+	table.Apply(state.Delta{Full: true, Version: 5, Rows: []state.Row{{Key: "s", Value: good, Version: 4}, {Key: "t", Value: []byte("{"), Version: 5}}}, time.Hour)
 	got, problems := knownRecords(table)
 	assert.Equal(t, len(problems), 1)
 	assert.Equal(t, len(got), 1)
--- a/process/edge/rolloutlog.go
+++ b/process/edge/rolloutlog.go
@@ -50,7 +50,7 @@
 func (e *Edge) logStep(p rollout.Proposal, revision int64, took time.Duration, err error) {
 	result := "written"
 	switch {
-	case errors.Is(err, state.Conflict):
+	case errors.Is(err, state.ErrConflict):
 		result = "refused"
 	case err != nil:
 		result = "not-answered"
--- a/process/edge/settings.go
+++ b/process/edge/settings.go
@@ -119,7 +119,7 @@
 	// Write puts rows, all or none, if those that are expected are as they are expected,
 	// and returns the version that they have then. The error is state.Conflict if they
 	// are not; after any other the write may have been carried out, or may still be.
-	Write(ctx context.Context, expected []state.Expected, put []state.Written) (version int64, err error)
+	Write(ctx context.Context, expected []state.Precondition, put []state.Put) (version int64, err error)
 	// Clock returns the store's steady clock, the same for all instances. Ok is false
 	// while nothing is known of it.
 	Clock() (now time.Duration, ok bool)
@@ -144,11 +144,11 @@
 	// DocumentKey is the key of the operator's own document in OperatorTable.
 	DocumentKey string
 	// Status returns the row by which operators learn where a roll-out stands.
-	Status func(r rollout.Record) (state.Written, error)
+	Status func(r rollout.Record) (state.Put, error)
 	// QuarantineTable is the table of requests that crash backend servers, and
 	// QuarantineStatus returns the row by which operators learn of one.
 	QuarantineTable  string
-	QuarantineStatus func(e quarantine.Entry) (state.Written, error)
+	QuarantineStatus func(e quarantine.Entry) (state.Put, error)
 	// Headers are the names of the headers of requests.
 	Headers request.Names
 	// Configuration translates rows. The errors tell of rows that were
--- a/process/edge/step.go
+++ b/process/edge/step.go
@@ -153,7 +153,7 @@
 		return err
 	})
 	w.edge.logStep(p, revision, w.edge.now()-began, err)
-	if !errors.Is(err, state.Conflict) {
+	if !errors.Is(err, state.ErrConflict) {
 		w.note(ctx, err)
 		return
 	}
@@ -169,13 +169,13 @@
 	}
 	if err == nil {
 		if w.failures >= failuresToPass {
-			w.edge.peers.StoreCalled(true)
+			w.edge.peers.RecordStoreCall(true)
 		}
 		w.failures = 0
 		return
 	}
 	w.failures++
 	if w.failures%failuresToPass == 0 {
-		w.edge.peers.StoreCalled(false)
+		w.edge.peers.RecordStoreCall(false)
 	}
 }
--- a/process/packed/packed_test.go
+++ b/process/packed/packed_test.go
@@ -13,7 +13,7 @@
 
 // TestWhatIsEncodedIsWhole checks values of all kinds, and each of their beginnings, which
 // are not.
-func TestWhatIsEncodedIsWhole(t *testing.T) {
+func TestEncodedValuesAreAccepted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := struct {
 			A int64
@@ -37,7 +37,7 @@
 }
 
 // TestListLongerThanItsMessageIsRefused checks lists and maps that say more than there is.
-func TestListLongerThanItsMessageIsRefused(t *testing.T) {
+func TestOversizedLengthsAreRejected(t *testing.T) {
 	for _, text := range []string{
 		"\x92\xc2\xdd\xeb\xe5\xf7\x38\x00", "\xdd\xff\xff\xff\xff", "\xdf\xff\xff\xff\xff\x00", "\xdc\xff\xff", "\xc6\xff\xff\xff\xff", "\xc1", "",
 		"\x91\x91\x91\x91\x91\x91\x91\x91\x91\x91\x91\x91\x91\x91\x91\x91\x91\x91\x91\x01",
--- a/process/state/confirm_test.go
+++ b/process/state/confirm_test.go
@@ -16,19 +16,19 @@
 // right after another one, while whoever learned of the first gathers before it asks again:
 // it must not wait for the next confirmation to hear of the second, or it is taken for stale
 // and asks the store itself.
-func TestConfirmationBetweenTwoQuestionsIsHeardOf(t *testing.T) {
+func TestConfirmationBetweenQueriesIsReported(t *testing.T) {
 	const (
 		period = 1800 * time.Millisecond // less than storeWait
-		after  = gatherLeast / 2
+		after  = minBatchDelay / 2
 	)
 	begun := time.Now()
 	now := func() time.Duration { return time.Since(begun) + time.Hour }
 	tables := func() map[string]*Table { return map[string]*Table{"a": NewTable(), "b": NewTable()} }
 	relay := &Follower{Tables: tables(), Log: zerolog.Nop(), Now: now}
-	quiet := &script{table: NewTable(), now: now}
-	leaf := &Follower{Store: quiet, Peers: chain{relay}, Tables: tables(), Log: zerolog.Nop(), Now: now}
+	quiet := &fakeSource{table: NewTable(), now: now}
+	leaf := &Follower{Store: quiet, Peers: peerChain{relay}, Tables: tables(), Log: zerolog.Nop(), Now: now}
 	confirm := func(name string) {
-		relay.Tables[name].Apply(Delta{Rows: []Row{row("x", 1)}, Version: 1, Whole: true}, now())
+		relay.Tables[name].Apply(Delta{Rows: []Row{row("x", 1)}, Version: 1, Full: true}, now())
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
@@ -43,8 +43,8 @@
 	})
 	defer all.Wait()
 	defer cancel()
-	reachesTable(t, leaf, "a", 1, startLeast)
-	reachesTable(t, leaf, "b", 1, startLeast)
+	waitForTableVersion(t, leaf, "a", 1, minStartWait)
+	waitForTableVersion(t, leaf, "b", 1, minStartWait)
 	oldest := time.Duration(0)
 	for range 900 {
 		time.Sleep(10 * time.Millisecond)
--- a/process/state/epoch.go
+++ b/process/state/epoch.go
@@ -10,7 +10,7 @@
 const numberBits = 44
 
 // MostEpoch is the largest epoch.
-const MostEpoch = 1<<(63-numberBits) - 1
+const MaxEpoch = 1<<(63-numberBits) - 1
 
 // VersionOf returns the version of a number that a store gave out in an epoch.
 func VersionOf(epoch, number int64) int64 { return epoch<<numberBits | number }
--- a/process/state/epoch_test.go
+++ b/process/state/epoch_test.go
@@ -14,18 +14,18 @@
 )
 
 // goingBack is a store that may come back from an older copy.
-type goingBack struct {
+type revertingStore struct {
 	epoch, number int64
 	log           []Row
 }
 
-func (s *goingBack) write(key, value string) {
+func (s *revertingStore) write(key, value string) {
 	s.number++
-	s.log = append(s.log, Row{Key: key, Value: []byte(value), Version: VersionOf(s.epoch, s.number), Gone: value == ""})
+	s.log = append(s.log, Row{Key: key, Value: []byte(value), Version: VersionOf(s.epoch, s.number), Deleted: value == ""})
 }
 
 // goBack loses all after a number.
-func (s *goingBack) goBack(number int64) {
+func (s *revertingStore) revert(number int64) {
 	s.epoch++
 	s.number = number
 	kept := s.log[:0]
@@ -38,17 +38,17 @@
 	s.log = kept
 }
 
-func (s *goingBack) version() int64 { return VersionOf(s.epoch, s.number) }
+func (s *revertingStore) version() int64 { return VersionOf(s.epoch, s.number) }
 
 // read returns the whole table.
-func (s *goingBack) read() Delta {
+func (s *revertingStore) read() Delta {
 	last := make(map[string]Row)
 	for _, r := range s.log {
 		last[r.Key] = r
 	}
-	d := Delta{Whole: true, Version: s.version()}
+	d := Delta{Full: true, Version: s.version()}
 	for _, r := range last {
-		if !r.Gone {
+		if !r.Deleted {
 			d.Rows = append(d.Rows, r)
 		}
 	}
@@ -56,7 +56,7 @@
 }
 
 // changes returns what a table takes up that asks the store as a follower does.
-func (s *goingBack) changes(t *Table) Delta {
+func (s *revertingStore) changes(t *Table) Delta {
 	after, known := t.Version()
 	if !known || Epoch(after) != s.epoch {
 		return s.read()
@@ -81,13 +81,13 @@
 // TestTablesFollowAStoreThatGoesBack guards against tables that keep the lost history alive or tell
 // it on, and against a copy that takes back what was known before it was written again. Tables
 // learn from the store or from each other, while the store writes, and goes back now and then.
-func TestTablesFollowAStoreThatGoesBack(t *testing.T) {
-	hold := Hold{Missing: 2 * time.Second, Older: 10 * time.Second}
+func TestTablesConvergeAfterStoreReverts(t *testing.T) {
+	hold := Retention{Missing: 2 * time.Second, Reverted: 10 * time.Second}
 	rapid.Check(t, func(r *rapid.T) {
-		store := &goingBack{epoch: 1}
+		store := &revertingStore{epoch: 1}
 		tables := make([]*Table, 4)
 		for i := range tables {
-			tables[i] = NewHoldingTable(hold)
+			tables[i] = NewRetainingTable(hold)
 		}
 		now := time.Hour
 		// Each value tells when it was written, so that an older one is told from a newer one.
@@ -132,18 +132,18 @@
 				follower.Apply(store.changes(follower), now)
 			}
 			before := values(follower)
-			for key := range follower.Held() { // since the drill before, and maybe not for long any more
+			for key := range follower.Retained() { // since the drill before, and maybe not for long any more
 				delete(before, key)
 				unsure[key] = true
 			}
 			copied := store.number - int64(rapid.IntRange(0, 6).Draw(r, "lost versions"))
 			for _, row := range store.log {
-				if Number(row.Version) > copied && !row.Gone {
+				if Number(row.Version) > copied && !row.Deleted {
 					lost[row.Key] = before[row.Key]
 				}
 			}
 			written := make(map[string]bool)
-			store.goBack(max(0, copied))
+			store.revert(max(0, copied))
 			back = now
 			from := len(store.log)
 			for range rapid.IntRange(0, 6).Draw(r, "steps after") {
@@ -164,7 +164,7 @@
 				follower.Apply(store.changes(follower), now)
 			}
 		}
-		now += hold.Older + time.Second
+		now += hold.Reverted + time.Second
 		want := make(map[string]string)
 		for _, row := range store.read().Rows {
 			want[row.Key] = string(row.Value)
@@ -175,7 +175,7 @@
 			x.Apply(tables[i].Since(after, now), now)
 		}
 		for i, x := range tables {
-			now += hold.Older + time.Second
+			now += hold.Reverted + time.Second
 			x.Apply(Delta{Version: store.version()}, now)
 			assert.DeepEqual(r, values(x), want)
 			v, _ := x.Version()
@@ -188,31 +188,31 @@
 
 // TestHeldRowTellsWhatTheStoreHas guards against writes on the condition of a version that the
 // store has lost.
-func TestHeldRowTellsWhatTheStoreHas(t *testing.T) {
-	x := NewHoldingTable(Hold{})
+func TestRetainedRowsReportStoreVersion(t *testing.T) {
+	x := NewRetainingTable(Retention{})
 	now := time.Hour
-	x.Apply(Delta{Whole: true, Version: VersionOf(1, 50), Rows: []Row{{Key: "a", Value: []byte("1"), Version: VersionOf(1, 40)}}}, now)
+	x.Apply(Delta{Full: true, Version: VersionOf(1, 50), Rows: []Row{{Key: "a", Value: []byte("1"), Version: VersionOf(1, 40)}}}, now)
 	x.Apply(Delta{Version: VersionOf(1, 60), Rows: []Row{
 		{Key: "a", Value: []byte("2"), Version: VersionOf(1, 60)}, {Key: "b", Value: []byte("3"), Version: VersionOf(1, 60)},
 	}}, now)
-	x.Apply(Delta{Whole: true, Version: VersionOf(2, 55), Rows: []Row{{Key: "a", Value: []byte("1"), Version: VersionOf(2, 40)}}}, now)
+	x.Apply(Delta{Full: true, Version: VersionOf(2, 55), Rows: []Row{{Key: "a", Value: []byte("1"), Version: VersionOf(2, 40)}}}, now)
 	rows := x.Rows()
 	assert.Equal(t, len(rows), 2)
 	assert.Equal(t, string(rows[0].Value), "2")
-	assert.DeepEqual(t, x.Held(), map[string]int64{"a": VersionOf(2, 40), "b": VersionOf(2, 0)})
+	assert.DeepEqual(t, x.Retained(), map[string]int64{"a": VersionOf(2, 40), "b": VersionOf(2, 0)})
 	x.Apply(Delta{Rows: []Row{{Key: "b", Value: []byte("3"), Version: VersionOf(2, 56)}}}, now+time.Hour)
-	assert.DeepEqual(t, x.Held(), map[string]int64{"a": VersionOf(2, 40)})
+	assert.DeepEqual(t, x.Retained(), map[string]int64{"a": VersionOf(2, 40)})
 }
 
 // TestOlderEpochIsNoConfirmation guards against instances that missed that the store went back, and
 // whose word would count as that of the store.
-func TestOlderEpochIsNoConfirmation(t *testing.T) {
+func TestOlderEpochDoesNotConfirm(t *testing.T) {
 	x := NewTable()
-	x.Apply(Delta{Whole: true, Version: VersionOf(2, 10)}, time.Hour)
+	x.Apply(Delta{Full: true, Version: VersionOf(2, 10)}, time.Hour)
 	changed := x.Apply(Delta{Version: VersionOf(1, 90), Rows: []Row{{Key: "a", Version: VersionOf(1, 90)}}}, 2*time.Hour)
 	assert.Assert(t, !changed)
-	assert.Equal(t, x.Confirmed(), time.Hour)
+	assert.Equal(t, x.ConfirmedAt(), time.Hour)
 	assert.Equal(t, len(x.Rows()), 0)
 	d := x.Since(VersionOf(1, 90), 2*time.Hour)
-	assert.Assert(t, d.Whole, "whoever asks from an older epoch may have rows that are gone")
+	assert.Assert(t, d.Full, "whoever asks from an older epoch may have rows that are gone")
 }
--- a/process/state/want.go
+++ b/process/state/want.go
@@ -8,13 +8,13 @@
 )
 
 // wants remembers since when tables are wanted. The zero value is ready.
-type wants struct {
+type subscriptions struct {
 	mu    sync.Mutex
 	since map[string]time.Duration // by name of the table; not there: it is not wanted
 }
 
 // note takes up whether a table is wanted, and returns since when it is.
-func (w *wants) note(name string, wanted bool, now time.Duration) time.Duration {
+func (w *subscriptions) update(name string, wanted bool, now time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !wanted {
@@ -33,25 +33,25 @@
 }
 
 // wanted reports whether a table is to be kept new.
-func (f *Follower) wanted(name string) bool { return f.Wanted == nil || f.Wanted(name) }
+func (f *Follower) subscribed(name string) bool { return f.Subscribed == nil || f.Subscribed(name) }
 
 // wantAtStart notes that what is wanted at the start has no grace: there is nothing to
 // serve by without it.
-func (f *Follower) wantAtStart() {
+func (f *Follower) subscribeAtStart() {
 	for name := range f.Tables {
-		if f.wanted(name) {
-			f.wants.note(name, true, f.Now()-wantedGrace)
+		if f.subscribed(name) {
+			f.subscriptions.update(name, true, f.Now()-subscribeGrace)
 		}
 	}
 }
 
 // counts reports whether a table that is not known, or not confirmed lately, matters:
 // it is wanted, and there was time for others to tell it.
-func (f *Follower) counts(name string, now time.Duration) bool {
-	if f.Wanted == nil {
+func (f *Follower) required(name string, now time.Duration) bool {
+	if f.Subscribed == nil {
 		return true
 	}
-	wanted := f.Wanted(name)
-	since := f.wants.note(name, wanted, now)
-	return wanted && now-since >= wantedGrace
+	wanted := f.Subscribed(name)
+	since := f.subscriptions.update(name, wanted, now)
+	return wanted && now-since >= subscribeGrace
 }
--- a/process/state/want_test.go
+++ b/process/state/want_test.go
@@ -14,62 +14,64 @@
 )
 
 // byTable is a store that counts the questions for each of its tables.
-type byTable struct {
+type countingStore struct {
 	mu     sync.Mutex
-	tables map[string]*script
-	asked  map[string]int
+	tables map[string]*fakeSource
+	calls  map[string]int
 }
 
-func (b *byTable) of(table string) *script {
+func (b *countingStore) table(table string) *fakeSource {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.asked[table]++
+	b.calls[table]++
 	return b.tables[table]
 }
 
-func (b *byTable) Read(ctx context.Context, table string) (Delta, error) {
-	return b.of(table).answer(ctx, 0, 0)
+func (b *countingStore) Read(ctx context.Context, table string) (Delta, error) {
+	return b.table(table).respond(ctx, 0, 0)
 }
 
-func (b *byTable) Changes(ctx context.Context, table string, after int64, wait time.Duration) (Delta, error) {
-	return b.of(table).answer(ctx, after, wait)
+func (b *countingStore) Changes(ctx context.Context, table string, after int64, wait time.Duration) (Delta, error) {
+	return b.table(table).respond(ctx, after, wait)
 }
 
-func (b *byTable) count(table string) int {
+func (b *countingStore) count(table string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.asked[table]
+	return b.calls[table]
 }
 
 // wantedSite is a relay of two tables, one of which is followed on demand, and a
 // follower that learns from it.
-type wantedSite struct {
-	store       *byTable
-	relay, leaf *Follower
-	wanted      atomic.Bool // by both
-	leafAsks    *script     // the store as the leaf sees it
+type subscriptionFixture struct {
+	store             *countingStore
+	relay, leaf       *Follower
+	subscribeOptional atomic.Bool // by both
+	leafStore         *fakeSource // the store as the leaf sees it
 }
 
-func (w *wantedSite) wants(table string) bool { return table == "always" || w.wanted.Load() }
+func (w *subscriptionFixture) subscribed(table string) bool {
+	return table == "always" || w.subscribeOptional.Load()
+}
 
-func followWanted(t *testing.T) *wantedSite {
+func startSubscriptionFixture(t *testing.T) *subscriptionFixture {
 	t.Helper()
 	begun := time.Now()
 	now := func() time.Duration { return time.Since(begun) + time.Hour }
-	w := &wantedSite{
-		store:    &byTable{tables: make(map[string]*script), asked: make(map[string]int)},
-		leafAsks: &script{table: NewTable(), now: now},
+	w := &subscriptionFixture{
+		store:     &countingStore{tables: make(map[string]*fakeSource), calls: make(map[string]int)},
+		leafStore: &fakeSource{table: NewTable(), now: now},
 	}
 	for _, name := range []string{"always", "wanted"} {
-		w.store.tables[name] = &script{table: NewTable(), now: now}
-		w.store.tables[name].table.Apply(Delta{Rows: []Row{row("a", 1)}, Version: 1, Whole: true}, now())
+		w.store.tables[name] = &fakeSource{table: NewTable(), now: now}
+		w.store.tables[name].table.Apply(Delta{Rows: []Row{row("a", 1)}, Version: 1, Full: true}, now())
 	}
 	tables := func() map[string]*Table {
 		return map[string]*Table{"always": NewTable(), "wanted": NewTable()}
 	}
-	alone := &script{relay: true, noPeers: true}
-	w.relay = &Follower{Store: w.store, Peers: peerScript{alone}, Tables: tables(), Log: zerolog.Nop(), Now: now, Wanted: w.wants}
-	w.leaf = &Follower{Store: w.leafAsks, Peers: chain{w.relay}, Tables: tables(), Log: zerolog.Nop(), Now: now, Wanted: w.wants}
+	alone := &fakeSource{relay: true, noPeers: true}
+	w.relay = &Follower{Store: w.store, Peers: fakePeers{alone}, Tables: tables(), Log: zerolog.Nop(), Now: now, Subscribed: w.subscribed}
+	w.leaf = &Follower{Store: w.leafStore, Peers: peerChain{w.relay}, Tables: tables(), Log: zerolog.Nop(), Now: now, Subscribed: w.subscribed}
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	all.Go(func() { w.relay.Run(ctx) })
@@ -82,11 +84,11 @@
 }
 
 // reachesTable waits until a follower's table has a version.
-func reachesTable(t *testing.T, f *Follower, table string, version int64, within time.Duration) {
+func waitForTableVersion(t *testing.T, f *Follower, table string, version int64, within time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	f.Tables[table].Await(ctx, version-1)
+	f.Tables[table].AwaitVersion(ctx, version-1)
 	got, _ := f.Tables[table].Version()
 	assert.Assert(t, got >= version, "table %s at version %d", table, got)
 }
@@ -94,55 +96,55 @@
 // TestTableThatIsNotWantedCostsNoCall checks that nobody asks the store for a table
 // that is not wanted, also when it was and is no more, and that a follower is neither
 // stale nor in a hurry for want of it.
-func TestTableThatIsNotWantedCostsNoCall(t *testing.T) {
-	w := followWanted(t)
-	reachesTable(t, w.leaf, "always", 1, time.Second)
-	time.Sleep(startMost + staleAfter)
+func TestUnsubscribedTableCausesNoStoreCalls(t *testing.T) {
+	w := startSubscriptionFixture(t)
+	waitForTableVersion(t, w.leaf, "always", 1, time.Second)
+	time.Sleep(maxStartWait + staleAfter)
 	assert.Equal(t, w.store.count("wanted"), 0)
-	assert.Equal(t, w.leafAsks.count(), 0)
+	assert.Equal(t, w.leafStore.count(), 0)
 	for _, f := range []*Follower{w.relay, w.leaf} {
-		assert.Assert(t, !f.Stale() && f.known())
+		assert.Assert(t, !f.Stale() && f.allKnown())
 		assert.Assert(t, f.Age() < staleAfter, "%s", f.Age())
 	}
-	w.wanted.Store(true)
-	reachesTable(t, w.leaf, "wanted", 1, time.Second)
-	w.wanted.Store(false)
-	time.Sleep(storeWait + relaySlack) // a question that is held
+	w.subscribeOptional.Store(true)
+	waitForTableVersion(t, w.leaf, "wanted", 1, time.Second)
+	w.subscribeOptional.Store(false)
+	time.Sleep(maxStorePoll + relayResponseSlack) // a question that is held
 	before := w.store.count("wanted")
 	time.Sleep(staleAfter + time.Second)
 	assert.Equal(t, w.store.count("wanted"), before)
-	assert.Equal(t, w.leafAsks.count(), 0)
+	assert.Equal(t, w.leafStore.count(), 0)
 	assert.Assert(t, !w.relay.Stale() && !w.leaf.Stale())
 }
 
 // TestWantedTableComesAlongTheTree checks that only the relay asks the store for a
 // table that is wanted of a sudden, even if it was wanted before and is old by now,
 // and that changes of it reach the others.
-func TestWantedTableComesAlongTheTree(t *testing.T) {
-	w := followWanted(t)
-	reachesTable(t, w.leaf, "always", 1, time.Second)
+func TestSubscribedTableArrivesThroughTree(t *testing.T) {
+	w := startSubscriptionFixture(t)
+	waitForTableVersion(t, w.leaf, "always", 1, time.Second)
 	for v := int64(2); v < 4; v++ {
-		w.wanted.Store(true)
-		reachesTable(t, w.leaf, "wanted", v-1, time.Second)
+		w.subscribeOptional.Store(true)
+		waitForTableVersion(t, w.leaf, "wanted", v-1, time.Second)
 		w.store.tables["wanted"].write(v)
-		reachesTable(t, w.leaf, "wanted", v, time.Second)
+		waitForTableVersion(t, w.leaf, "wanted", v, time.Second)
 		assert.Assert(t, !w.leaf.Stale() && w.leaf.Age() < staleAfter)
-		time.Sleep(wantedGrace + staleAfter)
+		time.Sleep(subscribeGrace + staleAfter)
 		assert.Assert(t, !w.leaf.Stale() && w.leaf.Age() < staleAfter)
-		w.wanted.Store(false)
+		w.subscribeOptional.Store(false)
 		time.Sleep(staleAfter)
 	}
 	assert.Assert(t, w.store.count("wanted") > 0)
-	assert.Equal(t, w.leafAsks.count(), 0)
+	assert.Equal(t, w.leafStore.count(), 0)
 }
 
 // TestWantedTableThatNobodyTellsIsAskedFor checks that an instance that learns of no
 // one what it wants asks the store itself in bounded time.
-func TestWantedTableThatNobodyTellsIsAskedFor(t *testing.T) {
-	w := followWanted(t)
-	reachesTable(t, w.leaf, "always", 1, time.Second)
-	w.store.tables["wanted"].set(func(s *script) { s.silent = true })
-	w.leafAsks.table.Apply(Delta{Rows: []Row{row("a", 7)}, Version: 7, Whole: true}, w.leaf.Now())
-	w.wanted.Store(true)
-	reachesTable(t, w.leaf, "wanted", 7, wantedGrace+time.Second)
+func TestSubscribedTableMissingAtPeersIsQueriedFromStore(t *testing.T) {
+	w := startSubscriptionFixture(t)
+	waitForTableVersion(t, w.leaf, "always", 1, time.Second)
+	w.store.tables["wanted"].set(func(s *fakeSource) { s.unresponsive = true })
+	w.leafStore.table.Apply(Delta{Rows: []Row{row("a", 7)}, Version: 7, Full: true}, w.leaf.Now())
+	w.subscribeOptional.Store(true)
+	waitForTableVersion(t, w.leaf, "wanted", 7, subscribeGrace+time.Second)
 }
--- a/process/state/without_test.go
+++ b/process/state/without_test.go
@@ -14,21 +14,21 @@
 
 // TestSpareInstancesGetNoRowsTheyDecline counts the rows that instances of a fleet get while backend
 // servers come, where one in ten is sent callers: each row went to all.
-func TestSpareInstancesGetNoRowsTheyDecline(t *testing.T) {
+func TestExcludedTablesAreNotSent(t *testing.T) {
 	const rows, oneIn = 50, 10
 	for _, instances := range []int{100, 400} {
 		now := time.Hour
 		head := &Follower{Log: zerolog.Nop(), Now: func() time.Duration { return now }, Tables: map[string]*Table{"b": NewTable(), "o": NewTable()}}
-		head.Tables["o"].Apply(Delta{Whole: true, Version: 1, Rows: []Row{{Key: "x", Version: 1}}}, now)
-		head.Tables["b"].Apply(Delta{Whole: true, Version: 1}, now)
+		head.Tables["o"].Apply(Delta{Full: true, Version: 1, Rows: []Row{{Key: "x", Version: 1}}}, now)
+		head.Tables["b"].Apply(Delta{Full: true, Version: 1}, now)
 		for n := range rows {
 			head.Tables["b"].Apply(Delta{Version: int64(n + 2), Rows: []Row{{Key: fmt.Sprint(n), Version: int64(n + 2)}}}, now)
 		}
 		got, whole := 0, 0
 		for i := range instances {
 			f := &Follower{Now: head.Now, Tables: map[string]*Table{"b": NewTable(), "o": NewTable()}}
-			f.Declines = func(table string) bool { return table == "b" && i%oneIn != 0 }
-			for name, d := range head.Answer(context.Background(), f.question()) {
+			f.Excluded = func(table string) bool { return table == "b" && i%oneIn != 0 }
+			for name, d := range head.Respond(context.Background(), f.query()) {
 				f.Tables[name].Apply(d, now)
 			}
 			_, known := f.Tables["o"].Version()
@@ -45,18 +45,18 @@
 
 // TestDeclinedTableIsNoNews checks that changes of a table that is declined do not answer a
 // question that is held.
-func TestDeclinedTableIsNoNews(t *testing.T) {
+func TestExcludedTableDoesNotEndPoll(t *testing.T) {
 	now := time.Hour
 	f := &Follower{Now: func() time.Duration { return now }, Tables: map[string]*Table{"b": NewTable(), "o": NewTable()}}
 	for _, table := range f.Tables {
-		table.Apply(Delta{Whole: true, Version: 1}, now)
+		table.Apply(Delta{Full: true, Version: 1}, now)
 	}
 	const wait = 50 * time.Millisecond
 	began := time.Now()
 	time.AfterFunc(wait/5, func() {
 		f.Tables["b"].Apply(Delta{Version: 2, Rows: []Row{{Key: "x", Version: 2}}}, now)
 	})
-	out := f.Answer(context.Background(), Question{After: map[string]int64{"o": 1}, Without: []string{"b"}, Wait: wait})
+	out := f.Respond(context.Background(), Query{After: map[string]int64{"o": 1}, Excluded: []string{"b"}, Wait: wait})
 	assert.Assert(t, time.Since(began) >= wait)
 	_, told := out["b"]
 	assert.Assert(t, !told)
