--- a/process/packed/packed.go
+++ b/process/packed/packed.go
@@ -3,9 +3,9 @@
 /*
 Package packed checks messages in MessagePack before they are decoded.
 
-A decoder makes room for as many elements as a message says that a list has, so a
-message of a few bytes that says four billion ends the process. Check refuses what
-says more than it can hold: each element takes a byte at least.
+A decoder allocates as many elements as a message declares for a list, so a message
+of a few bytes that declares four billion crashes the process. Check rejects messages
+that declare more elements than they can hold: each element takes at least one byte.
 */
 package packed
 
@@ -15,29 +15,29 @@
 	"github.com/juju/errors"
 )
 
-// mostDepth bounds how deep lists and maps may lie in each other.
+// maxDepth is the maximum nesting depth of lists and maps.
 const maxDepth = 16
 
-// Check reports whether the bytes are one whole value whose lists, maps and texts are no
-// longer than the bytes that are left for them.
+// Check reports an error unless the bytes are exactly one complete value in which no list, map or text
+// declares a length beyond the remaining bytes.
 func Check(b []byte) error {
 	rest, err := skipValue(b, 0)
 	if err == nil && len(rest) > 0 {
-		err = errors.Errorf("%d bytes are left", len(rest))
+		err = errors.Errorf("%d trailing bytes after the value", len(rest))
 	}
 	return err
 }
 
-// short is the error of a value that is longer than its bytes.
-const errTruncated = errors.ConstError("a value is longer than its message")
+// errTruncated is returned for a value that is longer than the remaining bytes.
+const errTruncated = errors.ConstError("value is longer than its message")
 
-// skip returns what follows the first value.
+// skipValue returns the bytes after the first value.
 func skipValue(b []byte, depth int) ([]byte, error) {
 	if len(b) == 0 {
 		return nil, errTruncated
 	}
 	if depth > maxDepth {
-		return nil, errors.New("lists lie too deep in each other")
+		return nil, errors.New("lists and maps are nested too deeply")
 	}
 	c, b := b[0], b[1:]
 	switch {
@@ -50,29 +50,29 @@
 	case c <= 0xbf:
 		return skipBytes(b, int(c&0x1f))
 	}
-	f, known := headers[c]
+	h, known := headers[c]
 	if !known {
-		return nil, errors.Errorf("byte %#x begins no value", c)
+		return nil, errors.Errorf("byte %#x does not start a value", c)
 	}
-	if len(b) < f.lengthBytes {
+	if len(b) < h.lengthBytes {
 		return nil, errTruncated
 	}
-	n := decodeLength(b[:f.lengthBytes])
-	b = b[f.lengthBytes:]
+	n := decodeLength(b[:h.lengthBytes])
+	b = b[h.lengthBytes:]
 	switch {
-	case f.valuesPerElement > 0:
+	case h.valuesPerElement > 0:
 		if n > len(b) {
 			return nil, errTruncated
 		}
-		return skipElements(b, f.valuesPerElement*n, depth)
-	case f.lengthBytes > 0:
-		return skipBytes(b, n+f.extraBytes)
+		return skipElements(b, h.valuesPerElement*n, depth)
+	case h.lengthBytes > 0:
+		return skipBytes(b, n+h.extraBytes)
 	}
-	return skipBytes(b, f.extraBytes)
+	return skipBytes(b, h.extraBytes)
 }
 
-// format is how the value that begins with a byte goes on: a length of size bytes, then as
-// many values times each, or as many bytes, and more bytes besides.
+// header describes what follows the first byte of a value: a length of lengthBytes bytes, then
+// valuesPerElement times that many values, or as many bytes, plus extraBytes bytes.
 type header struct{ lengthBytes, valuesPerElement, extraBytes int }
 
 var headers = map[byte]header{
@@ -99,7 +99,7 @@
 	return 0
 }
 
-// elements skips n values.
+// skipElements skips n values.
 func skipElements(b []byte, n, depth int) ([]byte, error) {
 	if n > len(b) {
 		return nil, errTruncated
@@ -113,7 +113,7 @@
 	return b, nil
 }
 
-// drop skips n bytes.
+// skipBytes skips n bytes.
 func skipBytes(b []byte, n int) ([]byte, error) {
 	if n > len(b) {
 		return nil, errTruncated
--- a/process/packed/packed_test.go
+++ b/process/packed/packed_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestWhatIsEncodedIsWhole checks values of all kinds, and each of their beginnings, which
-// are not.
+// TestEncodedValuesAreAccepted encodes values of all kinds, and checks that the encoding is accepted, and
+// truncated or extended encodings are rejected.
 func TestEncodedValuesAreAccepted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := struct {
@@ -36,7 +36,7 @@
 	})
 }
 
-// TestListLongerThanItsMessageIsRefused checks lists and maps that say more than there is.
+// TestOversizedLengthsAreRejected checks lists, maps and bytes that declare more than they contain.
 func TestOversizedLengthsAreRejected(t *testing.T) {
 	for _, text := range []string{
 		"\x92\xc2\xdd\xeb\xe5\xf7\x38\x00", "\xdd\xff\xff\xff\xff", "\xdf\xff\xff\xff\xff\x00", "\xdc\xff\xff", "\xc6\xff\xff\xff\xff", "\xc1", "",
@@ -46,7 +46,7 @@
 	}
 }
 
-// FuzzCheck decodes what passes: it must not take more than the bytes explain.
+// FuzzCheck decodes what Check accepts: the result must not be larger than the input can explain.
 func FuzzCheck(f *testing.F) {
 	f.Add([]byte("\x93\x01\xa1a\xc0"))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -54,7 +54,7 @@
 			return
 		}
 		var out []struct{ A, B, C uint64 }
-		_ = msgpack.Unmarshal(text, &out) // it may be of another type
+		_ = msgpack.Unmarshal(text, &out) // the value may be of another type
 		assert.Assert(t, len(out) <= len(text))
 	})
 }
--- a/process/state/confirm_test.go
+++ b/process/state/confirm_test.go
@@ -12,21 +12,21 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestConfirmationBetweenTwoQuestionsIsHeardOf lets the store confirm one table of a relay
-// right after another one, while whoever learned of the first gathers before it asks again:
-// it must not wait for the next confirmation to hear of the second, or it is taken for stale
-// and asks the store itself.
+// TestConfirmationBetweenQueriesIsReported lets the store confirm one table of a relay right after
+// another, while the instance that learned of the first delays its next query to batch changes. It must
+// not wait for the next confirmation to learn of the second: its table would look stale, and it would
+// query the store itself.
 func TestConfirmationBetweenQueriesIsReported(t *testing.T) {
 	const (
-		period = 1800 * time.Millisecond // less than storeWait
-		after  = minBatchDelay / 2
+		period = 1800 * time.Millisecond // less than maxStorePoll
+		offset = minBatchDelay / 2
 	)
-	begun := time.Now()
-	now := func() time.Duration { return time.Since(begun) + time.Hour }
+	started := time.Now()
+	now := func() time.Duration { return time.Since(started) + time.Hour }
 	tables := func() map[string]*Table { return map[string]*Table{"a": NewTable(), "b": NewTable()} }
 	relay := &Follower{Tables: tables(), Log: zerolog.Nop(), Now: now}
-	quiet := &fakeSource{table: NewTable(), now: now}
-	leaf := &Follower{Store: quiet, Peers: peerChain{relay}, Tables: tables(), Log: zerolog.Nop(), Now: now}
+	unusedStore := &fakeSource{table: NewTable(), now: now}
+	leaf := &Follower{Store: unusedStore, Peers: peerChain{relay}, Tables: tables(), Log: zerolog.Nop(), Now: now}
 	confirm := func(name string) {
 		relay.Tables[name].Apply(Delta{Rows: []Row{row("x", 1)}, Version: 1, Full: true}, now())
 	}
@@ -36,9 +36,9 @@
 	all.Go(func() {
 		for ctx.Err() == nil {
 			confirm("a")
-			time.Sleep(after)
+			time.Sleep(offset)
 			confirm("b")
-			time.Sleep(period - after)
+			time.Sleep(period - offset)
 		}
 	})
 	defer all.Wait()
@@ -52,5 +52,5 @@
 	}
 	t.Logf("the oldest confirmation was %s old", oldest)
 	assert.Assert(t, oldest < period+400*time.Millisecond, "%s", oldest)
-	assert.Equal(t, quiet.count(), 0)
+	assert.Equal(t, unusedStore.count(), 0)
 }
--- a/process/state/doc.go
+++ b/process/state/doc.go
@@ -1,28 +1,29 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package state holds what an instance knows of the tables that decide how it
-steers, and keeps it new.
+Package state replicates the tables that an instance makes its routing decisions
+from, and keeps them up to date.
 
-A Table is a set of rows, each with the version of the transaction that last
-wrote it. A Table only ever moves forward: a row is replaced by a row of a
-higher version, never by a lower one, and what is older than the table as a
-whole is not taken up. So it does not matter from whom a row is learned.
+A Table is a set of rows, each with the version of the transaction that last wrote
+it. A Table only moves forward: a row is replaced only by a row of a higher version,
+and deltas older than the table as a whole are ignored. So it does not matter which
+source a row comes from.
 
-A store may come back from an older copy and give versions out again. Its epoch rises then, and a
-Version has the epoch in its high bits (VersionOf), so that the later history counts
-everywhere. What a table had is held until it is written again, for a bounded time (Hold).
+A store may be restored from an older copy and assign versions a second time. Its
+epoch increases then. A Version holds the epoch in its high bits (VersionOf), so
+that the later history prevails everywhere. What a table had before is retained
+until it is written again, for a bounded time (Retention).
 
-A Source is where rows come from: a store, or another instance. Both are
-asked the same question, "what has changed after this version", and both
-answer with a Delta, which says how old it is.
+A source of rows is the store or another instance. Both are sent the same query,
+"what has changed after this version", and both respond with a Delta, which says
+how old it is.
 
-A Follower keeps the tables of one process new. Few instances (relays) ask the
-store; the others ask instances that are nearer to it, two at a time. An instance
-that no source has confirmed for a while asks the store itself, so that it depends
-on no other instance, and an instance that the store does not answer learns from
-the others. At its start an instance waits for others a bounded time, so that the
-store is asked by few though all start at once. A table that is not wanted at
-present costs no call (Follower.Wanted).
+A Follower keeps the tables of one process up to date. Few instances (relays) query
+the store; the others query instances closer to it, two at a time. An instance
+whose tables no source has confirmed for a while queries the store itself, so that
+it depends on no other instance, and an instance that the store does not answer
+gets the tables from the others. At its start an instance waits a bounded time for
+others, so that few query the store even if all start at once. A table that the
+instance does not subscribe to at present causes no calls (Follower.Subscribed).
 */
 package state
--- a/process/state/epoch_test.go
+++ b/process/state/epoch_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// goingBack is a store that may come back from an older copy.
+// revertingStore is a store that can be restored from an older copy.
 type revertingStore struct {
 	epoch, number int64
 	log           []Row
@@ -24,7 +24,7 @@
 	s.log = append(s.log, Row{Key: key, Value: []byte(value), Version: VersionOf(s.epoch, s.number), Deleted: value == ""})
 }
 
-// goBack loses all after a number.
+// revert discards all writes after a number and begins a new epoch.
 func (s *revertingStore) revert(number int64) {
 	s.epoch++
 	s.number = number
@@ -40,7 +40,7 @@
 
 func (s *revertingStore) version() int64 { return VersionOf(s.epoch, s.number) }
 
-// read returns the whole table.
+// read returns the full table.
 func (s *revertingStore) read() Delta {
 	last := make(map[string]Row)
 	for _, r := range s.log {
@@ -55,7 +55,7 @@
 	return d
 }
 
-// changes returns what a table takes up that asks the store as a follower does.
+// changes returns the delta that a table gets if it queries the store like a follower.
 func (s *revertingStore) changes(t *Table) Delta {
 	after, known := t.Version()
 	if !known || Epoch(after) != s.epoch {
@@ -78,38 +78,38 @@
 	return out
 }
 
-// TestTablesFollowAStoreThatGoesBack guards against tables that keep the lost history alive or tell
-// it on, and against a copy that takes back what was known before it was written again. Tables
-// learn from the store or from each other, while the store writes, and goes back now and then.
+// TestTablesConvergeAfterStoreReverts guards against tables that keep or spread the lost history, and
+// against a restored copy that replaces what was known before it was written again. Tables get deltas
+// from the store or from each other, while the store is written to and reverts now and then.
 func TestTablesConvergeAfterStoreReverts(t *testing.T) {
-	hold := Retention{Missing: 2 * time.Second, Reverted: 10 * time.Second}
+	retention := Retention{Missing: 2 * time.Second, Reverted: 10 * time.Second}
 	rapid.Check(t, func(r *rapid.T) {
 		store := &revertingStore{epoch: 1}
 		tables := make([]*Table, 4)
 		for i := range tables {
-			tables[i] = NewRetainingTable(hold)
+			tables[i] = NewRetainingTable(retention)
 		}
 		now := time.Hour
-		// Each value tells when it was written, so that an older one is told from a newer one.
+		// Each value is the serial number of its write, which tells older from newer ones.
 		serial := 0
 		lost := make(map[string]string)
-		back := time.Duration(0)
-		unsure := make(map[string]bool)
+		revertedAt := time.Duration(0)
+		mayExpire := make(map[string]bool)
 		step := func() {
 			now += time.Duration(rapid.IntRange(1, 400).Draw(r, "ms")) * time.Millisecond
 			x := tables[rapid.IntRange(0, len(tables)-1).Draw(r, "table")]
-			switch rapid.IntRange(0, 9).Draw(r, "what") {
+			switch rapid.IntRange(0, 9).Draw(r, "operation") {
 			case 0, 1:
 				key := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(r, "key")
 				serial++
 				value := fmt.Sprint(serial)
-				if rapid.IntRange(0, 4).Draw(r, "gone") == 0 {
+				if rapid.IntRange(0, 4).Draw(r, "deleted") == 0 {
 					value = ""
 				}
 				store.write(key, value)
 				delete(lost, key)
 			case 2:
-				for _, key := range slices.Sorted(maps.Keys(lost)) { // its writer writes it again
+				for _, key := range slices.Sorted(maps.Keys(lost)) { // its writer repeats the write
 					store.write(key, lost[key])
 					delete(lost, key)
 					break
@@ -124,7 +124,7 @@
 				}
 			}
 		}
-		for range rapid.IntRange(1, 3).Draw(r, "drills") {
+		for range rapid.IntRange(1, 3).Draw(r, "rounds") {
 			follower := tables[0]
 			follower.Apply(store.changes(follower), now)
 			for range rapid.IntRange(0, 40).Draw(r, "steps") {
@@ -132,39 +132,39 @@
 				follower.Apply(store.changes(follower), now)
 			}
 			before := values(follower)
-			for key := range follower.Retained() { // since the drill before, and maybe not for long any more
+			for key := range follower.Retained() { // retained since the previous round, and may expire soon
 				delete(before, key)
-				unsure[key] = true
+				mayExpire[key] = true
 			}
-			copied := store.number - int64(rapid.IntRange(0, 6).Draw(r, "lost versions"))
+			copyNumber := store.number - int64(rapid.IntRange(0, 6).Draw(r, "lost versions"))
 			for _, row := range store.log {
-				if Number(row.Version) > copied && !row.Deleted {
+				if Number(row.Version) > copyNumber && !row.Deleted {
 					lost[row.Key] = before[row.Key]
 				}
 			}
 			written := make(map[string]bool)
-			store.revert(max(0, copied))
-			back = now
+			store.revert(max(0, copyNumber))
+			revertedAt = now
 			from := len(store.log)
-			for range rapid.IntRange(0, 6).Draw(r, "steps after") {
+			for range rapid.IntRange(0, 6).Draw(r, "steps after revert") {
 				step()
 				for _, row := range store.log[min(from, len(store.log)):] {
 					written[row.Key] = true
 				}
 				for key, value := range values(follower) {
-					if now-back < hold.Missing && !written[key] && !unsure[key] && value != before[key] {
-						r.Fatalf("%s is %q, was %q, and nobody has written it since", key, value, before[key])
+					if now-revertedAt < retention.Missing && !written[key] && !mayExpire[key] && value != before[key] {
+						r.Fatalf("%s is %q, was %q, and was not written since", key, value, before[key])
 					}
 				}
 				for key, value := range before {
-					if now-back < hold.Missing && !written[key] && values(follower)[key] != value {
-						r.Fatalf("%s is gone, was %q, and nobody has written it since", key, value)
+					if now-revertedAt < retention.Missing && !written[key] && values(follower)[key] != value {
+						r.Fatalf("%s is missing, was %q, and was not written since", key, value)
 					}
 				}
 				follower.Apply(store.changes(follower), now)
 			}
 		}
-		now += hold.Reverted + time.Second
+		now += retention.Reverted + time.Second
 		want := make(map[string]string)
 		for _, row := range store.read().Rows {
 			want[row.Key] = string(row.Value)
@@ -175,19 +175,19 @@
 			x.Apply(tables[i].Since(after, now), now)
 		}
 		for i, x := range tables {
-			now += hold.Reverted + time.Second
+			now += retention.Reverted + time.Second
 			x.Apply(Delta{Version: store.version()}, now)
 			assert.DeepEqual(r, values(x), want)
 			v, _ := x.Version()
 			if v != store.version() {
-				r.Fatalf("table %d is at %d, the store at %d", i, v, store.version())
+				r.Fatalf("table %d is at version %d, the store at %d", i, v, store.version())
 			}
 		}
 	})
 }
 
-// TestHeldRowTellsWhatTheStoreHas guards against writes on the condition of a version that the
-// store has lost.
+// TestRetainedRowsReportStoreVersion guards against writes that expect a version that the store has
+// lost.
 func TestRetainedRowsReportStoreVersion(t *testing.T) {
 	x := NewRetainingTable(Retention{})
 	now := time.Hour
@@ -204,8 +204,8 @@
 	assert.DeepEqual(t, x.Retained(), map[string]int64{"a": VersionOf(2, 40)})
 }
 
-// TestOlderEpochIsNoConfirmation guards against instances that missed that the store went back, and
-// whose word would count as that of the store.
+// TestOlderEpochDoesNotConfirm guards against instances that missed that the store reverted, and whose
+// deltas would count as confirmations by the store.
 func TestOlderEpochDoesNotConfirm(t *testing.T) {
 	x := NewTable()
 	x.Apply(Delta{Full: true, Version: VersionOf(2, 10)}, time.Hour)
@@ -214,5 +214,5 @@
 	assert.Equal(t, x.ConfirmedAt(), time.Hour)
 	assert.Equal(t, len(x.Rows()), 0)
 	d := x.Since(VersionOf(1, 90), 2*time.Hour)
-	assert.Assert(t, d.Full, "whoever asks from an older epoch may have rows that are gone")
+	assert.Assert(t, d.Full, "a requester of an older epoch may have rows that were deleted")
 }
--- a/process/state/follower.go
+++ b/process/state/follower.go
@@ -16,133 +16,131 @@
 	"shalewick/clock"
 )
 
-// Compacted is the error of a source that no longer has the history that was
-// asked for.
-const ErrCompacted = errors.ConstError("history is gone")
+// ErrCompacted is returned by a source that no longer has the requested history.
+const ErrCompacted = errors.ConstError("history was compacted")
 
-// Behind is the error of an answer that is older than what is known already.
-const ErrBehind = errors.ConstError("the store is behind")
+// ErrBehind is returned for a response that is older than what is already known.
+const ErrBehind = errors.ConstError("store is behind the local table")
 
-// Conflict is the error of a write that was not carried out, since some row was not at
-// the version that it was made against.
-const ErrConflict = errors.ConstError("a row has changed meanwhile")
+// ErrConflict is returned for a write that was not carried out because a row was not at its expected
+// version.
+const ErrConflict = errors.ConstError("row has changed since it was read")
 
-// Store is the source of all rows. Its methods return an error when the call
-// was not answered or was refused.
+// Store is the origin of all rows. Its methods return an error when a call was not answered or was
+// rejected.
 type Store interface {
 	// Read returns all rows of a table.
 	Read(ctx context.Context, table string) (Delta, error)
-	// Changes returns what changed after a version, as soon as something did
-	// or wait is over. It returns Compacted when it no longer knows.
+	// Changes returns the changes after a version as soon as there are any or wait is over. It
+	// returns ErrCompacted when that history is no longer available.
 	Changes(ctx context.Context, table string, after int64, wait time.Duration) (Delta, error)
 }
 
-// Peers is how a follower learns from other instances.
+// Peers gives a follower access to the other instances.
 type Peers interface {
-	// Changes asks the i-th source among the other instances for what changed in
-	// the tables. Ok is false when there is no such source.
+	// Changes queries the i-th source among the other instances for changes of the tables. Ok is
+	// false when there is no such source.
 	Changes(ctx context.Context, i int, q Query) (d map[string]Delta, ok bool, err error)
-	// Relay reports whether this instance asks the store for others.
+	// Relay reports whether this instance queries the store on behalf of others.
 	Relay() bool
-	// Head reports whether others learn the tables from this instance.
+	// Head reports whether others get the tables from this instance.
 	Head() bool
-	// StoreCalled is told whether a call of the store was answered.
+	// RecordStoreCall records whether a store call was answered.
 	RecordStoreCall(answered bool)
 }
 
-// Question is what one instance asks another one: what has changed.
+// Query is a long poll of one instance at another for changes.
 type Query struct {
-	// After are the versions that the asker knows, by table; not there: none.
+	// After are the versions that the requester has, by table; absent: none.
 	After map[string]int64
-	// Ages are how long ago these were confirmed, as far as the asker knows.
+	// Ages are the times since these were confirmed, as far as the requester knows.
 	Ages map[string]time.Duration
-	// Without are tables that the asker has no use for.
+	// Excluded are tables that the requester does not need.
 	Excluded []string
-	// Wait is how long the question may be held until there is news.
+	// Wait is how long the query may be held until there are changes.
 	Wait time.Duration
 }
 
-// Times of following.
+// Timing of replication.
 const (
-	// storeWait is how long the store may hold a question, at most.
+	// maxStorePoll is the maximum time that the store may hold a query.
 	maxStorePoll = 2 * time.Second
-	// relayWait is how long it may hold a relay's at least. What lies between
-	// is random, so that of several relays that a silent store strikes at
-	// once the first notices soon, and another instance takes its place.
+	// minRelayPoll is the minimum time that it may hold a relay's query. The actual time is random
+	// between the two, so that when the store stops answering several relays at once, the first of
+	// them notices soon and another instance takes over.
 	minRelayPoll = 1200 * time.Millisecond
-	// relaySlack is how long after its wait a relay gives an answer up, unless a
-	// question failed less than carefulFor ago: the store may be slow.
+	// relayResponseSlack is how long after its poll time a relay gives up waiting for a response,
+	// unless a query failed less than cautiousFor ago: the store may be slow.
 	relayResponseSlack = 400 * time.Millisecond
 	cautiousFor        = 10 * time.Second
-	// peerWait is how long a relay may hold a question.
+	// peerPoll is how long another instance may hold a query.
 	peerPoll = time.Second
-	// ageSlack is by how much a confirmation must be newer than what the asker knows to be
-	// news at once. Origin: relays' questions are held for relayWait at least, so that
-	// two confirmations lie further apart; less is the time on the way.
+	// minAgeGain is how much newer than the requester's a confirmation must be to be reported at
+	// once. Queries of relays are held for at least minRelayPoll, so that two confirmations are
+	// further apart than this; a smaller difference is transmission time.
 	minAgeGain = 500 * time.Millisecond
-	// answerSlack is how long after its wait an answer is given up.
+	// responseSlack is how long after its poll time a query is given up.
 	responseSlack = 700 * time.Millisecond
-	// staleAfter is the age from which an instance asks the store itself.
+	// staleAfter is the age of a table from which an instance queries the store itself.
 	staleAfter = 2700 * time.Millisecond
-	// gatherLeast and gatherMost bound how long a follower lets changes gather
-	// before it asks again: the first while changes are rare, up to the second
-	// while each answer brings some, as when many backend servers start. It saves a
-	// relay's calls of the store.
+	// minBatchDelay and maxBatchDelay bound how long a follower lets changes accumulate before the
+	// next query: the minimum while changes are rare, up to the maximum while each response brings
+	// some, as when many backend servers start. This saves a relay store calls.
 	minBatchDelay = 60 * time.Millisecond
 	maxBatchDelay = 480 * time.Millisecond
-	// retryLeast and retryMost bound the pause after a failed question, which
-	// doubles with each further one.
+	// minRetryDelay and maxRetryDelay bound the delay after a failed query, which doubles with
+	// each further failure.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 800 * time.Millisecond
-	// standbyPause is the pause after the first failed question of an instance
-	// that asks the store only because nobody else answers.
+	// standbyRetryDelay is the delay after the first failed query of an instance that queries the
+	// store only because no peer responds.
 	standbyRetryDelay = 400 * time.Millisecond
-	// sources is the number of other instances that an instance asks at a time.
+	// peerSources is the number of other instances that an instance queries concurrently.
 	peerSources = 2
-	// startLeast and startMost bound how long after its start an instance waits
-	// for others to tell it the tables before it asks the store itself, each for
-	// another time: when all start at once, a few read the tables for all.
+	// minStartWait and maxStartWait bound how long after its start an instance waits for the tables
+	// from others before it queries the store itself. The time is random, so that when all start
+	// at once a few instances read the tables for all.
 	minStartWait = 1500 * time.Millisecond
 	maxStartWait = 3 * time.Second
-	// headLeast is how long a head waits at least; it waits for twice that at most.
-	// A relay that runs answers sooner, and one that has no power not for 0.4 s.
+	// minHeadWait is the minimum of that time for a head; the maximum is twice as long. A running
+	// relay responds sooner; one without power gives no response for 0.4 s.
 	minHeadWait = 40 * time.Millisecond
-	// idlePoll is the pause between two looks at whether the store has to be
-	// asked, and firstPoll that between two looks for another instance to ask
-	// while tables are not known.
+	// idleInterval is the interval at which a follower checks whether it has to query the store,
+	// and startInterval that at which it looks for another instance to query while tables are
+	// unknown.
 	idleInterval  = 250 * time.Millisecond
 	startInterval = 20 * time.Millisecond
-	// wantedGrace is how long a table that is wanted of a sudden has for being told by
-	// others before it counts as not known, or stale: the others want it at about the
-	// same time, and the relay asks the store for it within a moment.
+	// subscribeGrace is how long others have to deliver a newly subscribed table before it counts as
+	// unknown or stale: the others subscribe at about the same time, and the relay queries the
+	// store for it almost at once.
 	subscribeGrace = 3 * time.Second
 )
 
-// Follower keeps tables new. The fields are set before Run.
+// Follower keeps tables up to date. The exported fields are set before Run.
 type Follower struct {
 	Store  Store
 	Peers  Peers
 	Tables map[string]*Table
 	Log    zerolog.Logger
 	Now    func() time.Duration
-	// Wanted reports whether a table is to be kept new. While it is not, the store is not
-	// asked for it, and it counts neither as unknown nor as stale; what others tell of it
-	// is taken up all the same. Nil: all are, always.
+	// Subscribed reports whether a table is to be kept up to date. While it is not, the store is
+	// not queried for it, and it counts neither as unknown nor as stale; rows that others send are
+	// applied all the same. Nil: all tables are, always.
 	Subscribed func(table string) bool
-	// Declines, if set, reports whether others are asked to leave a table out that is not wanted.
+	// Excluded, if set, reports whether others are asked to leave out a table that is not needed.
 	Excluded func(table string) bool
-	// Instances, if set, returns how many instances there are, as far as is known.
+	// Instances, if set, returns the number of instances, as far as it is known.
 	Instances func() int
 
 	subscriptions subscriptions
-	// answered is when the first source last answered, by Now.
+	// firstResponseAt is when the first source last responded, by Now.
 	firstResponseAt atomic.Int64
-	// unknownUntil is until when tables that are not known are awaited from
-	// others, and headUntil that for a head.
+	// startWaitUntil is the time until which unknown tables are awaited from others, and
+	// headWaitUntil that for a head.
 	startWaitUntil, headWaitUntil time.Duration
 }
 
-// Run follows until the context ends.
+// Run follows the tables until the context is done.
 func (f *Follower) Run(ctx context.Context) {
 	f.startWaitUntil = f.Now() + minStartWait + rand.N(maxStartWait-minStartWait)
 	f.headWaitUntil = f.Now() + minHeadWait + rand.N(minHeadWait)
@@ -157,8 +155,8 @@
 	all.Wait()
 }
 
-// Stale reports whether no source has confirmed some table lately, or has told of
-// it at all in the time there was for that since the start.
+// Stale reports whether some required table has not been confirmed by any source lately, or is still
+// unknown after the start wait.
 func (f *Follower) Stale() bool {
 	now := f.Now()
 	for name, t := range f.Tables {
@@ -173,12 +171,12 @@
 	return false
 }
 
-// waitedLong reports whether tables that are not known were awaited long enough.
+// startWaitOver reports whether unknown tables have been awaited for long enough.
 func (f *Follower) startWaitOver(now time.Duration) bool {
 	return now >= f.startWaitUntil || now >= f.headWaitUntil && f.Peers.Head()
 }
 
-// known reports whether all tables that are wanted are known.
+// allKnown reports whether all required tables are known.
 func (f *Follower) allKnown() bool {
 	now := f.Now()
 	for name, t := range f.Tables {
@@ -189,8 +187,8 @@
 	return true
 }
 
-// Age returns how long ago that of the wanted tables was confirmed which was
-// confirmed last of all. It is of no use before all of them are known.
+// Age returns the time since the confirmation of the required table that was confirmed the longest ago.
+// It is meaningless until all of them are known.
 func (f *Follower) Age() time.Duration {
 	now := f.Now()
 	age := time.Duration(0)
@@ -202,13 +200,13 @@
 	return age
 }
 
-// followStore asks the store for a table while it is wanted, and this instance is a
-// relay, or stale.
+// followStore queries the store for a table while the instance subscribes to it and is a relay or
+// stale.
 func (f *Follower) followStore(ctx context.Context, name string, t *Table) {
 	failures := 0
-	failed := time.Duration(0) // when a question failed last; zero: never
-	behind := false            // the last question was answered at a version below the known one
-	var pause batchDelay
+	lastFailure := time.Duration(0) // when a query last lastFailure; zero: never
+	behind := false                 // the last response was at a version below the known one
+	var delay batchDelay
 	for ctx.Err() == nil {
 		if !f.subscribed(name) {
 			clock.SleepAligned(ctx, idleInterval)
@@ -218,7 +216,7 @@
 			clock.SleepAligned(ctx, f.pollInterval())
 			continue
 		}
-		careful := failed != 0 && f.Now()-failed < cautiousFor
+		careful := lastFailure != 0 && f.Now()-lastFailure < cautiousFor
 		hold, slack := f.pollTimes(failures, careful)
 		changed, err := f.queryStore(ctx, name, t, hold, slack)
 		if ctx.Err() != nil {
@@ -234,14 +232,14 @@
 		}
 		if err == nil {
 			failures = 0
-			pause.update(changed, f.Now())
+			delay.update(changed, f.Now())
 			if changed {
-				clock.Sleep(ctx, pause.current)
+				clock.Sleep(ctx, delay.current)
 			}
 			continue
 		}
 		failures++
-		failed = f.Now()
+		lastFailure = f.Now()
 		first := standbyRetryDelay
 		if f.Peers.Relay() {
 			first = minRetryDelay
@@ -250,10 +248,9 @@
 	}
 }
 
-// holdFor returns how long the store may hold a question after so many failed
-// ones, and how long after that an answer is given up. A relay asks a store that
-// does not answer for an answer at once, so that it notices soon when the store is
-// back: others wait for its word.
+// pollTimes returns how long the store may hold a query after a number of consecutive failures, and
+// how long after that to wait for the response. A relay whose store does not answer queries without
+// holding, so that it soon notices when the store is back: others wait for its updates.
 func (f *Follower) pollTimes(failures int, careful bool) (hold, slack time.Duration) {
 	if !f.Peers.Relay() {
 		return maxStorePoll, responseSlack
@@ -268,19 +265,19 @@
 	return hold, relayResponseSlack
 }
 
-// askStore asks one question, which the store may hold for a time. The first
-// one, and one after the history is gone, reads the table whole.
+// queryStore sends one query, which the store may hold. The first one, and one after the history was
+// compacted, reads the full table.
 func (f *Follower) queryStore(ctx context.Context, name string, t *Table, hold, slack time.Duration) (changed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, hold+slack)
 	defer cancel()
-	asked := f.Now()
+	queriedAt := f.Now()
 	after, known := t.Version()
 	var d Delta
 	if known {
 		d, err = f.Store.Changes(ctx, name, after, hold)
 	}
 	if !known || errors.Is(err, ErrCompacted) {
-		asked = f.Now()
+		queriedAt = f.Now()
 		d, err = f.Store.Read(ctx, name)
 		d.Full = true
 	}
@@ -288,17 +285,17 @@
 		return false, err
 	}
 	if d.Full && d.Version < after {
-		return false, errors.WithType(errors.Errorf("table %s read at %d, which is behind %d", name, d.Version, after), ErrBehind)
+		return false, errors.WithType(errors.Errorf("table %s was read at version %d, which is behind version %d", name, d.Version, after), ErrBehind)
 	}
 	now := f.Now()
 	if !d.Full {
-		asked = now // the answer was made when a row changed or the wait was over
+		queriedAt = now // the response was made when a row changed or the wait was over
 	}
-	d.Age = now - asked
+	d.Age = now - queriedAt
 	return t.Apply(d, now), nil
 }
 
-// followPeer asks the i-th source.
+// followPeer queries the i-th source among the other instances.
 func (f *Follower) followPeer(ctx context.Context, i int) {
 	failures := 0
 	for ctx.Err() == nil {
@@ -306,8 +303,8 @@
 			clock.SleepAligned(ctx, idleInterval)
 			continue
 		}
-		asked, cancel := context.WithTimeout(ctx, peerPoll+responseSlack)
-		d, ok, err := f.Peers.Changes(asked, i, f.query())
+		queryCtx, cancel := context.WithTimeout(ctx, peerPoll+responseSlack)
+		d, ok, err := f.Peers.Changes(queryCtx, i, f.query())
 		cancel()
 		if !ok {
 			clock.SleepAligned(ctx, f.pollInterval())
@@ -332,7 +329,7 @@
 	}
 }
 
-// question returns what to ask another instance now.
+// query returns the query to send to another instance now.
 func (f *Follower) query() Query {
 	q := Query{After: make(map[string]int64, len(f.Tables)), Ages: make(map[string]time.Duration, len(f.Tables)), Wait: peerPoll}
 	now := f.Now()
@@ -349,7 +346,7 @@
 	return q
 }
 
-// Answer answers another instance's question.
+// Respond returns the response to the query of another instance.
 func (f *Follower) Respond(ctx context.Context, q Query) map[string]Delta {
 	ctx, cancel := context.WithTimeout(ctx, q.Wait)
 	defer cancel()
@@ -366,10 +363,10 @@
 	return out
 }
 
-// knowsNewer reports whether a table was confirmed since the asker heard of it last. Such a
-// confirmation may have come between two questions; to wait for the next one would make the
-// asker's tables look up to twice as old as they are, and those that look stale cost calls
-// of the store.
+// hasNewerConfirmation reports whether a table was confirmed since the last confirmation that the
+// requester knows of. That may have happened between two of its queries; if it had to wait for the
+// next confirmation, its tables would look up to twice as old as they are, and instances whose tables
+// look stale query the store.
 func (f *Follower) hasNewerConfirmation(ages map[string]time.Duration) bool {
 	now := f.Now()
 	for name, age := range ages {
@@ -380,8 +377,7 @@
 	return false
 }
 
-// awaitAnyNews waits until there is news of a table for the asker, or the context
-// ends.
+// awaitAnyUpdate waits until any table has an update for the requester, or the context is done.
 func (f *Follower) awaitAnyUpdate(ctx context.Context, q *Query) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/process/state/hold.go
+++ b/process/state/hold.go
@@ -9,33 +9,33 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hold is how long a table holds what it had when the store came back from an older copy, unless
-// the rows are written again. Zero: until then.
+// Retention is how long a table retains its rows after the store was restored from an older copy,
+// unless they are written again. Zero: until then.
 type Retention struct {
-	// Missing is that time for rows that the copy does not have, and Older for those that
-	// it has as they once were.
+	// Missing applies to rows that the copy does not have, and Reverted to those that it has in an
+	// older state.
 	Missing, Reverted time.Duration
 }
 
-// pastKept is how long a table remembers how rows were before. A store's copy is some seconds old.
+// historyTTL is how long a table remembers earlier states of rows. A store's copy is some seconds old.
 const historyTTL = time.Minute
 
-// past is a row as it was.
+// pastVersion is an earlier state of a row.
 type pastVersion struct {
 	number     int64
 	hash       uint64
-	replacedAt time.Duration // when it was replaced
+	replacedAt time.Duration
 }
 
-// held is what a table had as the epoch of the store changed.
+// retainedRows is the content of a table when the epoch of the store changed.
 type retainedRows struct {
 	since time.Duration
-	rows  map[string]Row // as they were effective, with those gone
-	// older are the versions of the rows that the copy has as they once were.
+	rows  map[string]Row // the effective rows, and the tombstones
+	// reverted are the versions of the rows that the copy has in an older state.
 	reverted map[string]int64
 }
 
-// remember notes a row that is about to be replaced. The caller holds the lock.
+// addHistory records a row that is about to be replaced. The caller holds the lock.
 func (t *Table) addHistory(old Row, now time.Duration) {
 	if t.retention == nil {
 		return
@@ -47,7 +47,7 @@
 	t.history[old.Key] = append(list, pastVersion{number: Number(old.Version), hash: xxhash.Sum64(old.Value), replacedAt: now})
 }
 
-// forgetPast drops what is remembered of rows that were replaced long ago. The caller holds the lock.
+// pruneHistory drops the history of rows that were replaced long ago. The caller holds the lock.
 func (t *Table) pruneHistory(now time.Duration) {
 	if now-t.historyPrunedAt < historyTTL {
 		return
@@ -60,39 +60,39 @@
 	}
 }
 
-// beginEpoch gives up the rows of the epoch before, as a whole table of a newer one is there. The
-// caller holds the lock.
+// beginEpoch moves the rows of the previous epoch to retained, because a full delta of a newer epoch
+// was received. The caller holds the lock.
 func (t *Table) beginEpoch(version int64, now time.Duration) {
-	h := &retainedRows{since: now, rows: make(map[string]Row, len(t.rows)), reverted: make(map[string]int64)}
+	kept := &retainedRows{since: now, rows: make(map[string]Row, len(t.rows)), reverted: make(map[string]int64)}
 	if t.retained != nil {
-		for key, b := range t.retained.rows {
-			if b.Deleted {
-				h.rows[key] = b
+		for key, old := range t.retained.rows {
+			if old.Deleted {
+				kept.rows[key] = old
 			}
 		}
 	}
 	for key, r := range t.rows {
 		if r.Deleted {
-			h.rows[key] = r
+			kept.rows[key] = r
 		}
 	}
 	t.refreshSorted(now)
 	for _, r := range t.sorted {
-		h.rows[r.Key] = r
+		kept.rows[r.Key] = r
 	}
 	t.markAllDirty()
 	if t.retention != nil {
-		t.retained = h
+		t.retained = kept
 		t.retentionCheckedAt = now
 	}
 	t.rows = make(map[string]Row)
 	clear(t.deletedAt)
-	t.floor = version // what was removed before is not known
+	t.floor = version // earlier deletions are unknown
 }
 
-// compareEpoch notes which rows of the present epoch are as they once were, and remembers those of
-// the epoch before that it has otherwise: the store may come back from a copy once more. The caller
-// holds the lock.
+// findReverted records which rows of the current epoch are in an older state, and adds those of the
+// previous epoch that differ to the history: the store may be restored from a copy once more. The
+// caller holds the lock.
 func (t *Table) findReverted(now time.Duration) {
 	if t.retained == nil {
 		return
@@ -102,14 +102,14 @@
 			t.retained.reverted[key] = r.Version
 		}
 	}
-	for key, b := range t.retained.rows {
-		if r, there := t.rows[key]; !b.Deleted && (!there || !bytes.Equal(b.Value, r.Value)) {
-			t.addHistory(b, now)
+	for key, old := range t.retained.rows {
+		if r, exists := t.rows[key]; !old.Deleted && (!exists || !bytes.Equal(old.Value, r.Value)) {
+			t.addHistory(old, now)
 		}
 	}
 }
 
-// touchAll lets Rows look at each row again. The caller holds the lock.
+// markAllDirty makes Rows recompute every row. The caller holds the lock.
 func (t *Table) markAllDirty() {
 	for key := range t.rows {
 		t.dirty[key] = struct{}{}
@@ -124,32 +124,32 @@
 	}
 }
 
-// effective returns the row of a key that counts: that of the table, or what is held in its place.
-// The caller holds the lock.
+// effective returns the row that applies for a key: that of the table, or the one retained in its
+// place. The caller holds the lock.
 func (t *Table) effective(key string, now time.Duration) (Row, bool) {
-	r, there := t.rows[key]
-	if b, holds := t.retainedFor(key, r, there, now); holds {
-		return b, !b.Deleted
+	r, exists := t.rows[key]
+	if old, isRetained := t.retainedFor(key, r, exists, now); isRetained {
+		return old, !old.Deleted
 	}
-	return r, there && !r.Deleted
+	return r, exists && !r.Deleted
 }
 
-// heldFor returns the row that is held in place of that of the present epoch, if there is one. The
+// retainedFor returns the row retained in place of that of the current epoch, if there is one. The
 // caller holds the lock.
-func (t *Table) retainedFor(key string, r Row, there bool, now time.Duration) (Row, bool) {
+func (t *Table) retainedFor(key string, r Row, exists bool, now time.Duration) (Row, bool) {
 	if t.retained == nil {
 		return Row{}, false
 	}
-	b, known := t.retained.rows[key]
+	old, known := t.retained.rows[key]
 	if !known {
-		b = Row{Key: key, Deleted: true}
+		old = Row{Key: key, Deleted: true}
 	}
-	return b, t.retains(b, r, there, now)
+	return old, t.retains(old, r, exists, now)
 }
 
-// Held returns the rows of Rows that are held: the store has lost them, or has them as they were
-// before. By key it tells the version that the store has, which a write has to expect; its number
-// is zero if the store has none.
+// Retained returns the retained ones among Rows, which the store has lost or has in an older state. For
+// each key it gives the version that the store has, as a write must expect it; its number is zero if
+// the store does not have the row.
 func (t *Table) Retained() map[string]int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -158,45 +158,45 @@
 	}
 	out := make(map[string]int64)
 	for key := range t.retained.rows {
-		r, there := t.rows[key]
-		b, holds := t.retainedFor(key, r, there, t.now)
-		if !holds || b.Deleted {
+		r, exists := t.rows[key]
+		old, isRetained := t.retainedFor(key, r, exists, t.now)
+		if !isRetained || old.Deleted {
 			continue
 		}
 		out[key] = VersionOf(Epoch(t.version), 0)
-		if there {
+		if exists {
 			out[key] = r.Version
 		}
 	}
 	return out
 }
 
-// Holding reports whether the store came back from an older copy so lately that rows which it has as they
-// once were are held.
+// Retaining reports whether the store was restored from an older copy so recently that rows which it
+// has in an older state are retained.
 func (t *Table) Retaining() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.retained != nil && (t.retention.Reverted == 0 || t.now-t.retained.since < t.retention.Reverted)
 }
 
-// holds reports whether a row of the epoch before is held in place of that of the present one, if
+// retains reports whether a row of the previous epoch is retained in place of that of the current one, if
 // there is one. The caller holds the lock.
-func (t *Table) retains(before, r Row, there bool, now time.Duration) bool {
-	h := t.retained
-	within := func(d time.Duration) bool { return d == 0 || now-h.since < d }
+func (t *Table) retains(old, r Row, exists bool, now time.Duration) bool {
+	kept := t.retained
+	active := func(d time.Duration) bool { return d == 0 || now-kept.since < d }
 	switch {
-	case !there:
-		return !before.Deleted && within(t.retention.Missing)
+	case !exists:
+		return !old.Deleted && active(t.retention.Missing)
 	case r.Deleted:
-		return false // it was removed in this epoch
-	case !before.Deleted && bytes.Equal(before.Value, r.Value):
-		return false // it says the same
+		return false // it was deleted in this epoch
+	case !old.Deleted && bytes.Equal(old.Value, r.Value):
+		return false // the values are equal
 	}
-	return h.reverted[r.Key] == r.Version && within(t.retention.Reverted)
+	return kept.reverted[r.Key] == r.Version && active(t.retention.Reverted)
 }
 
-// wasBefore reports whether a row is as it was at some time before the epoch. The caller holds the
-// lock.
+// inHistory reports whether a row is in a state that it had at some time before the epoch. The caller
+// holds the lock.
 func (t *Table) inHistory(r Row) bool {
 	hash := xxhash.Sum64(r.Value)
 	for _, p := range t.history[r.Key] {
@@ -207,8 +207,8 @@
 	return false
 }
 
-// expireHolds gives up what was held long enough, and reports whether that may have changed rows. The
-// caller holds the lock.
+// expireRetention drops expired retained rows, and reports whether that may have changed rows. The caller
+// holds the lock.
 func (t *Table) expireRetention(now time.Duration) (changed bool) {
 	if t.retained == nil {
 		return false
--- a/process/state/pause.go
+++ b/process/state/pause.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// retryPause returns the pause after so many failed questions in a row.
+// retryDelay returns the delay after a number of consecutive failed queries.
 func retryDelay(first time.Duration, failures int) time.Duration {
-	pause := min(first<<min(failures-1, 4), maxRetryDelay)
-	return pause/2 + rand.N(pause)
+	delay := min(first<<min(failures-1, 4), maxRetryDelay)
+	return delay/2 + rand.N(delay)
 }
 
-// sourcePause returns the pause after so many failed questions to other instances
-// in a row. It is short until the tables are known: when all start at once some of
-// those that are asked do not run yet, and the next ones may.
+// peerRetryDelay returns the delay after a number of consecutive failed queries to other instances. It
+// is short until the tables are known: when all start at once some of those queried are not up yet,
+// and the next ones may be.
 func (f *Follower) peerRetryDelay(failures int) time.Duration {
 	if f.startingUp() {
 		return startInterval
@@ -23,11 +23,10 @@
 	return retryDelay(minRetryDelay, failures)
 }
 
-// hurries reports whether tables are not known, and there is a chance that others
-// tell them soon.
+// startingUp reports whether tables are unknown but may still arrive from others.
 func (f *Follower) startingUp() bool { return !f.allKnown() && f.Now() < f.startWaitUntil }
 
-// pollPause returns the pause between two looks at what others may have changed.
+// pollInterval returns the interval at which a follower checks whom to query.
 func (f *Follower) pollInterval() time.Duration {
 	if f.startingUp() {
 		return startInterval
@@ -35,14 +34,14 @@
 	return idleInterval
 }
 
-// gatherPause is how long changes gather before the next question. The zero value
-// is ready.
+// batchDelay computes how long changes accumulate before the next query. The zero value is ready to
+// use.
 type batchDelay struct {
 	current    time.Duration
-	lastChange time.Duration // when an answer brought a change last
+	lastChange time.Duration // when a response last brought a change
 }
 
-// note takes up whether an answer that came at a moment brought a change.
+// update records whether the response received at a time brought a change.
 func (g *batchDelay) update(changed bool, at time.Duration) {
 	if !changed {
 		return
@@ -55,22 +54,22 @@
 	g.lastChange = at
 }
 
-// What large fleets save by.
+// Savings in large fleets.
 const (
-	// gatherPerRow and gatherPerInstance are how long changes gather before another instance is
-	// asked again, for each row and each instance that there is, within the same bounds: in a large
-	// fleet some row changes all the time, and each instance would ask each time.
+	// batchDelayPerRow and batchDelayPerInstance are how long changes accumulate before another
+	// instance is queried again, per row and per instance, within the same bounds: in a large fleet
+	// some row changes all the time, and each change would cause a query of each instance.
 	batchDelayPerRow      = 50 * time.Microsecond
 	batchDelayPerInstance = 500 * time.Microsecond
-	// manyRows and manyInstances are how many there must be for the further sources to stand by: they
-	// are asked only while the first has not answered for standbyAfter, since each would tell all
-	// changes again.
+	// standbyMinRows and standbyMinInstances are the sizes from which only the first source is
+	// queried and the others are on standby until it has not responded for standbyAfter, since each
+	// would send all changes again.
 	standbyMinRows      = 2000
 	standbyMinInstances = 200
 	standbyAfter        = 1500 * time.Millisecond
 )
 
-// size returns the number of rows of all tables.
+// rowCount returns the number of rows of all tables.
 func (f *Follower) rowCount() (n int) {
 	for _, t := range f.Tables {
 		n += t.Len()
@@ -78,10 +77,10 @@
 	return n
 }
 
-// peerGather returns how long changes gather before another instance is asked again.
+// peerBatchDelay returns how long changes accumulate before another instance is queried again.
 func (f *Follower) peerBatchDelay() time.Duration {
-	pause := max(time.Duration(f.rowCount())*batchDelayPerRow, time.Duration(f.instanceCount())*batchDelayPerInstance)
-	return min(max(minBatchDelay, pause), maxBatchDelay)
+	delay := max(time.Duration(f.rowCount())*batchDelayPerRow, time.Duration(f.instanceCount())*batchDelayPerInstance)
+	return min(max(minBatchDelay, delay), maxBatchDelay)
 }
 
 func (f *Follower) instanceCount() int {
@@ -91,7 +90,7 @@
 	return f.Instances()
 }
 
-// standsBy reports whether the sources after the first are not asked.
+// onStandby reports whether only the first source is queried.
 func (f *Follower) onStandby() bool {
 	answered := time.Duration(f.firstResponseAt.Load())
 	many := f.rowCount() >= standbyMinRows || f.instanceCount() >= standbyMinInstances
--- a/process/state/start_test.go
+++ b/process/state/start_test.go
@@ -14,9 +14,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestStartWaitsForOthersBeforeItAsksTheStore checks that an instance that others
-// tell the tables soon after its start makes no call of the store, and that one
-// that nobody tells them asks it in bounded time.
+// TestStartWaitsForPeersBeforeQueryingStore checks that an instance that gets the tables from others soon
+// after its start does not call the store, and that one that gets them from nobody queries the store
+// within a bounded time.
 func TestStartWaitsForPeersBeforeQueryingStore(t *testing.T) {
 	f, store, _ := startFollower(t)
 	waitForVersion(t, f, 1, time.Second)
@@ -26,9 +26,8 @@
 	assert.Assert(t, store.count() > 0)
 }
 
-// TestChangesGatherWhileTheyKeepComing checks the pause of a relay between its
-// questions: short after a change that stands alone, longer with each that follows
-// closely, and short again after a time without.
+// TestBatchDelayGrowsWithFrequentChanges checks the delay of a relay between its queries: short after an
+// isolated change, longer with each change that follows closely, and short again after a pause.
 func TestBatchDelayGrowsWithFrequentChanges(t *testing.T) {
 	var g batchDelay
 	now := time.Hour
@@ -49,7 +48,7 @@
 	assert.Equal(t, g.current, minBatchDelay)
 }
 
-// chain answers a follower's questions by another follower's tables.
+// peerChain responds to a follower's queries from the tables of another follower.
 type peerChain struct{ source *Follower }
 
 func (c peerChain) Changes(ctx context.Context, i int, q Query) (map[string]Delta, bool, error) {
@@ -63,9 +62,9 @@
 func (c peerChain) Head() bool           { return false }
 func (c peerChain) RecordStoreCall(bool) {}
 
-// TestFreshnessTravelsAlongTheTree lets a relay follow a store to which nothing is
-// written, and three followers learn one from the other: the last one must never
-// be so stale that it asks the store itself.
+// TestConfirmationsPropagateAlongTree lets a relay follow a store that is not written to, and a chain of
+// three followers query one another: the last one must never become so stale that it queries the store
+// itself.
 func TestConfirmationsPropagateAlongTree(t *testing.T) {
 	f, store, peers := startFollower(t)
 	peers.set(func(s *fakeSource) { s.relay, s.noPeers = true, true })
@@ -73,9 +72,9 @@
 	var all sync.WaitGroup
 	defer all.Wait()
 	defer cancel()
-	quiet := &fakeSource{table: NewTable(), now: f.Now}
+	unusedStore := &fakeSource{table: NewTable(), now: f.Now}
 	for range 3 {
-		next := &Follower{Store: quiet, Peers: peerChain{f}, Tables: map[string]*Table{"t": NewTable()}, Log: zerolog.Nop(), Now: f.Now}
+		next := &Follower{Store: unusedStore, Peers: peerChain{f}, Tables: map[string]*Table{"t": NewTable()}, Log: zerolog.Nop(), Now: f.Now}
 		all.Go(func() { next.Run(ctx) })
 		f = next
 	}
@@ -84,11 +83,11 @@
 		time.Sleep(100 * time.Millisecond)
 		assert.Assert(t, f.Age() < maxStorePoll+relayResponseSlack, "%s", f.Age())
 	}
-	assert.Equal(t, quiet.count(), 0)
-	assert.Assert(t, store.count() <= 10, "%d questions of the relay", store.count())
+	assert.Equal(t, unusedStore.count(), 0)
+	assert.Assert(t, store.count() <= 10, "%d queries of the relay", store.count())
 }
 
-// refusing answers after some questions have failed.
+// failingPeers fails a number of queries before it responds.
 type failingPeers struct {
 	fakePeers
 	left *atomic.Int32
@@ -101,8 +100,8 @@
 	return r.fakePeers.Changes(ctx, i, q)
 }
 
-// TestStartPassesOverOthersThatDoNotRunYet checks that an instance that starts
-// knows the tables soon though the first that it asks refuse.
+// TestStartSkipsPeersThatAreNotUpYet checks that an instance that starts soon knows the tables although
+// its first queries to peers fail.
 func TestStartSkipsPeersThatAreNotUpYet(t *testing.T) {
 	f, _, peers := startFollower(t)
 	left := new(atomic.Int32)
@@ -114,8 +113,8 @@
 	waitForVersion(t, next, 1, 400*time.Millisecond)
 }
 
-// TestHeadDoesNotWaitForASilentRelay checks that an instance from which others
-// learn asks the store itself soon after its start if nobody answers it.
+// TestHeadDoesNotWaitForUnresponsiveRelay checks that a head queries the store itself soon after its start
+// if nobody responds to it.
 func TestHeadDoesNotWaitForUnresponsiveRelay(t *testing.T) {
 	f, store, _ := startFollower(t, func(s *fakeSource) { s.unresponsive, s.head = true, true })
 	waitForVersion(t, f, 1, 4*minHeadWait)
--- a/process/state/state_test.go
+++ b/process/state/state_test.go
@@ -21,11 +21,11 @@
 func TestTableNeverGoesBack(t *testing.T) {
 	x := NewTable()
 	assert.Assert(t, x.Apply(Delta{Rows: []Row{row("a", 5)}, Version: 5, Full: true}, time.Second))
-	assert.Assert(t, !x.Apply(Delta{Rows: []Row{row("a", 4)}, Version: 4, Full: true}, 2*time.Second), "a replica that is behind")
+	assert.Assert(t, !x.Apply(Delta{Rows: []Row{row("a", 4)}, Version: 4, Full: true}, 2*time.Second), "a replica that lags behind")
 	assert.Assert(t, !x.Apply(Delta{Rows: []Row{row("a", 3)}, Version: 5}, 2*time.Second), "an older row")
 	assert.Assert(t, x.Apply(Delta{Rows: []Row{{Key: "a", Version: 6, Deleted: true}}, Version: 6}, 2*time.Second))
 	assert.Equal(t, len(x.Rows()), 0)
-	assert.Assert(t, !x.Apply(Delta{Rows: []Row{row("a", 5)}, Version: 6}, 2*time.Second), "gone stays gone")
+	assert.Assert(t, !x.Apply(Delta{Rows: []Row{row("a", 5)}, Version: 6}, 2*time.Second), "a deleted row stays deleted")
 	assert.Assert(t, x.Apply(Delta{Rows: []Row{row("a", 7)}, Version: 7}, 2*time.Second))
 }
 
@@ -35,11 +35,11 @@
 	assert.Assert(t, x.Apply(Delta{Rows: []Row{row("b", 2)}, Version: 9, Full: true}, 2))
 	assert.DeepEqual(t, x.Rows(), []Row{row("b", 2)})
 	d := x.Since(2, 3)
-	assert.Assert(t, !d.Full && len(d.Rows) == 1 && d.Rows[0].Deleted, "a follower learns of the removal")
+	assert.Assert(t, !d.Full && len(d.Rows) == 1 && d.Rows[0].Deleted, "the delta contains the deletion")
 }
 
-// TestReturnOfTheStoreIsNoticed checks that an answer after a long silence
-// counts as the store's return, and one after a usual wait does not.
+// TestStoreRecoveryIsDetected checks that a response after a long silence counts as the recovery of the
+// store, and one after the usual poll time does not.
 func TestStoreRecoveryIsDetected(t *testing.T) {
 	x := NewTable()
 	now := time.Hour
@@ -49,13 +49,13 @@
 	assert.Equal(t, x.StoreRecoveredAt(), time.Duration(0))
 	now += outageAfter + time.Millisecond
 	x.Apply(Delta{Version: 1, Age: outageAfter + time.Millisecond}, now)
-	assert.Equal(t, x.StoreRecoveredAt(), time.Duration(0), "a relay that knows no more")
+	assert.Equal(t, x.StoreRecoveredAt(), time.Duration(0), "a relay with no newer confirmation")
 	x.Apply(Delta{Version: 2, Rows: []Row{{Key: "a", Version: 2, Deleted: true}}}, now)
 	assert.Equal(t, x.StoreRecoveredAt(), now)
 }
 
-// TestFollowersAgree applies random changes to one table, and lets another one
-// learn of them by deltas that are lost, repeated and out of order.
+// TestDeltasConverge applies random changes to one table, and updates another by deltas that are lost,
+// repeated and reordered.
 func TestDeltasConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := NewTable(), NewTable()
@@ -91,7 +91,7 @@
 	})
 }
 
-// script is a store, or peers, that answer as the test says.
+// fakeSource is a store, or peers, whose responses the test controls.
 type fakeSource struct {
 	mu           sync.Mutex
 	table        *Table
@@ -116,9 +116,9 @@
 	if err != nil {
 		return Delta{}, err
 	}
-	held, cancel := context.WithTimeout(ctx, wait)
+	pollCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	s.table.AwaitVersion(held, after)
+	s.table.AwaitVersion(pollCtx, after)
 	d := s.table.Since(after, s.now())
 	d.Age = 0
 	return d, nil
@@ -142,7 +142,7 @@
 	return s.calls
 }
 
-// peerScript makes a script answer as the relays.
+// fakePeers implements Peers with a fakeSource.
 type fakePeers struct{ *fakeSource }
 
 func (p fakePeers) Changes(ctx context.Context, i int, q Query) (map[string]Delta, bool, error) {
@@ -170,12 +170,12 @@
 	return p.relay
 }
 
-// follow starts a follower of one table. Before is called with what the others do, before the
-// follower asks anybody.
+// startFollower starts a follower of one table. Each function in before configures the peers before the
+// follower sends its first query.
 func startFollower(t *testing.T, before ...func(peers *fakeSource)) (f *Follower, store, peers *fakeSource) {
 	t.Helper()
-	begun := time.Now()
-	now := func() time.Duration { return time.Since(begun) + time.Hour }
+	started := time.Now()
+	now := func() time.Duration { return time.Since(started) + time.Hour }
 	store, peers = &fakeSource{table: NewTable(), now: now}, &fakeSource{table: NewTable(), now: now}
 	store.table.Apply(Delta{Rows: []Row{row("a", 1)}, Version: 1, Full: true}, now())
 	peers.table.Apply(Delta{Rows: []Row{row("a", 1)}, Version: 1, Full: true}, now())
@@ -196,14 +196,14 @@
 	return f, store, peers
 }
 
-// reaches waits until the follower's table has a version.
+// waitForVersion waits until the follower's table has a version.
 func waitForVersion(t *testing.T, f *Follower, version int64, within time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	f.Tables["t"].AwaitVersion(ctx, version-1)
 	got, _ := f.Tables["t"].Version()
-	assert.Assert(t, got >= version, "at version %d", got)
+	assert.Assert(t, got >= version, "table is at version %d", got)
 }
 
 func (s *fakeSource) write(version int64) {
@@ -219,7 +219,7 @@
 		peers.write(v)
 		waitForVersion(t, f, v, time.Second)
 	}
-	assert.Equal(t, store.count(), before, "calls of the store while relays answer")
+	assert.Equal(t, store.count(), before, "no store calls while relays respond")
 }
 
 func TestFollowerQueriesStoreWhenPeersAreUnresponsive(t *testing.T) {
@@ -233,13 +233,13 @@
 func TestFollowerRejectedByStoreUsesPeers(t *testing.T) {
 	f, store, peers := startFollower(t)
 	waitForVersion(t, f, 1, time.Second)
-	store.set(func(s *fakeSource) { s.err = fmt.Errorf("turned away") })
+	store.set(func(s *fakeSource) { s.err = fmt.Errorf("rejected") })
 	peers.write(5)
 	waitForVersion(t, f, 5, time.Second)
 }
 
-// TestRelayOutlivesASilentAnswer checks that an answer of the store that never
-// comes holds a relay up for a bounded time only.
+// TestUnresponsiveStoreBlocksRelayBriefly checks that a store call that is never answered blocks a relay
+// for a bounded time only.
 func TestUnresponsiveStoreBlocksRelayBriefly(t *testing.T) {
 	f, store, peers := startFollower(t)
 	peers.set(func(s *fakeSource) { s.relay, s.noPeers = true, true })
@@ -251,8 +251,8 @@
 	waitForVersion(t, f, 2, maxStorePoll+responseSlack+maxRetryDelay)
 }
 
-// TestRelayNoticesSoonThatTheStoreIsBack checks that a relay does not wait for
-// the end of a question that a silent store took in.
+// TestRelayDetectsStoreRecoveryQuickly checks that a relay does not wait for the end of a query that an
+// unresponsive store accepted.
 func TestRelayDetectsStoreRecoveryQuickly(t *testing.T) {
 	f, store, peers := startFollower(t)
 	peers.set(func(s *fakeSource) { s.relay, s.noPeers = true, true })
@@ -282,8 +282,8 @@
 	assert.Assert(t, compacting.called)
 }
 
-// TestOutageCostsFewCalls checks that a store that refuses is asked seldom,
-// since refused calls are paid for as well, and soon enough once it is back.
+// TestOutageCausesFewStoreCalls checks that a store that rejects calls is queried rarely, since rejected
+// calls are billed as well, but soon enough after it recovers.
 func TestOutageCausesFewStoreCalls(t *testing.T) {
 	f, store, peers := startFollower(t)
 	peers.set(func(s *fakeSource) { s.noPeers = true })
@@ -292,14 +292,14 @@
 	time.Sleep(staleAfter)
 	before := store.count()
 	time.Sleep(4 * time.Second)
-	asked := store.count() - before
-	assert.Assert(t, asked >= 3 && asked <= 10, "%d questions in 4 s", asked)
+	queries := store.count() - before
+	assert.Assert(t, queries >= 3 && queries <= 10, "%d queries in 4 s", queries)
 	store.set(func(s *fakeSource) { s.err = nil })
 	store.write(2)
 	waitForVersion(t, f, 2, 3*maxRetryDelay/2)
 }
 
-// compactOnce has no history.
+// noHistory is a store whose history was compacted.
 type noHistory struct {
 	*fakeSource
 	called bool
@@ -310,14 +310,14 @@
 	return Delta{}, ErrCompacted
 }
 
-// TestRisingVersionAloneIsNoChange checks that an answer without rows, which a
-// store that other tables are written to gives all the time, wakes those who
-// follow the version, and not those who act on rows.
+// TestVersionOnlyUpdateIsNoChange checks that a response without rows, which a store gives all the time
+// while other tables are written to, wakes those who wait for a version but not those who wait for changed
+// rows.
 func TestVersionOnlyUpdateIsNoChange(t *testing.T) {
 	x := NewTable()
 	unknown := x.Changed()
 	x.Apply(Delta{Version: 1, Full: true}, time.Second)
-	assert.Assert(t, isClosed(unknown), "an empty table is known now")
+	assert.Assert(t, isClosed(unknown), "an empty table counts as known")
 	rows := x.Changed()
 	x.Apply(Delta{Version: 2}, 2*time.Second)
 	assert.Assert(t, !isClosed(rows))
--- a/process/state/table.go
+++ b/process/state/table.go
@@ -15,24 +15,24 @@
 type Row struct {
 	Key   string `json:"k"`
 	Value []byte `json:"v,omitempty"`
-	// Version is that of the transaction that wrote or removed the row.
+	// Version is that of the transaction that wrote or deleted the row.
 	Version int64 `json:"n"`
-	// Gone marks a row that was removed.
+	// Deleted marks a tombstone.
 	Deleted bool `json:"g,omitempty"`
 }
 
-// Delta is what changed in a table after some version.
+// Delta is the changes of a table after some version.
 type Delta struct {
 	Rows []Row `json:"rows,omitempty"`
-	// Version is the one up to which the delta is complete.
+	// Version is the version up to which the delta is complete.
 	Version int64 `json:"version"`
-	// Whole says that Rows are all the rows of the table.
+	// Full says that Rows are all rows of the table.
 	Full bool `json:"whole,omitempty"`
-	// Age is how long ago the store said so.
+	// Age is the time since the store gave or confirmed it.
 	Age time.Duration `json:"age,omitempty"`
 }
 
-// epoch returns the epoch that a delta is of.
+// epoch returns the epoch of a delta.
 func (d *Delta) epoch() int64 {
 	newest := d.Version
 	for _, r := range d.Rows {
@@ -41,41 +41,40 @@
 	return Epoch(newest)
 }
 
-// awayAfter is the time without a word of the store from which it counts as
-// having been away. Questions are held for up to storeWait, so a store that
-// answers confirms a table more often than that.
+// outageAfter is the time without a confirmation after which the store counts as having been down.
+// Queries are held for at most maxStorePoll, so a store that is up confirms a table more often.
 const outageAfter = staleAfter
 
-// goneKept is how long a removed row is remembered, for the deltas of others.
+// tombstoneTTL is how long a deleted row is remembered, for the deltas sent to others.
 const tombstoneTTL = time.Minute
 
-// Table is the rows that an instance knows of one table. Use NewTable.
+// Table is the local replica of a table. Use NewTable.
 type Table struct {
 	mu               sync.Mutex
-	rows             map[string]Row // those gone as well, for goneKept
+	rows             map[string]Row // including tombstones, for tombstoneTTL
 	deletedAt        map[string]time.Duration
-	floor            int64 // removals up to this version may be forgotten
+	floor            int64 // deletions up to this version may have been pruned
 	unseen           versionGap
 	version          int64
-	confirmedAt      time.Duration // when the store last said that version is the newest
-	storeRecoveredAt time.Duration // when it last did so after it had been away; zero: never
+	confirmedAt      time.Duration // when the store last confirmed version as the newest
+	storeRecoveredAt time.Duration // when it last did so after an outage; zero: never
 	known            bool
-	updated          chan struct{} // closed when the version next rises, or is next confirmed
-	changed          chan struct{} // closed when a row next changes
-	// sorted are the rows that were there at the last call of Rows, by key, and touched the keys
-	// of those that have changed since.
+	updated          chan struct{} // closed when the version increases or is confirmed again
+	changed          chan struct{} // closed when a row changes
+	// sorted are the rows by key as of the last call of Rows, and dirty the keys that have
+	// changed since.
 	sorted []Row
 	dirty  map[string]struct{}
-	// What follows is of a store that may come back from an older copy.
+	// The fields below handle a store that is restored from an older copy.
 	now                time.Duration // of the last delta
-	retention          *Retention    // nil: nothing is held
-	retained           *retainedRows // nil: nothing is
-	retentionCheckedAt time.Duration // when what is held was last looked at
+	retention          *Retention    // nil: nothing is retained
+	retained           *retainedRows // nil: there are none
+	retentionCheckedAt time.Duration // when expiry was last checked
 	history            map[string][]pastVersion
 	historyPrunedAt    time.Duration
 }
 
-// NewTable returns a table of which nothing is known.
+// NewTable returns an empty table whose content is unknown.
 func NewTable() *Table {
 	return &Table{
 		rows: make(map[string]Row), deletedAt: make(map[string]time.Duration), dirty: make(map[string]struct{}),
@@ -83,16 +82,16 @@
 	}
 }
 
-// NewHoldingTable returns a table of which nothing is known, and which holds what it had when the
-// store comes back from an older copy.
+// NewRetainingTable returns a table like NewTable that retains its rows when the store is restored from
+// an older copy.
 func NewRetainingTable(h Retention) *Table {
 	t := NewTable()
 	t.retention = &h
 	return t
 }
 
-// Apply takes a delta up that was received at a moment, both on the process's
-// clock. It reports whether a row changed.
+// Apply applies a delta received at the given time of the process's clock. It reports whether a row
+// changed.
 func (t *Table) Apply(d Delta, now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -102,21 +101,21 @@
 	return changed
 }
 
-// take takes a delta up. The caller holds the lock.
+// apply applies a delta. The caller holds the lock.
 func (t *Table) apply(d Delta, now time.Duration) bool {
 	if d.Full && d.Version < t.version {
-		return false // read from a replica that is behind
+		return false // read from a replica that lags behind
 	}
 	changed := false
-	began := false // a new epoch
+	newEpoch := false // whether this delta begins one
 	switch epoch, known := d.epoch(), Epoch(t.version); {
 	case epoch < known:
-		return false // of what the store has lost
+		return false // from a history that the store has lost
 	case epoch > known && t.known && d.Full:
 		t.beginEpoch(d.Version, now)
-		began, changed = true, true
+		newEpoch, changed = true, true
 	case epoch > known && t.known && d.Version != 0:
-		return false // it does not tell what is gone
+		return false // deletions of the new epoch are unknown without a full delta
 	}
 	for _, r := range d.Rows {
 		changed = t.applyRow(r, now) || changed
@@ -124,14 +123,14 @@
 	if d.Full {
 		changed = t.deleteMissing(d, now) || changed
 	}
-	if began {
+	if newEpoch {
 		t.findReverted(now)
 	}
 	advanced := d.Version > t.version
-	learned := d.Full && !t.known
-	if learned {
-		t.floor = d.Version // what was removed before is not known
-	} else if d.Full && !began {
+	firstFull := d.Full && !t.known
+	if firstFull {
+		t.floor = d.Version // earlier deletions are unknown
+	} else if d.Full && !newEpoch {
 		t.unseen.add(t.version, d.Version, now)
 	}
 	t.version = max(t.version, d.Version)
@@ -146,22 +145,22 @@
 		close(t.updated)
 		t.updated = make(chan struct{})
 	}
-	if changed || learned {
+	if changed || firstFull {
 		close(t.changed)
 		t.changed = make(chan struct{})
 	}
 	return changed
 }
 
-// gap is the versions between which a table was read whole: rows that came and went between them
-// left no trace.
+// versionGap is the range of versions between which a table was read in full: rows written and deleted
+// within it were never seen.
 type versionGap struct {
 	from, to int64
 	at       time.Duration
 }
 
-// add adds a whole read at a version by a table that was at an older one. A gap is forgotten with
-// the removals of its time.
+// add adds a full read at a version by a table that was at an older one. A gap is forgotten together
+// with the tombstones of its time.
 func (g *versionGap) add(from, to int64, now time.Duration) {
 	if g.to == 0 || now-g.at > tombstoneTTL {
 		g.from = from
@@ -169,15 +168,15 @@
 	g.from, g.to, g.at = min(g.from, from), to, now
 }
 
-// has reports whether a table that is complete up to a version may have rows that went unseen.
+// contains reports whether a table that is complete up to a version may have rows that this one never saw.
 func (g *versionGap) contains(version int64) bool { return version > g.from && version < g.to }
 
-// confirm notes that the store said at a moment that the version is the newest.
-func (t *Table) confirmAt(now, said time.Duration) {
-	if t.confirmedAt != 0 && said-t.confirmedAt > outageAfter {
+// confirmAt records that the store confirmed the version as the newest at some time.
+func (t *Table) confirmAt(now, confirmedAt time.Duration) {
+	if t.confirmedAt != 0 && confirmedAt-t.confirmedAt > outageAfter {
 		t.storeRecoveredAt = now
 	}
-	t.confirmedAt = max(t.confirmedAt, said)
+	t.confirmedAt = max(t.confirmedAt, confirmedAt)
 }
 
 func (t *Table) applyRow(r Row, now time.Duration) bool {
@@ -200,7 +199,7 @@
 	return true
 }
 
-// dropOthers removes the rows that a whole delta does not have.
+// deleteMissing deletes the rows that a full delta does not contain.
 func (t *Table) deleteMissing(d Delta, now time.Duration) bool {
 	present := make(map[string]bool, len(d.Rows))
 	for _, r := range d.Rows {
@@ -220,7 +219,7 @@
 	return changed
 }
 
-// forget drops removed rows that were kept long enough.
+// pruneTombstones drops expired tombstones.
 func (t *Table) pruneTombstones(now time.Duration) {
 	for key, at := range t.deletedAt {
 		if now-at > tombstoneTTL {
@@ -231,7 +230,7 @@
 	}
 }
 
-// Since returns what changed after a version. Now sets its age.
+// Since returns the changes after a version. Now determines its age.
 func (t *Table) Since(after int64, now time.Duration) Delta {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -245,8 +244,8 @@
 	return d
 }
 
-// Rows returns the rows that count, by key: those that are there, and those that are held. Callers
-// share the list and must not change it.
+// Rows returns the effective rows by key: the existing ones, and those that are retained. Callers share
+// the slice and must not modify it.
 func (t *Table) Rows() []Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -254,8 +253,8 @@
 	return t.sorted
 }
 
-// refresh brings sorted up to date. What did not change since the last call is copied, not looked
-// up. The caller holds the lock.
+// refreshSorted updates sorted. Runs of unchanged rows are copied instead of looked up. The caller holds
+// the lock.
 func (t *Table) refreshSorted(now time.Duration) {
 	if len(t.dirty) == 0 {
 		return
@@ -263,13 +262,13 @@
 	before := t.sorted
 	t.sorted = make([]Row, 0, len(before)+len(t.dirty))
 	for _, key := range slices.Sorted(maps.Keys(t.dirty)) {
-		n, there := slices.BinarySearchFunc(before, key, func(r Row, key string) int { return cmp.Compare(r.Key, key) })
+		n, exists := slices.BinarySearchFunc(before, key, func(r Row, key string) int { return cmp.Compare(r.Key, key) })
 		t.sorted = append(t.sorted, before[:n]...)
-		if there {
+		if exists {
 			n++
 		}
 		before = before[n:]
-		if r, there := t.effective(key, now); there {
+		if r, exists := t.effective(key, now); exists {
 			t.sorted = append(t.sorted, r)
 		}
 	}
@@ -277,14 +276,14 @@
 	clear(t.dirty)
 }
 
-// Len returns the number of rows, those that are gone and still remembered included.
+// Len returns the number of rows, including tombstones.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.rows)
 }
 
-// Forget forgets all that is known of the table.
+// Reset discards the content of the table, which is unknown afterwards.
 func (t *Table) Reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -296,42 +295,39 @@
 	t.sorted, t.known, t.version, t.floor, t.confirmedAt, t.storeRecoveredAt = nil, false, 0, 0, 0, 0
 }
 
-// Version returns the version up to which the table is complete, and whether
-// it was ever read whole.
+// Version returns the version up to which the table is complete, and whether it was ever read in full.
 func (t *Table) Version() (int64, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.version, t.known
 }
 
-// Confirmed returns when the store last confirmed the table, on the process's
-// clock.
+// ConfirmedAt returns when the store last confirmed the table, on the process's clock.
 func (t *Table) ConfirmedAt() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.confirmedAt
 }
 
-// Returned returns when the store was heard of again after it had been away, on
-// the process's clock; zero if that never was.
+// StoreRecoveredAt returns when the store last confirmed the table after an outage, on the process's
+// clock; zero: never.
 func (t *Table) StoreRecoveredAt() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.storeRecoveredAt
 }
 
-// Changed returns a channel that is closed when a row changes, or the table is
-// first known whole. The version rises far more often, with every transaction of
-// the store in any table, and says nothing that has to be acted on.
+// Changed returns a channel that is closed when a row changes, or when the table is first known in full.
+// The version increases far more often, with every transaction of the store in any table, and requires
+// no action.
 func (t *Table) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changed
 }
 
-// AwaitNews waits until the version is above after, or until it was confirmed once
-// more, or until the context ends. So those who ask one another learn in little
-// more than the time on the way how fresh their tables are.
+// AwaitUpdate waits until the version is above after or was confirmed again, or until the context is
+// done. With it confirmations pass along a chain of instances in little more than the transmission time.
 func (t *Table) AwaitUpdate(ctx context.Context, after int64) {
 	t.mu.Lock()
 	version, news := t.version, t.updated
@@ -345,7 +341,7 @@
 	}
 }
 
-// Await waits until the version is above after, or until the context ends.
+// AwaitVersion waits until the version is above after, or until the context is done.
 func (t *Table) AwaitVersion(ctx context.Context, after int64) {
 	for {
 		t.mu.Lock()
--- a/process/state/want.go
+++ b/process/state/want.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// wants remembers since when tables are wanted. The zero value is ready.
+// subscriptions remembers since when tables are subscribed. The zero value is ready to use.
 type subscriptions struct {
 	mu    sync.Mutex
-	since map[string]time.Duration // by name of the table; not there: it is not wanted
+	since map[string]time.Duration // by table; absent: not subscribed
 }
 
-// note takes up whether a table is wanted, and returns since when it is.
+// update records whether a table is subscribed, and returns since when.
 func (w *subscriptions) update(name string, wanted bool, now time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -32,11 +32,11 @@
 	return since
 }
 
-// wanted reports whether a table is to be kept new.
+// subscribed reports whether a table is to be kept up to date.
 func (f *Follower) subscribed(name string) bool { return f.Subscribed == nil || f.Subscribed(name) }
 
-// wantAtStart notes that what is wanted at the start has no grace: there is nothing to
-// serve by without it.
+// subscribeAtStart gives the tables subscribed at the start no grace period: the instance cannot serve
+// without them.
 func (f *Follower) subscribeAtStart() {
 	for name := range f.Tables {
 		if f.subscribed(name) {
@@ -45,8 +45,8 @@
 	}
 }
 
-// counts reports whether a table that is not known, or not confirmed lately, matters:
-// it is wanted, and there was time for others to tell it.
+// required reports whether it matters that a table is unknown or not confirmed lately: it is subscribed,
+// and others had time to deliver it.
 func (f *Follower) required(name string, now time.Duration) bool {
 	if f.Subscribed == nil {
 		return true
--- a/process/state/want_test.go
+++ b/process/state/want_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// byTable is a store that counts the questions for each of its tables.
+// countingStore is a store that counts the queries of each table.
 type countingStore struct {
 	mu     sync.Mutex
 	tables map[string]*fakeSource
@@ -41,13 +41,13 @@
 	return b.calls[table]
 }
 
-// wantedSite is a relay of two tables, one of which is followed on demand, and a
-// follower that learns from it.
+// subscriptionFixture is a relay of two tables, one of which is subscribed on demand, and a leaf that
+// queries the relay.
 type subscriptionFixture struct {
 	store             *countingStore
 	relay, leaf       *Follower
-	subscribeOptional atomic.Bool // by both
-	leafStore         *fakeSource // the store as the leaf sees it
+	subscribeOptional atomic.Bool // for both followers
+	leafStore         *fakeSource // the store that the leaf would query
 }
 
 func (w *subscriptionFixture) subscribed(table string) bool {
@@ -56,8 +56,8 @@
 
 func startSubscriptionFixture(t *testing.T) *subscriptionFixture {
 	t.Helper()
-	begun := time.Now()
-	now := func() time.Duration { return time.Since(begun) + time.Hour }
+	started := time.Now()
+	now := func() time.Duration { return time.Since(started) + time.Hour }
 	w := &subscriptionFixture{
 		store:     &countingStore{tables: make(map[string]*fakeSource), calls: make(map[string]int)},
 		leafStore: &fakeSource{table: NewTable(), now: now},
@@ -83,19 +83,19 @@
 	return w
 }
 
-// reachesTable waits until a follower's table has a version.
+// waitForTableVersion waits until a follower's table has a version.
 func waitForTableVersion(t *testing.T, f *Follower, table string, version int64, within time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	f.Tables[table].AwaitVersion(ctx, version-1)
 	got, _ := f.Tables[table].Version()
-	assert.Assert(t, got >= version, "table %s at version %d", table, got)
+	assert.Assert(t, got >= version, "table %s is at version %d", table, got)
 }
 
-// TestTableThatIsNotWantedCostsNoCall checks that nobody asks the store for a table
-// that is not wanted, also when it was and is no more, and that a follower is neither
-// stale nor in a hurry for want of it.
+// TestUnsubscribedTableCausesNoStoreCalls checks that the store is not queried for a table without a
+// subscription, also after a subscription ended, and that a follower without that table is neither stale
+// nor starting up.
 func TestUnsubscribedTableCausesNoStoreCalls(t *testing.T) {
 	w := startSubscriptionFixture(t)
 	waitForTableVersion(t, w.leaf, "always", 1, time.Second)
@@ -109,7 +109,7 @@
 	w.subscribeOptional.Store(true)
 	waitForTableVersion(t, w.leaf, "wanted", 1, time.Second)
 	w.subscribeOptional.Store(false)
-	time.Sleep(maxStorePoll + relayResponseSlack) // a question that is held
+	time.Sleep(maxStorePoll + relayResponseSlack) // a query may still be held
 	before := w.store.count("wanted")
 	time.Sleep(staleAfter + time.Second)
 	assert.Equal(t, w.store.count("wanted"), before)
@@ -117,9 +117,9 @@
 	assert.Assert(t, !w.relay.Stale() && !w.leaf.Stale())
 }
 
-// TestWantedTableComesAlongTheTree checks that only the relay asks the store for a
-// table that is wanted of a sudden, even if it was wanted before and is old by now,
-// and that changes of it reach the others.
+// TestSubscribedTableArrivesThroughTree checks that only the relay queries the store for a newly subscribed
+// table, even if an outdated copy of it is there from an earlier subscription, and that its changes reach
+// the others.
 func TestSubscribedTableArrivesThroughTree(t *testing.T) {
 	w := startSubscriptionFixture(t)
 	waitForTableVersion(t, w.leaf, "always", 1, time.Second)
@@ -138,8 +138,8 @@
 	assert.Equal(t, w.leafStore.count(), 0)
 }
 
-// TestWantedTableThatNobodyTellsIsAskedFor checks that an instance that learns of no
-// one what it wants asks the store itself in bounded time.
+// TestSubscribedTableMissingAtPeersIsQueriedFromStore checks that an instance that gets a subscribed table
+// from no peer queries the store itself within a bounded time.
 func TestSubscribedTableMissingAtPeersIsQueriedFromStore(t *testing.T) {
 	w := startSubscriptionFixture(t)
 	waitForTableVersion(t, w.leaf, "always", 1, time.Second)
--- a/process/state/without_test.go
+++ b/process/state/without_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSpareInstancesGetNoRowsTheyDecline counts the rows that instances of a fleet get while backend
-// servers come, where one in ten is sent callers: each row went to all.
+// TestExcludedTablesAreNotSent counts the rows that the instances of a fleet receive while backend servers
+// are added and nine of ten instances exclude that table. Before exclusion each row was sent to all.
 func TestExcludedTablesAreNotSent(t *testing.T) {
 	const rows, oneIn = 50, 10
 	for _, instances := range []int{100, 400} {
@@ -24,7 +24,7 @@
 		for n := range rows {
 			head.Tables["b"].Apply(Delta{Version: int64(n + 2), Rows: []Row{{Key: fmt.Sprint(n), Version: int64(n + 2)}}}, now)
 		}
-		got, whole := 0, 0
+		received, complete := 0, 0
 		for i := range instances {
 			f := &Follower{Now: head.Now, Tables: map[string]*Table{"b": NewTable(), "o": NewTable()}}
 			f.Excluded = func(table string) bool { return table == "b" && i%oneIn != 0 }
@@ -33,18 +33,17 @@
 			}
 			_, known := f.Tables["o"].Version()
 			assert.Assert(t, known)
-			got += f.Tables["b"].Len()
+			received += f.Tables["b"].Len()
 			if f.Tables["b"].Len() == rows {
-				whole++
+				complete++
 			}
 		}
-		assert.Equal(t, got, rows*instances/oneIn)
-		assert.Equal(t, whole, instances/oneIn)
+		assert.Equal(t, received, rows*instances/oneIn)
+		assert.Equal(t, complete, instances/oneIn)
 	}
 }
 
-// TestDeclinedTableIsNoNews checks that changes of a table that is declined do not answer a
-// question that is held.
+// TestExcludedTableDoesNotEndPoll checks that changes of an excluded table do not end a held query.
 func TestExcludedTableDoesNotEndPoll(t *testing.T) {
 	now := time.Hour
 	f := &Follower{Now: func() time.Duration { return now }, Tables: map[string]*Table{"b": NewTable(), "o": NewTable()}}
@@ -52,12 +51,12 @@
 		table.Apply(Delta{Full: true, Version: 1}, now)
 	}
 	const wait = 50 * time.Millisecond
-	began := time.Now()
+	started := time.Now()
 	time.AfterFunc(wait/5, func() {
 		f.Tables["b"].Apply(Delta{Version: 2, Rows: []Row{{Key: "x", Version: 2}}}, now)
 	})
 	out := f.Respond(context.Background(), Query{After: map[string]int64{"o": 1}, Excluded: []string{"b"}, Wait: wait})
-	assert.Assert(t, time.Since(began) >= wait)
-	_, told := out["b"]
-	assert.Assert(t, !told)
+	assert.Assert(t, time.Since(started) >= wait)
+	_, sent := out["b"]
+	assert.Assert(t, !sent)
 }
--- a/process/state/write.go
+++ b/process/state/write.go
@@ -2,14 +2,14 @@
 
 package state
 
-// Expected is a row that a write is made against.
+// Precondition is the version of a row that a write expects.
 type Precondition struct {
 	Table, Key string
-	// Version is that of the transaction that wrote the row. Zero: it must not be there.
+	// Version is that of the transaction that wrote the row. Zero: the row must not exist.
 	Version int64
 }
 
-// Written is a row that a write puts, whatever it was but for what is expected.
+// Put is a row that a write puts, whatever its current value; only a Precondition can restrict that.
 type Put struct {
 	Table, Key string
 	Value      []byte
