--- a/process/cluster/beat.go
+++ b/process/cluster/beat.go
@@ -46,7 +46,7 @@
 	// The fields below are set before Run.
 	//
 	// Observations, if set, returns at most size bytes of observations about backend servers to
-	// gossip; OnObservations takes those of another instance.
+	// gossip; OnObservations is called with those of another instance.
 	Observations   func(size int) []byte
 	OnObservations func(observations []byte)
 	// RequestMembers, if set, requests the member list of the instance at an address. It may
@@ -67,7 +67,7 @@
 }
 
 // Sent returns the number of datagrams sent.
-func (b *Gossiper) Sent() int64 { return b.sent.Load() }
+func (g *Gossiper) Sent() int64 { return g.sent.Load() }
 
 // Listen opens the gossip socket.
 func Listen(members *Members) (*Gossiper, error) {
@@ -83,62 +83,62 @@
 }
 
 // Run sends and receives until the context is done.
-func (b *Gossiper) Run(ctx context.Context) {
-	go b.receive()
+func (g *Gossiper) Run(ctx context.Context) {
+	go g.receive()
 	for {
-		b.sendHeartbeat()
-		if !b.waitForHeartbeat(ctx, HeartbeatInterval-HeartbeatInterval/10+rand.N(HeartbeatInterval/5)) {
+		g.sendHeartbeat()
+		if !g.waitForHeartbeat(ctx, HeartbeatInterval-HeartbeatInterval/10+rand.N(HeartbeatInterval/5)) {
 			break
 		}
 	}
-	_ = b.socket.Close() // ends receive
+	_ = g.socket.Close() // ends receive
 }
 
 // waitForHeartbeat waits until the next heartbeat is due and meanwhile advances pending probes. It
 // returns false when the context is done.
-func (b *Gossiper) waitForHeartbeat(ctx context.Context, d time.Duration) bool {
-	for end := b.members.now() + d; ; {
-		left := end - b.members.now()
+func (g *Gossiper) waitForHeartbeat(ctx context.Context, d time.Duration) bool {
+	for end := g.members.now() + d; ; {
+		left := end - g.members.now()
 		if left <= 0 {
 			return ctx.Err() == nil
 		}
-		if !b.members.hasPendingWork() {
-			if !b.waitForWork(ctx, left) {
+		if !g.members.hasPendingWork() {
+			if !g.waitForWork(ctx, left) {
 				return false
 			}
 			continue
 		}
-		due := b.members.now() + min(left, ProbeCheckInterval)
+		due := g.members.now() + min(left, ProbeCheckInterval)
 		if !clock.Sleep(ctx, min(left, ProbeCheckInterval)) {
 			return false
 		}
-		b.sendOutgoing(b.members.advance(b.members.now()-due > stallThreshold))
+		g.sendOutgoing(g.members.advance(g.members.now()-due > stallThreshold))
 	}
 }
 
 // waitForWork waits for a duration, or until there is pending work. It returns false when the
 // context is done.
-func (b *Gossiper) waitForWork(ctx context.Context, d time.Duration) bool {
+func (g *Gossiper) waitForWork(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-b.wake:
+	case <-g.wake:
 	case <-ctx.Done():
 	}
 	return ctx.Err() == nil
 }
 
-func (b *Gossiper) sendOutgoing(all []outgoing) {
+func (g *Gossiper) sendOutgoing(all []outgoing) {
 	for _, x := range all {
-		b.send([]Member{{Peer: x.to}}, x.datagram)
+		g.send([]Member{{Peer: x.to}}, x.datagram)
 	}
 }
 
-func (b *Gossiper) receive() {
+func (g *Gossiper) receive() {
 	buf := make([]byte, maxDatagram)
 	for {
-		n, from, err := b.socket.ReadFromUDPAddrPort(buf)
+		n, from, err := g.socket.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -147,61 +147,61 @@
 			continue
 		}
 		if n > 0 && buf[0] == messagePrefix {
-			b.handleMessage(from, buf[1:n])
+			g.handleMessage(from, buf[1:n])
 			continue
 		}
 		d, err := decodeDatagram(buf[:n])
 		if err != nil {
 			continue // not from an instance
 		}
-		if b.members.receive(&d) && b.RequestMembers != nil {
-			go b.RequestMembers(d.Self.Peer)
+		if g.members.receive(&d) && g.RequestMembers != nil {
+			go g.RequestMembers(d.Self.Peer)
 		}
-		b.sendOutgoing(b.members.respond(&d))
-		if b.members.hasPendingWork() {
+		g.sendOutgoing(g.members.respond(&d))
+		if g.members.hasPendingWork() {
 			select {
-			case b.wake <- struct{}{}:
+			case g.wake <- struct{}{}:
 			default: // a signal is already pending
 			}
 		}
-		if b.OnObservations != nil && len(d.Observations) > 0 {
-			b.OnObservations(d.Observations)
+		if g.OnObservations != nil && len(d.Observations) > 0 {
+			g.OnObservations(d.Observations)
 		}
 		// An instance with a zero digest has nothing to offer, and requests the state itself.
-		if b.Digest != nil && d.Digest != 0 && d.Digest != b.Digest() {
-			b.OnDigestMismatch(d.Self.Peer)
+		if g.Digest != nil && d.Digest != 0 && d.Digest != g.Digest() {
+			g.OnDigestMismatch(d.Self.Peer)
 		}
 	}
 }
 
 // handleMessage passes on a message, unless its sender is unknown.
-func (b *Gossiper) handleMessage(from netip.AddrPort, data []byte) {
+func (g *Gossiper) handleMessage(from netip.AddrPort, data []byte) {
 	address := netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String()
-	if b.OnMessage != nil && b.members.markSeenAddress(address) {
-		b.OnMessage(address, data)
+	if g.OnMessage != nil && g.members.markSeenAddress(address) {
+		g.OnMessage(address, data)
 	}
 }
 
 // sendHeartbeat sends a heartbeat to some instances of the region and of other regions.
-func (b *Gossiper) sendHeartbeat() {
-	local, remote, withLiveness := b.members.heartbeatTargets()
+func (g *Gossiper) sendHeartbeat() {
+	local, remote, withLiveness := g.members.heartbeatTargets()
 	var observations []byte
-	if b.Observations != nil {
-		observations = b.Observations(maxObservationBytes)
+	if g.Observations != nil {
+		observations = g.Observations(maxObservationBytes)
 	}
-	d := b.members.gossip(withLiveness)
+	d := g.members.gossip(withLiveness)
 	d.Observations = observations
-	if b.Digest != nil {
-		d.Digest = b.Digest()
+	if g.Digest != nil {
+		d.Digest = g.Digest()
 	}
 	d.Liveness = d.Liveness[:min(len(d.Liveness), maxLiveness*livenessBytes-len(observations)/livenessBytes*livenessBytes)]
-	if b.members.UsesProbing() {
-		b.sendOutgoing(b.members.probeDatagrams(d))
+	if g.members.UsesProbing() {
+		g.sendOutgoing(g.members.probeDatagrams(d))
 	} else {
-		b.send(local, d)
+		g.send(local, d)
 	}
 	d.Liveness = nil
-	b.send(remote, d)
+	g.send(remote, d)
 }
 
 // heartbeatTargets returns the recipients of the next heartbeat in the own region and in others, and
@@ -263,8 +263,8 @@
 
 // Announce sends the state of this instance to others when it starts or leaves: to all in a small
 // fleet, and in a large one to the nearest, which spread it.
-func (b *Gossiper) Announce() {
-	b.send(b.members.announceTargets(), b.members.announcement())
+func (g *Gossiper) Announce() {
+	g.send(g.members.announceTargets(), g.members.announcement())
 }
 
 // announceTargets returns the recipients of an announcement: all instances, or in a large fleet
@@ -291,35 +291,35 @@
 }
 
 // SendToRegion sends a heartbeat to all instances of the region at once.
-func (b *Gossiper) SendToRegion() {
+func (g *Gossiper) SendToRegion() {
 	var local []Member
-	region := b.members.Self().Region
-	for _, m := range b.members.Others() {
+	region := g.members.Self().Region
+	for _, m := range g.members.Others() {
 		if m.Region == region {
 			local = append(local, m)
 		}
 	}
-	b.send(local, b.members.gossip(false))
+	g.send(local, g.members.gossip(false))
 }
 
 // AnnounceTo sends an announcement to one address.
-func (b *Gossiper) AnnounceTo(address string) {
-	b.send([]Member{{Peer: address}}, b.members.announcement())
+func (g *Gossiper) AnnounceTo(address string) {
+	g.send([]Member{{Peer: address}}, g.members.announcement())
 }
 
-func (b *Gossiper) send(to []Member, d datagram) {
+func (g *Gossiper) send(to []Member, d datagram) {
 	data, err := marshal(d)
 	if err != nil {
 		return // can't happen: every field can be encoded
 	}
 	for _, m := range to {
-		b.sendTo(m.Peer, data)
+		g.sendTo(m.Peer, data)
 	}
 }
 
-func (b *Gossiper) sendTo(address string, data []byte) {
+func (g *Gossiper) sendTo(address string, data []byte) {
 	if addr, err := netip.ParseAddrPort(address); err == nil {
-		b.sent.Add(1)
-		_, _ = b.socket.WriteToUDPAddrPort(data, addr) // the protocol tolerates lost datagrams
+		g.sent.Add(1)
+		_, _ = g.socket.WriteToUDPAddrPort(data, addr) // the protocol tolerates lost datagrams
 	}
 }
--- a/process/cluster/datagram.go
+++ b/process/cluster/datagram.go
@@ -142,7 +142,7 @@
 
 // receive merges a datagram. It reports whether to request the member list of its sender, because
 // its liveness entries have referred to unknown instances for a while.
-func (m *Members) receive(d *datagram) (ask bool) {
+func (m *Members) receive(d *datagram) (requestMembers bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
@@ -154,11 +154,11 @@
 		m.merge(false, r, now)
 	}
 	if d.Self.Region == m.self.Region {
-		ask = m.noteUnknown(m.mergeLiveness(d.Liveness, now), now)
+		requestMembers = m.noteUnknown(m.mergeLiveness(d.Liveness, now), now)
 	}
 	m.mergeStatuses(d.Statuses, now)
 	m.forget(now)
-	return ask
+	return requestMembers
 }
 
 // noteUnknown records how many entries referred to unknown instances, and reports whether that has
--- a/process/cluster/members.go
+++ b/process/cluster/members.go
@@ -93,6 +93,7 @@
 	suspectedAt    time.Duration // when an instance was last suspected or found to be down; zero: never
 }
 
+// peerState is what an instance knows of another one.
 type peerState struct {
 	Member
 	hash         uint64        // of the name
--- a/process/cluster/owner.go
+++ b/process/cluster/owner.go
@@ -139,14 +139,14 @@
 const messagePrefix = 0xc1
 
 // SendMessage sends a message to the datagram address of another instance. It may be lost.
-func (b *Gossiper) SendMessage(address string, data []byte) {
-	b.sendTo(address, append([]byte{messagePrefix}, data...))
+func (g *Gossiper) SendMessage(address string, data []byte) {
+	g.sendTo(address, append([]byte{messagePrefix}, data...))
 }
 
 // BroadcastMessage sends a message to all other instances. It may be lost.
-func (b *Gossiper) BroadcastMessage(data []byte) {
-	for _, m := range b.members.Others() {
-		b.SendMessage(m.Peer, data)
+func (g *Gossiper) BroadcastMessage(data []byte) {
+	for _, m := range g.members.Others() {
+		g.SendMessage(m.Peer, data)
 	}
 }
 
--- a/process/state/follower.go
+++ b/process/state/follower.go
@@ -249,8 +249,8 @@
 }
 
 // pollTimes returns how long the store may hold a query after a number of consecutive failures, and
-// how long after that to wait for the response. A relay whose store does not answer queries without
-// holding, so that it soon notices when the store is back: others wait for its updates.
+// how long after that to wait for the response. While the store does not answer, a relay sends queries
+// that are not held, so that it soon notices when the store is back: others wait for its updates.
 func (f *Follower) pollTimes(failures int, careful bool) (hold, slack time.Duration) {
 	if !f.Peers.Relay() {
 		return maxStorePoll, responseSlack
--- a/process/state/state_test.go
+++ b/process/state/state_test.go
@@ -65,7 +65,7 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			version++
 			r := row(fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "key")), version)
-			r.Deleted = rapid.Bool().Draw(t, "gone")
+			r.Deleted = rapid.Bool().Draw(t, "deleted")
 			a.Apply(Delta{Rows: []Row{r}, Version: version}, time.Duration(version))
 			known, _ := b.Version()
 			kept = append(kept, a.Since(known, time.Duration(version)))
@@ -107,9 +107,9 @@
 func (s *fakeSource) respond(ctx context.Context, after int64, wait time.Duration) (Delta, error) {
 	s.mu.Lock()
 	s.calls++
-	silent, err := s.unresponsive, s.err
+	unresponsive, err := s.unresponsive, s.err
 	s.mu.Unlock()
-	if silent {
+	if unresponsive {
 		<-ctx.Done()
 		return Delta{}, ctx.Err()
 	}
--- a/process/state/table.go
+++ b/process/state/table.go
@@ -330,13 +330,13 @@
 // done. With it confirmations pass along a chain of instances in little more than the transmission time.
 func (t *Table) AwaitUpdate(ctx context.Context, after int64) {
 	t.mu.Lock()
-	version, news := t.version, t.updated
+	version, updated := t.version, t.updated
 	t.mu.Unlock()
 	if version > after {
 		return
 	}
 	select {
-	case <-news:
+	case <-updated:
 	case <-ctx.Done():
 	}
 }
