--- a/process/cluster/beat.go
+++ b/process/cluster/beat.go
@@ -209,7 +209,7 @@
 func (m *Members) heartbeatTargets() (local, remote []Member, withLiveness bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.countNear()
+	m.countRegionPeers()
 	if m.usesProbing() {
 		return nil, m.sampleRemote(remoteTargets), false
 	}
--- a/process/cluster/evidence.go
+++ b/process/cluster/evidence.go
@@ -54,15 +54,15 @@
 
 // applyStatus applies a status report unless something newer is known, and reports whether it
 // changed anything. The caller holds the lock.
-func (m *Members) applyStatus(ps *peerState, v status, at, now time.Duration) bool {
-	switch v {
+func (m *Members) applyStatus(ps *peerState, s status, at, now time.Duration) bool {
+	switch s {
 	case statusLive:
 		if at <= ps.lastSeen {
 			return false
 		}
-		wasLost := ps.down()
+		wasDown := ps.down()
 		ps.lastSeen = at
-		if !wasLost || ps.down() {
+		if !wasDown || ps.down() {
 			return false
 		}
 	case statusDown:
@@ -84,7 +84,7 @@
 	default:
 		return false // a status added by a newer release
 	}
-	m.queueReport(ps, v, at, now)
+	m.queueReport(ps, s, at, now)
 	return true
 }
 
@@ -97,8 +97,8 @@
 }
 
 // queueReport queues a report to be gossiped. The caller holds the lock.
-func (m *Members) queueReport(ps *peerState, v status, at, now time.Duration) {
-	ps.report = statusReport{status: v, observedAt: at, receivedAt: now}
+func (m *Members) queueReport(ps *peerState, s status, at, now time.Duration) {
+	ps.report = statusReport{status: s, observedAt: at, receivedAt: now}
 	if m.pendingReports == nil {
 		m.pendingReports = make(map[*peerState]struct{})
 	}
--- a/process/cluster/members.go
+++ b/process/cluster/members.go
@@ -164,7 +164,7 @@
 
 // live reports whether an instance counts as live. An instance of another region is seldom heard, so
 // it counts as live until a call to it fails or it is found to be down. The caller holds the lock
-// and has called countNear.
+// and has called countRegionPeers.
 func (m *Members) live(ps *peerState, now time.Duration) bool {
 	if ps.Leaving || ps.down() {
 		return false
@@ -182,7 +182,7 @@
 }
 
 // livenessTimeout returns how long an instance of the own region counts as live after it was last
-// seen. The caller holds the lock and has called countNear.
+// seen. The caller holds the lock and has called countRegionPeers.
 func (m *Members) livenessTimeout() time.Duration {
 	switch {
 	case m.regionPeers <= minRegionTargets:
@@ -197,7 +197,7 @@
 // caller holds the lock.
 func (m *Members) eachLive(f func(*peerState)) {
 	now := m.now()
-	m.countNear()
+	m.countRegionPeers()
 	selfDone := m.self.Leaving
 	self := func() {
 		if !selfDone {
--- a/process/cluster/probe.go
+++ b/process/cluster/probe.go
@@ -76,12 +76,12 @@
 func (m *Members) UsesProbing() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.countNear()
+	m.countRegionPeers()
 	return m.usesProbing()
 }
 
-// countNear updates the number of other instances in the own region. The caller holds the lock.
-func (m *Members) countNear() {
+// countRegionPeers updates the number of other instances in the own region. The caller holds the lock.
+func (m *Members) countRegionPeers() {
 	m.regionPeers = 0
 	for _, ps := range m.sorted {
 		if ps.Region == m.self.Region && !ps.Leaving {
--- a/process/cluster/probe_test.go
+++ b/process/cluster/probe_test.go
@@ -33,7 +33,7 @@
 			continue
 		}
 		x.members.mu.Lock()
-		x.members.countNear()
+		x.members.countRegionPeers()
 		for _, ps := range x.members.sorted {
 			o := f.byPeer[ps.Peer]
 			if !o.stopped && !o.frozen && !x.members.live(ps, f.now) {
@@ -118,7 +118,7 @@
 			continue
 		}
 		x.members.mu.Lock()
-		x.members.countNear()
+		x.members.countRegionPeers()
 		for _, o := range stopped {
 			if ps := x.members.others[o.members.self.Name]; ps != nil && x.members.live(ps, f.now) {
 				n++
--- a/process/cluster/room.go
+++ b/process/cluster/room.go
@@ -45,7 +45,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
-	m.countNear()
+	m.countRegionPeers()
 	var maxima Resources
 	maxima.include(&m.self)
 	for _, ps := range m.sorted {
--- a/process/cluster/work.go
+++ b/process/cluster/work.go
@@ -9,7 +9,7 @@
 func (m *Members) Active() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.countNear()
+	m.countRegionPeers()
 	now, timeout := m.now(), m.livenessTimeout()
 	out := make([]Member, 0, len(m.sorted)+1)
 	selfDone := false
--- a/process/state/follower.go
+++ b/process/state/follower.go
@@ -133,8 +133,8 @@
 	Instances func() int
 
 	subscriptions subscriptions
-	// firstResponseAt is when the first source last responded, by Now.
-	firstResponseAt atomic.Int64
+	// primaryRespondedAt is when the first (primary) peer source last responded, by Now.
+	primaryRespondedAt atomic.Int64
 	// startWaitUntil is the time until which unknown tables are awaited from others, and
 	// headWaitUntil that for a head.
 	startWaitUntil, headWaitUntil time.Duration
@@ -323,7 +323,7 @@
 			}
 		}
 		if i == 0 {
-			f.firstResponseAt.Store(int64(now))
+			f.primaryRespondedAt.Store(int64(now))
 		}
 		clock.Sleep(ctx, f.peerBatchDelay())
 	}
--- a/process/state/gather_test.go
+++ b/process/state/gather_test.go
@@ -32,9 +32,9 @@
 		f := &Follower{Tables: map[string]*Table{"t": table}, Now: func() time.Duration { return now }, Instances: func() int { return x.instances }}
 		assert.Equal(t, f.peerBatchDelay(), x.gather, "%v", x)
 		assert.Equal(t, f.onStandby(), false, "no source has responded yet")
-		f.firstResponseAt.Store(int64(now - standbyAfter + 1))
+		f.primaryRespondedAt.Store(int64(now - standbyAfter + 1))
 		assert.Equal(t, f.onStandby(), x.standby, "%v", x)
-		f.firstResponseAt.Store(int64(now - standbyAfter))
+		f.primaryRespondedAt.Store(int64(now - standbyAfter))
 		assert.Equal(t, f.onStandby(), false, "%v", x)
 	}
 }
--- a/process/state/pause.go
+++ b/process/state/pause.go
@@ -92,7 +92,7 @@
 
 // onStandby reports whether only the first source is queried.
 func (f *Follower) onStandby() bool {
-	answered := time.Duration(f.firstResponseAt.Load())
+	answered := time.Duration(f.primaryRespondedAt.Load())
 	many := f.rowCount() >= standbyMinRows || f.instanceCount() >= standbyMinInstances
 	return many && answered != 0 && f.Now()-answered < standbyAfter
 }
