--- a/process/cluster/answer.go
+++ b/process/cluster/answer.go
@@ -16,17 +16,17 @@
 	"shalewick/process/state"
 )
 
-// maxReply bounds an answer of another instance, and a table in it, in bytes.
-const maxReply = 16 << 20
+// maxResponseBytes bounds a response of another instance, and each decompressed table in it.
+const maxResponseBytes = 16 << 20
 
-// part is what an answer says of one table.
-type part struct {
-	// Delta is a state.Delta without its age, compressed.
+// encodedTable is one table of a changes response.
+type encodedTable struct {
+	// Delta is a compressed state.Delta without its age.
 	Delta []byte        `json:"d"`
 	Age   time.Duration `json:"a"`
 }
 
-// encodeDelta returns the compressed bytes of a delta without its age.
+// encodeDelta encodes and compresses a delta without its age.
 func encodeDelta(d state.Delta) ([]byte, error) {
 	d.Age = 0
 	b, err := marshal(d)
@@ -36,11 +36,11 @@
 	return s2.Encode(nil, b), nil
 }
 
-func decodeDelta(p part) (state.Delta, error) {
+func decodeDelta(p encodedTable) (state.Delta, error) {
 	var d state.Delta
 	size, err := s2.DecodedLen(p.Delta)
-	if err != nil || size > maxReply {
-		return d, errors.Errorf("table of %d bytes: %v", size, err)
+	if err != nil || size > maxResponseBytes {
+		return d, errors.Errorf("compressed table of %d bytes: %v", size, err)
 	}
 	b, err := s2.Decode(nil, p.Delta)
 	if err != nil {
@@ -53,9 +53,9 @@
 	return d, nil
 }
 
-// decodeAnswer reads an answer.
-func decodeAnswer(b []byte) (map[string]state.Delta, error) {
-	var parts map[string]part
+// decodeResponse decodes a changes response.
+func decodeResponse(b []byte) (map[string]state.Delta, error) {
+	var parts map[string]encodedTable
 	if err := unmarshal(b, &parts); err != nil {
 		return nil, err
 	}
@@ -70,49 +70,49 @@
 	return out, nil
 }
 
-// answers encodes answers. Whole tables are encoded once a version, since many ask
-// for them at the same time when all start: each encoding takes memory. The zero
-// value is ready.
-type answers struct {
-	mu    sync.Mutex
-	whole map[string]encoded // by table
+// responseEncoder encodes changes responses. A snapshot is encoded once per version, because many
+// instances request it at the same time when the whole fleet starts and each encoding takes
+// memory. The zero value is ready to use.
+type responseEncoder struct {
+	mu        sync.Mutex
+	snapshots map[string]encodedSnapshot // by table
 }
 
-type encoded struct {
+type encodedSnapshot struct {
 	version int64
 	bytes   []byte
 }
 
-// encode returns the bytes of an answer.
-func (a *answers) encode(tables map[string]state.Delta) ([]byte, error) {
-	parts := make(map[string]part, len(tables))
+// encode returns the encoded response for some tables.
+func (a *responseEncoder) encode(tables map[string]state.Delta) ([]byte, error) {
+	parts := make(map[string]encodedTable, len(tables))
 	for name, d := range tables {
-		b, err := a.delta(name, d)
+		b, err := a.encodeTable(name, d)
 		if err != nil {
 			return nil, err
 		}
-		parts[name] = part{Delta: b, Age: d.Age}
+		parts[name] = encodedTable{Delta: b, Age: d.Age}
 	}
 	return marshal(parts)
 }
 
-func (a *answers) delta(name string, d state.Delta) ([]byte, error) {
-	if !d.Whole {
+func (a *responseEncoder) encodeTable(name string, d state.Delta) ([]byte, error) {
+	if !d.Full {
 		return encodeDelta(d)
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if e, ok := a.whole[name]; ok && e.version == d.Version {
+	if e, ok := a.snapshots[name]; ok && e.version == d.Version {
 		return e.bytes, nil
 	}
 	b, err := encodeDelta(d)
 	if err != nil {
 		return nil, err
 	}
-	if a.whole == nil {
-		a.whole = make(map[string]encoded)
+	if a.snapshots == nil {
+		a.snapshots = make(map[string]encodedSnapshot)
 	}
-	a.whole[name] = encoded{version: d.Version, bytes: b}
+	a.snapshots[name] = encodedSnapshot{version: d.Version, bytes: b}
 	return b, nil
 }
 
@@ -126,7 +126,7 @@
 	return b.Bytes(), nil
 }
 
-// unmarshal reads exactly one value.
+// unmarshal decodes exactly one value.
 func unmarshal(b []byte, v any) error {
 	if err := packed.Check(b); err != nil {
 		return errors.Annotate(err, "decode")
@@ -138,7 +138,7 @@
 		return errors.Annotate(err, "decode")
 	}
 	if _, err := r.ReadByte(); err != io.EOF {
-		return errors.New("decode: bytes are left")
+		return errors.New("decode: trailing bytes after the value")
 	}
 	return nil
 }
--- a/process/cluster/beat.go
+++ b/process/cluster/beat.go
@@ -18,308 +18,308 @@
 )
 
 const (
-	// farTold is the number of instances of other regions that are told at each
-	// beat.
-	farTold = 1
-	// beatBytes bounds what is sent to the own region at each beat, in bytes: with
-	// two beats a second and the headers of datagrams it stays below 4 KB/s.
-	beatBytes = 1750
-	// memberBytes is the usual size of what a datagram says of one instance, and
-	// newsBytes that of news of one.
+	// remoteTargets is the number of instances of other regions that get each heartbeat.
+	remoteTargets = 1
+	// maxRegionBytes bounds the heartbeat traffic to the instance's own region per interval, in
+	// bytes: with two heartbeats a second and the datagram headers it stays below 4 KB/s.
+	maxRegionBytes = 1750
+	// memberBytes is the typical encoded size of one Member, and livenessBytes that of one
+	// liveness entry.
 	memberBytes = 120
-	// observationBytes bounds what a datagram tells of backend servers, in bytes. It
-	// takes the place of news.
-	observationBytes = 180
-	newsBytes        = len(news{})
-	// leastTold is the number of instances of the region that are told at each
-	// beat at least: with fewer, news spreads too slowly. Where there are no more
-	// others, all hear each other at each beat, and no news is needed.
-	leastTold = 4
+	// maxObservationBytes bounds the observations about backend servers in a datagram. They
+	// take space from the liveness entries.
+	maxObservationBytes = 180
+	livenessBytes       = len(livenessEntry{})
+	// minRegionTargets is the minimum number of instances of the region that get each
+	// heartbeat: with fewer, gossip spreads too slowly. In a region with no more other
+	// instances all receive each heartbeat directly, and no gossip is needed.
+	minRegionTargets = 4
 )
 
-// Beats sends and receives the datagrams that tell who is alive. In a small region
-// each instance tells all others at each beat. In a larger one it tells a few, any
-// of them, and passes on what it has heard of the others: gossip as in van Renesse,
-// Minsky, Hayden, "A gossip-style failure detection service" (1998). In one so large that a
-// datagram does not hold the news of all it probes a few (probe.go). So what an instance sends
-// does not grow with the region.
-type Beats struct {
-	// What follows is set before Run.
+// Gossiper exchanges heartbeats with the other instances over UDP. In a small region each instance
+// sends its heartbeat to all others. In a larger one it sends to a random few and adds when it last
+// knew the others to be live: gossip as in van Renesse, Minsky, Hayden, "A gossip-style failure
+// detection service" (1998). Where a datagram cannot hold the entries of the whole region, it
+// probes a few instances instead (probe.go). Thus the traffic of an instance does not grow with the
+// region.
+type Gossiper struct {
+	// The fields below are set before Run.
 	//
-	// Observations, if set, returns what others should know of backend servers, in at
-	// most so many bytes, and Hear takes up what another instance told.
-	Observations func(size int) []byte
-	Hear         func(observations []byte)
-	// Ask, if set, asks the instance at an address which others there are, and
-	// may take long.
-	Ask func(address string)
-	// Message, if set, takes up a message of another instance that is known, from
-	// its address. It must not keep the text.
-	Message func(from string, text []byte)
-	// Digest, if set, returns what all instances should have the same of, and Differs is
-	// called with the address of one that has not.
-	Digest  func() uint64
-	Differs func(address string)
+	// Observations, if set, returns at most size bytes of observations about backend servers to
+	// gossip; OnObservations is called with those of another instance.
+	Observations   func(size int) []byte
+	OnObservations func(observations []byte)
+	// RequestMembers, if set, requests the member list of the instance at an address. It may
+	// block for long.
+	RequestMembers func(address string)
+	// OnMessage, if set, is called with each message of a known instance and its address. It
+	// must not retain the data.
+	OnMessage func(from string, data []byte)
+	// Digest, if set, returns a digest of the state that all instances should share, and
+	// OnDigestMismatch is called with the address of an instance whose digest differs.
+	Digest           func() uint64
+	OnDigestMismatch func(address string)
 
 	members *Members
 	socket  *net.UDPConn
 	sent    atomic.Int64
-	more    chan struct{} // there is something to look at before the next beat
+	wake    chan struct{} // signals pending work before the next heartbeat
 }
 
-// Sent returns the number of datagrams that were sent.
-func (b *Beats) Sent() int64 { return b.sent.Load() }
+// Sent returns the number of datagrams sent.
+func (g *Gossiper) Sent() int64 { return g.sent.Load() }
 
-// Listen opens the socket of the beats.
-func Listen(members *Members) (*Beats, error) {
+// Listen opens the gossip socket.
+func Listen(members *Members) (*Gossiper, error) {
 	addr, err := net.ResolveUDPAddr("udp4", members.Self().Peer)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
 	s, err := net.ListenUDP("udp4", addr)
 	if err != nil {
-		return nil, errors.Annotate(err, "listen for beats")
+		return nil, errors.Annotate(err, "listen for heartbeats")
 	}
-	return &Beats{members: members, socket: s, more: make(chan struct{}, 1)}, nil
+	return &Gossiper{members: members, socket: s, wake: make(chan struct{}, 1)}, nil
 }
 
-// Run sends and receives until the context ends.
-func (b *Beats) Run(ctx context.Context) {
-	go b.receive()
+// Run sends and receives until the context is done.
+func (g *Gossiper) Run(ctx context.Context) {
+	go g.receive()
 	for {
-		b.sendSome()
-		if !b.pause(ctx, Beat-Beat/10+rand.N(Beat/5)) {
+		g.sendHeartbeat()
+		if !g.waitForHeartbeat(ctx, HeartbeatInterval-HeartbeatInterval/10+rand.N(HeartbeatInterval/5)) {
 			break
 		}
 	}
-	_ = b.socket.Close() // ends receive
+	_ = g.socket.Close() // ends receive
 }
 
-// pause waits until the next beat, and looks at the answers of those that were probed meanwhile.
-// It reports whether the context goes on.
-func (b *Beats) pause(ctx context.Context, d time.Duration) bool {
-	for end := b.members.now() + d; ; {
-		left := end - b.members.now()
+// waitForHeartbeat waits until the next heartbeat is due and meanwhile advances pending probes. It
+// returns false when the context is done.
+func (g *Gossiper) waitForHeartbeat(ctx context.Context, d time.Duration) bool {
+	for end := g.members.now() + d; ; {
+		left := end - g.members.now()
 		if left <= 0 {
 			return ctx.Err() == nil
 		}
-		if !b.members.pending() {
-			if !b.awaitMore(ctx, left) {
+		if !g.members.hasPendingWork() {
+			if !g.waitForWork(ctx, left) {
 				return false
 			}
 			continue
 		}
-		due := b.members.now() + min(left, Tick)
-		if !clock.Sleep(ctx, min(left, Tick)) {
+		due := g.members.now() + min(left, ProbeCheckInterval)
+		if !clock.Sleep(ctx, min(left, ProbeCheckInterval)) {
 			return false
 		}
-		b.sendOut(b.members.tick(b.members.now()-due > stoodStill))
+		g.sendOutgoing(g.members.advance(g.members.now()-due > stallThreshold))
 	}
 }
 
-// awaitMore waits for a time, or until there is something to look at. It reports whether the
-// context goes on.
-func (b *Beats) awaitMore(ctx context.Context, d time.Duration) bool {
+// waitForWork waits for a duration, or until there is pending work. It returns false when the
+// context is done.
+func (g *Gossiper) waitForWork(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-b.more:
+	case <-g.wake:
 	case <-ctx.Done():
 	}
 	return ctx.Err() == nil
 }
 
-func (b *Beats) sendOut(all []outgoing) {
+func (g *Gossiper) sendOutgoing(all []outgoing) {
 	for _, x := range all {
-		b.send([]Member{{Peer: x.to}}, x.d)
+		g.send([]Member{{Peer: x.to}}, x.datagram)
 	}
 }
 
-func (b *Beats) receive() {
+func (g *Gossiper) receive() {
 	buf := make([]byte, maxDatagram)
 	for {
-		n, from, err := b.socket.ReadFromUDPAddrPort(buf)
+		n, from, err := g.socket.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(Beat / 10) // an earlier datagram was refused
+			time.Sleep(HeartbeatInterval / 10) // the error may stem from an earlier datagram that was rejected
 			continue
 		}
-		if n > 0 && buf[0] == messageMark {
-			b.hearMessage(from, buf[1:n])
+		if n > 0 && buf[0] == messagePrefix {
+			g.handleMessage(from, buf[1:n])
 			continue
 		}
 		d, err := decodeDatagram(buf[:n])
 		if err != nil {
-			continue // it is not of another instance
+			continue // not from an instance
 		}
-		if b.members.hear(&d) && b.Ask != nil {
-			go b.Ask(d.Self.Peer)
+		if g.members.receive(&d) && g.RequestMembers != nil {
+			go g.RequestMembers(d.Self.Peer)
 		}
-		b.sendOut(b.members.respond(&d))
-		if b.members.pending() {
+		g.sendOutgoing(g.members.respond(&d))
+		if g.members.hasPendingWork() {
 			select {
-			case b.more <- struct{}{}:
-			default: // it is known already
+			case g.wake <- struct{}{}:
+			default: // a signal is already pending
 			}
 		}
-		if b.Hear != nil && len(d.Observations) > 0 {
-			b.Hear(d.Observations)
+		if g.OnObservations != nil && len(d.Observations) > 0 {
+			g.OnObservations(d.Observations)
 		}
-		// One that knows of nothing can tell nothing, and asks by itself.
-		if b.Digest != nil && d.Digest != 0 && d.Digest != b.Digest() {
-			b.Differs(d.Self.Peer)
+		// An instance with a zero digest has nothing to offer, and requests the state itself.
+		if g.Digest != nil && d.Digest != 0 && d.Digest != g.Digest() {
+			g.OnDigestMismatch(d.Self.Peer)
 		}
 	}
 }
 
-// hearMessage takes up a message, unless its sender is not known.
-func (b *Beats) hearMessage(from netip.AddrPort, text []byte) {
+// handleMessage passes on a message, unless its sender is unknown.
+func (g *Gossiper) handleMessage(from netip.AddrPort, data []byte) {
 	address := netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String()
-	if b.Message != nil && b.members.heardPeer(address) {
-		b.Message(address, text)
+	if g.OnMessage != nil && g.members.markSeenAddress(address) {
+		g.OnMessage(address, data)
 	}
 }
 
-// sendSome tells some of the own region, and a few others, that this one is alive.
-func (b *Beats) sendSome() {
-	near, far, withNews := b.members.listeners()
-	var seen []byte
-	if b.Observations != nil {
-		seen = b.Observations(observationBytes)
+// sendHeartbeat sends a heartbeat to some instances of the region and of other regions.
+func (g *Gossiper) sendHeartbeat() {
+	local, remote, withLiveness := g.members.heartbeatTargets()
+	var observations []byte
+	if g.Observations != nil {
+		observations = g.Observations(maxObservationBytes)
 	}
-	d := b.members.tell(withNews)
-	d.Observations = seen
-	if b.Digest != nil {
-		d.Digest = b.Digest()
+	d := g.members.gossip(withLiveness)
+	d.Observations = observations
+	if g.Digest != nil {
+		d.Digest = g.Digest()
 	}
-	d.News = d.News[:min(len(d.News), mostNews*newsBytes-len(seen)/newsBytes*newsBytes)]
-	if b.members.Probes() {
-		b.sendOut(b.members.probeSome(d))
+	d.Liveness = d.Liveness[:min(len(d.Liveness), maxLiveness*livenessBytes-len(observations)/livenessBytes*livenessBytes)]
+	if g.members.UsesProbing() {
+		g.sendOutgoing(g.members.probeDatagrams(d))
 	} else {
-		b.send(near, d)
+		g.send(local, d)
 	}
-	d.News = nil
-	b.send(far, d)
+	d.Liveness = nil
+	g.send(remote, d)
 }
 
-// listeners returns whom to tell at a beat, and whether those of the own region
-// need to be told of others.
-func (m *Members) listeners() (near, far []Member, withNews bool) {
+// heartbeatTargets returns the recipients of the next heartbeat in the own region and in others, and
+// whether those of the region need liveness entries about others.
+func (m *Members) heartbeatTargets() (local, remote []Member, withLiveness bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.countNear()
-	if m.probes() {
-		return nil, m.anyFar(farTold), false
+	m.countRegionPeers()
+	if m.usesProbing() {
+		return nil, m.sampleRemote(remoteTargets), false
 	}
-	next := 0 // of the own region in the order of names
-	for _, k := range m.order {
+	next := 0 // index in local of the first instance that follows this one by name
+	for _, ps := range m.sorted {
 		switch {
-		case k.Region != m.self.Region:
-			far = append(far, k.Member)
+		case ps.Region != m.self.Region:
+			remote = append(remote, ps.Member)
 			continue
-		case k.Name < m.self.Name:
-			next = len(near) + 1
+		case ps.Name < m.self.Name:
+			next = len(local) + 1
 		}
-		near = append(near, k.Member)
+		local = append(local, ps.Member)
 	}
-	far = some(m.shuffle, far, farTold)
-	withNews = len(near) > leastTold
-	size := memberBytes + newsBytes*min(len(near), mostNews)
-	if n := max(leastTold, beatBytes/size); n < len(near) {
-		near = m.nextAndSome(near, next, n)
+	remote = sample(m.shuffle, remote, remoteTargets)
+	withLiveness = len(local) > minRegionTargets
+	size := memberBytes + livenessBytes*min(len(local), maxLiveness)
+	if n := max(minRegionTargets, maxRegionBytes/size); n < len(local) {
+		local = m.successorsAndSample(local, next, n)
 	}
-	return near, far, withNews
+	return local, remote, withLiveness
 }
 
-// anyFar returns up to n instances of other regions, any of them. The caller holds the lock.
-func (m *Members) anyFar(n int) []Member {
-	var far []*known
-	for _, k := range m.order {
-		if k.Region != m.self.Region {
-			far = append(far, k)
+// sampleRemote returns up to n random instances of other regions. The caller holds the lock.
+func (m *Members) sampleRemote(n int) []Member {
+	var remote []*peerState
+	for _, ps := range m.sorted {
+		if ps.Region != m.self.Region {
+			remote = append(remote, ps)
 		}
 	}
-	return plain(some(m.shuffle, far, n))
+	return toMembers(sample(m.shuffle, remote, n))
 }
 
-// nextAndSome returns the two members that follow a place, so that nobody is left
-// out by chance, and any others, so that news travels far.
-func (m *Members) nextAndSome(near []Member, next, n int) []Member {
-	near = slices.Concat(near[next:], near[:next])
-	return append(near[:2:2], some(m.shuffle, near[2:], n-2)...)
+// successorsAndSample returns the two members from index next on, so that none is left out by
+// chance, and n-2 random others, so that gossip spreads widely.
+func (m *Members) successorsAndSample(local []Member, next, n int) []Member {
+	local = slices.Concat(local[next:], local[:next])
+	return append(local[:2:2], sample(m.shuffle, local[2:], n-2)...)
 }
 
 const (
-	// MostIntroduced is the number of instances up to which each tells all of itself as it starts
-	// or leaves. When all start together each tells that many, so that it counts how small a
-	// message is: without rumours 110 bytes (TestIntroductionIsSmall).
-	MostIntroduced = 100
-	// fewIntroduced is how many of a larger fleet it tells.
-	fewIntroduced = 30
+	// MaxSmallFleet is the number of other instances up to which a fleet counts as small: each
+	// instance then announces its start and stop to all. When all start together each sends that
+	// many announcements, so their size matters: 110 bytes without NewInstances
+	// (TestAnnouncementSize).
+	MaxSmallFleet = 100
+	// announceFanout is the number of instances that an announcement goes to in a larger fleet.
+	announceFanout = 30
 )
 
-// SendAll tells the other instances of this one alone, as when it starts or leaves: all of a small
-// fleet, and the nearest of a large one, which tell others.
-func (b *Beats) SendAll() {
-	b.send(b.members.introduced(), b.members.introduction())
+// Announce sends the state of this instance to others when it starts or leaves: to all in a small
+// fleet, and in a large one to the nearest, which spread it.
+func (g *Gossiper) Announce() {
+	g.send(g.members.announceTargets(), g.members.announcement())
 }
 
-// introduced returns the instances that one tells of itself: all, or in a large fleet some, those
-// of the own hall first, then those of the region.
-func (m *Members) introduced() []Member {
+// announceTargets returns the recipients of an announcement: all instances, or in a large fleet
+// a sample that prefers the own hall, then the region.
+func (m *Members) announceTargets() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	distance := func(k *known) int {
+	distance := func(ps *peerState) int {
 		switch {
-		case k.Region != m.self.Region:
+		case ps.Region != m.self.Region:
 			return 2
-		case k.Hall != m.self.Hall:
+		case ps.Hall != m.self.Hall:
 			return 1
 		}
 		return 0
 	}
-	all := slices.Clone(m.order)
-	if len(all) > MostIntroduced {
+	all := slices.Clone(m.sorted)
+	if len(all) > MaxSmallFleet {
 		m.shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-		slices.SortStableFunc(all, func(a, b *known) int { return cmp.Compare(distance(a), distance(b)) })
-		all = all[:fewIntroduced]
+		slices.SortStableFunc(all, func(a, b *peerState) int { return cmp.Compare(distance(a), distance(b)) })
+		all = all[:announceFanout]
 	}
-	return plain(all)
+	return toMembers(all)
 }
 
-// SendNear tells those of the own region.
-func (b *Beats) SendNear() {
-	var near []Member
-	region := b.members.Self().Region
-	for _, m := range b.members.All() {
+// SendToRegion sends a heartbeat to all instances of the region at once.
+func (g *Gossiper) SendToRegion() {
+	var local []Member
+	region := g.members.Self().Region
+	for _, m := range g.members.Others() {
 		if m.Region == region {
-			near = append(near, m)
+			local = append(local, m)
 		}
 	}
-	b.send(near, b.members.tell(false))
+	g.send(local, g.members.gossip(false))
 }
 
-// Introduce tells the instance at an address of this one alone.
-func (b *Beats) Introduce(address string) {
-	b.send([]Member{{Peer: address}}, b.members.introduction())
+// AnnounceTo sends an announcement to one address.
+func (g *Gossiper) AnnounceTo(address string) {
+	g.send([]Member{{Peer: address}}, g.members.announcement())
 }
 
-func (b *Beats) send(to []Member, d datagram) {
-	text, err := marshal(d)
+func (g *Gossiper) send(to []Member, d datagram) {
+	data, err := marshal(d)
 	if err != nil {
-		return // it holds nothing that can't be encoded
+		return // can't happen: every field can be encoded
 	}
 	for _, m := range to {
-		b.sendTo(m.Peer, text)
+		g.sendTo(m.Peer, data)
 	}
 }
 
-func (b *Beats) sendTo(address string, text []byte) {
+func (g *Gossiper) sendTo(address string, data []byte) {
 	if addr, err := netip.ParseAddrPort(address); err == nil {
-		b.sent.Add(1)
-		_, _ = b.socket.WriteToUDPAddrPort(text, addr) // lost datagrams are allowed for
+		g.sent.Add(1)
+		_, _ = g.socket.WriteToUDPAddrPort(data, addr) // the protocol tolerates lost datagrams
 	}
 }
--- a/process/cluster/owner.go
+++ b/process/cluster/owner.go
@@ -8,118 +8,117 @@
 	"time"
 )
 
-// ownerAge is how old a start of an instance must be, by the time of day, for it to
-// own something: by then all know it, so that all turn to it at the same moment.
-// Origin: the news of a start reaches a region of 103 in 3.7 s (gossip_test.go).
-const ownerAge = 4 * time.Second
-
-// startSpread is how much later than the oldest one an instance may have started to come
-// of age with it: else whoever was first in a start of all owns everything until the
-// others are of age. Origin: instances that were started together, beside three busy
-// threads a processor, came of age together in 36 of 36 runs.
-const startSpread = time.Second
-
-// Owners returns who owns each of n things: the live instance with the lowest hash of
-// name and number (rendezvous hashing), so that all instances that know the same
-// ones name the same owner, and few things change hands when one starts or dies.
+// minOwnerAge is the age, by wall-clock time, at which an instance may own something: by then all
+// others know it, so that all switch to it at the same moment. Gossip of a start takes 3.7 s to
+// reach a region of 103 (gossip_test.go).
+const minOwnerAge = 4 * time.Second
+
+// maxStartSpread is how much later than the oldest instance another one may have started to become
+// eligible together with it: otherwise the first instance of a fleet start would own everything
+// until the others reach minOwnerAge. With this value instances that were started together, beside
+// three busy threads per processor, became eligible together in 36 of 36 runs.
+const maxStartSpread = time.Second
+
+// Owners returns the owner of each of n numbered items: the live instance with the lowest hash of
+// name and number (rendezvous hashing). All instances that know the same members compute the same
+// owners, and few items change owner when an instance starts or goes down.
 func (m *Members) Owners(n int) []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	grown := m.grown()
+	eligible := m.eligibleOwners()
 	out := make([]Member, n)
 	for i := range out {
-		out[i] = ownerAmong(grown, uint64(i))
+		out[i] = ownerOf(eligible, uint64(i))
 	}
 	return out
 }
 
-// OwnerAtStore returns who owns the thing with a number if the owner has to call the
-// store: one that is not cut off from it, or any if all are.
+// OwnerAtStore returns the owner of an item whose owner has to call the store: an instance that
+// reaches the store, or any if none does.
 func (m *Members) OwnerAtStore(number uint64) Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	grown := m.grown()
-	if answered := notCut(grown); len(answered) > 0 {
-		grown = answered
+	eligible := m.eligibleOwners()
+	if reaching := reachingStore(eligible); len(reaching) > 0 {
+		eligible = reaching
 	}
-	return ownerAmong(grown, number)
+	return ownerOf(eligible, number)
 }
 
-// OwnerIn returns who owns the thing with a number among the instances of a region; ""
-// stands for all regions.
+// OwnerIn returns the owner of an item among the instances of a region; "" means all regions.
 func (m *Members) OwnerIn(region string, number uint64) Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	grown := slices.DeleteFunc(m.grown(), func(k *known) bool { return region != "" && k.Region != region })
-	return ownerAmong(grown, number)
+	eligible := slices.DeleteFunc(m.eligibleOwners(), func(ps *peerState) bool { return region != "" && ps.Region != region })
+	return ownerOf(eligible, number)
 }
 
-// NearestOwner returns who owns the thing with a number among the live instances of a region, or of
-// all if none lives there, whatever their age: who asks too early or too late is told so.
+// NearestOwner returns the owner of an item among the live instances of a region, or of all regions
+// if that one has none, regardless of their age: a requester that comes too early or too late is
+// told so.
 func (m *Members) NearestOwner(region string, number uint64) Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var near, far *known
-	before := func(k, o *known) bool { return o == nil || rank(k.hash, number) < rank(o.hash, number) }
-	m.eachLive(func(k *known) {
-		if k.Region == region && before(k, near) {
-			near = k
+	var inRegion, anywhere *peerState
+	before := func(ps, o *peerState) bool { return o == nil || rank(ps.hash, number) < rank(o.hash, number) }
+	m.eachLive(func(ps *peerState) {
+		if ps.Region == region && before(ps, inRegion) {
+			inRegion = ps
 		}
-		if before(k, far) {
-			far = k
+		if before(ps, anywhere) {
+			anywhere = ps
 		}
 	})
 	switch {
-	case near != nil:
-		return near.Member
-	case far != nil:
-		return far.Member
+	case inRegion != nil:
+		return inRegion.Member
+	case anywhere != nil:
+		return anywhere.Member
 	}
 	return Member{}
 }
 
-// grown returns the live instances that may own something: those of age, and those that
-// started with the oldest one; all that live if all have just started. The caller holds
-// the lock.
-func (m *Members) grown() []*known {
-	var all []*known
+// eligibleOwners returns the live instances that may own items: those that are old enough or started
+// together with the oldest one, or all if all have just started. The caller holds the lock.
+func (m *Members) eligibleOwners() []*peerState {
+	var all []*peerState
 	now := time.Now()
 	oldest := time.Duration(0)
-	m.eachLive(func(k *known) {
-		all = append(all, k)
-		oldest = max(oldest, k.age(now))
+	m.eachLive(func(ps *peerState) {
+		all = append(all, ps)
+		oldest = max(oldest, ps.age(now))
 	})
-	if oldest < ownerAge {
+	if oldest < minOwnerAge {
 		return all
 	}
-	least := min(ownerAge, oldest-startSpread)
-	return slices.DeleteFunc(all, func(k *known) bool { return k.age(now) < least })
+	minAge := min(minOwnerAge, oldest-maxStartSpread)
+	return slices.DeleteFunc(all, func(ps *peerState) bool { return ps.age(now) < minAge })
 }
 
-// age returns how long ago an instance started, by its and this instance's time of day.
-func (k *known) age(now time.Time) time.Duration {
-	return now.Sub(time.Unix(0, k.Incarnation))
+// age returns the time since an instance started, which compares its wall clock with the local one.
+func (ps *peerState) age(now time.Time) time.Duration {
+	return now.Sub(time.Unix(0, ps.Incarnation))
 }
 
-// notCut returns those that are not cut off from the store.
-func notCut(list []*known) []*known {
-	out := make([]*known, 0, len(list))
-	for _, k := range list {
-		if !k.Cut {
-			out = append(out, k)
+// reachingStore returns the instances that reach the store.
+func reachingStore(list []*peerState) []*peerState {
+	out := make([]*peerState, 0, len(list))
+	for _, ps := range list {
+		if !ps.StoreUnreachable {
+			out = append(out, ps)
 		}
 	}
 	return out
 }
 
-// ownerAmong returns which of some instances owns the thing with a number; the zero
-// value if there are none, as when this one is leaving and knows no other.
-func ownerAmong(list []*known, number uint64) Member {
+// ownerOf returns the owner of an item among some instances; the zero value if there are none, as
+// when this instance is leaving and knows no other.
+func ownerOf(list []*peerState, number uint64) Member {
 	var best Member
 	lowest := uint64(math.MaxUint64)
-	for _, k := range list {
-		if r := rank(k.hash, number); r < lowest {
-			best, lowest = k.Member, r
+	for _, ps := range list {
+		if r := rank(ps.hash, number); r < lowest {
+			best, lowest = ps.Member, r
 		}
 	}
 	return best
@@ -135,31 +134,30 @@
 	return x ^ x>>33
 }
 
-// messageMark begins a datagram that holds a message of another part of the process.
-// No other datagram begins with it: MessagePack does not use it.
-const messageMark = 0xc1
+// messagePrefix is the first byte of a datagram that carries a message of another package. It is
+// unused in MessagePack, so no other datagram starts with it.
+const messagePrefix = 0xc1
 
-// SendMessage sends a message to another instance's address for datagrams. It may be
-// lost.
-func (b *Beats) SendMessage(address string, text []byte) {
-	b.sendTo(address, append([]byte{messageMark}, text...))
+// SendMessage sends a message to the datagram address of another instance. It may be lost.
+func (g *Gossiper) SendMessage(address string, data []byte) {
+	g.sendTo(address, append([]byte{messagePrefix}, data...))
 }
 
-// SendMessageToAll sends a message to all other instances. It may be lost.
-func (b *Beats) SendMessageToAll(text []byte) {
-	for _, m := range b.members.All() {
-		b.SendMessage(m.Peer, text)
+// BroadcastMessage sends a message to all other instances. It may be lost.
+func (g *Gossiper) BroadcastMessage(data []byte) {
+	for _, m := range g.members.Others() {
+		g.SendMessage(m.Peer, data)
 	}
 }
 
-// heardPeer notes that the instance with an address lives, and reports whether one has
-// it.
-func (m *Members) heardPeer(address string) bool {
+// markSeenAddress records a sign of life from the instance with an address, and reports whether there
+// is one.
+func (m *Members) markSeenAddress(address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, k := range m.order {
-		if k.Peer == address {
-			m.noteHeard(k, m.now())
+	for _, ps := range m.sorted {
+		if ps.Peer == address {
+			m.markSeen(ps, m.now())
 			return true
 		}
 	}
--- a/process/cluster/place.go
+++ b/process/cluster/place.go
@@ -2,63 +2,62 @@
 
 package cluster
 
-// Read notes that it was read which others there are.
-func (m *Members) Read() {
+// MarkListed records that the member list has been read.
+func (m *Members) MarkListed() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.readAt == 0 {
-		m.readAt = m.now()
+	if m.listedAt == 0 {
+		m.listedAt = m.now()
 	}
 }
 
-// KnowsOthers reports whether it was read which others there are.
-func (m *Members) KnowsOthers() bool {
+// Listed reports whether the member list has been read.
+func (m *Members) Listed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.readAt != 0
+	return m.listedAt != 0
 }
 
-// listed reports whether the list of the others is whole, or will not become so
-// soon. The caller holds the lock.
-func (m *Members) listed() bool {
-	if m.readAt != 0 && !m.awaits {
+// listComplete reports whether the member list is complete, or won't become so soon. The caller holds
+// the lock.
+func (m *Members) listComplete() bool {
+	if m.listedAt != 0 && !m.initialStart {
 		return true
 	}
 	return m.settled()
 }
 
-// settled reports whether the others are known, with those that started at the
-// same time. The caller holds the lock.
+// settled reports whether the other instances are known, including those that started at the same
+// time. The caller holds the lock.
 func (m *Members) settled() bool {
 	now := m.now()
-	return m.readAt != 0 && now-m.readAt >= settleTime || now-m.started >= unknownFor
+	return m.listedAt != 0 && now-m.listedAt >= settleTime || now-m.startedAt >= listTimeout
 }
 
-// Count returns the number of instances that may be at work, this one included;
-// zero while the others are not known.
+// Count returns the number of instances that are not leaving, including this one; zero while the
+// others are unknown.
 func (m *Members) Count() int {
-	_, of := m.Place()
-	return of
+	_, count := m.Position()
+	return count
 }
 
-// Place returns the place of this instance in the order of the names of all
-// that may be at work, from 0, and their number; zero while the others are not
-// known.
-func (m *Members) Place() (place, of int) {
+// Position returns the index (from 0) of this instance among all that are not leaving, sorted by name, and
+// their number; zeros while the others are unknown.
+func (m *Members) Position() (index, count int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.settled() {
 		return 0, 0
 	}
-	of = 1
-	for _, k := range m.order {
-		if k.Leaving {
+	count = 1
+	for _, ps := range m.sorted {
+		if ps.Leaving {
 			continue
 		}
-		of++
-		if k.Name < m.self.Name {
-			place++
+		count++
+		if ps.Name < m.self.Name {
+			index++
 		}
 	}
-	return place, of
+	return index, count
 }
--- a/process/cluster/probe_test.go
+++ b/process/cluster/probe_test.go
@@ -12,31 +12,31 @@
 	"gotest.tools/v3/assert"
 )
 
-var probedSizes = flag.Bool("large-regions", false, "play regions of 1,000 and 3,550 instances, which takes minutes and gigabytes")
+var largeRegions = flag.Bool("large-regions", false, "simulate regions of 1,000 and 3,550 instances, which takes minutes and several GB of memory")
 
-// regionSizes are the sizes of regions that the tests of this file play.
+// regionSizes are the simulated region sizes.
 func regionSizes() []int {
-	if *probedSizes {
+	if *largeRegions {
 		return []int{100, 330, 1000, 3550}
 	}
 	return []int{100, 200}
 }
 
-// lossOfModel is the share of datagrams that are lost: one of a hundred, and one of ten.
-var lossOfModel = []float64{0.01, 0.1}
+// lossRates are the simulated shares of lost datagrams: 1% and 10%.
+var lossRates = []float64{0.01, 0.1}
 
-// lostPairs counts for how many pairs a running instance takes another one for dead, with what
-// the model knows of both.
-func (f *fleet) lostPairs() (n int) {
-	for _, x := range f.instances {
-		if x.dead || x.frozen {
+// falselyDown counts the pairs in which a running instance considers another running one not live. It
+// inspects the internal state of Members.
+func (f *model) falselyDown() (n int) {
+	for _, x := range f.nodes {
+		if x.stopped || x.frozen {
 			continue
 		}
 		x.members.mu.Lock()
-		x.members.countNear()
-		for _, k := range x.members.order {
-			o := f.byPeer[k.Peer]
-			if !o.dead && !o.frozen && !x.members.alive(k, f.now) {
+		x.members.countRegionPeers()
+		for _, ps := range x.members.sorted {
+			o := f.byPeer[ps.Peer]
+			if !o.stopped && !o.frozen && !x.members.live(ps, f.now) {
 				n++
 			}
 		}
@@ -45,83 +45,82 @@
 	return n
 }
 
-// TestNobodyIsLostInALargeRegion lets large regions run with datagrams lost. News of all was
-// passed on in datagrams that hold 64, so that it aged with the region: at 330 instances each
-// took 13 living ones for lost on average, at 660 188.
-func TestNobodyIsLostInALargeRegion(t *testing.T) {
+// TestNoFalseDownInLargeRegion simulates large regions with datagrams lost. Before probing, liveness
+// entries of all instances were gossiped in datagrams that hold 64, so their age grew with the region: at
+// 330 instances each took 13 live ones for down on average, at 660 it was 188.
+func TestNoFalseDownInLargeRegion(t *testing.T) {
 	for _, size := range regionSizes() {
-		for _, loss := range lossOfModel {
+		for _, loss := range lossRates {
 			t.Run(fmt.Sprintf("%d/%g", size, loss), func(t *testing.T) {
 				t.Parallel()
-				f := newFleet(uint64(size), 1, size)
+				f := newModel(uint64(size), 1, size)
 				f.loss = loss
 				f.run(time.Second)
 				f.sent, f.bytes = 0, 0
 				seconds := 60
-				if !*probedSizes {
+				if !*largeRegions {
 					seconds = 15
 				}
 				for range seconds {
 					f.run(time.Second)
-					assert.Equal(t, f.lostPairs(), 0)
+					assert.Equal(t, f.falselyDown(), 0)
 				}
 				each := float64(f.bytes) / float64(seconds*size)
-				t.Logf("%.0f bytes and %.1f datagrams a second at an instance", each, float64(f.sent)/float64(seconds*size))
+				t.Logf("%.0f bytes and %.1f datagrams a second per instance", each, float64(f.sent)/float64(seconds*size))
 				assert.Assert(t, each <= 4096)
 			})
 		}
 	}
 }
 
-// TestDeathReachesALargeRegion kills one instance, or a third of them, and checks when all of the
-// region know, and when those of another one do.
-func TestDeathReachesALargeRegion(t *testing.T) {
+// TestDownInstancesDetectedInLargeRegion stops one instance, or a third of them, and measures when all
+// instances of the region know, and when those of another region do.
+func TestDownInstancesDetectedInLargeRegion(t *testing.T) {
 	const (
 		nearBound = 2500 * time.Millisecond
 		farBound  = 4 * time.Second
 	)
 	for _, size := range regionSizes() {
-		for _, dead := range []int{1, size / 3} {
-			t.Run(fmt.Sprintf("%d/%d", size, dead), func(t *testing.T) {
+		for _, count := range []int{1, size / 3} {
+			t.Run(fmt.Sprintf("%d/%d", size, count), func(t *testing.T) {
 				t.Parallel()
-				f := newFleet(uint64(size), 2, size)
+				f := newModel(uint64(size), 2, size)
 				f.loss = 0.01
 				f.run(2 * time.Second)
-				gone := f.instances[:dead]
-				for _, o := range gone {
-					o.dead = true
+				stopped := f.nodes[:count]
+				for _, o := range stopped {
+					o.stopped = true
 				}
-				died := f.now
+				stoppedAt := f.now
 				near, far := time.Duration(0), time.Duration(0)
-				for far == 0 && f.now-died < 2*farBound {
+				for far == 0 && f.now-stoppedAt < 2*farBound {
 					f.run(100 * time.Millisecond)
-					if near == 0 && f.believers(gone, "r0") == 0 {
-						near = f.now - died
+					if near == 0 && f.believers(stopped, "r0") == 0 {
+						near = f.now - stoppedAt
 					}
-					if near != 0 && f.believers(gone, "r1") == 0 {
-						far = f.now - died
+					if near != 0 && f.believers(stopped, "r1") == 0 {
+						far = f.now - stoppedAt
 					}
 				}
-				t.Logf("known to the region after %s, to the other one after %s", near, far)
-				assert.Assert(t, near != 0 && near <= nearBound, "%s, %d believe", near, f.believers(gone, "r0"))
-				assert.Assert(t, far != 0 && far <= farBound, "%s, %d believe", far, f.believers(gone, "r1"))
-				assert.Equal(t, f.lostPairs(), 0)
+				t.Logf("known in the region after %s, in the other one after %s", near, far)
+				assert.Assert(t, near != 0 && near <= nearBound, "%s, %d still consider it live", near, f.believers(stopped, "r0"))
+				assert.Assert(t, far != 0 && far <= farBound, "%s, %d still consider it live", far, f.believers(stopped, "r1"))
+				assert.Equal(t, f.falselyDown(), 0)
 			})
 		}
 	}
 }
 
-// believers counts for how many pairs a running instance of a region takes one that is gone for
-// alive.
-func (f *fleet) believers(gone []*instance, region string) (n int) {
-	for _, x := range f.instances {
-		if x.dead || x.members.self.Region != region {
+// believers counts the pairs in which a running instance of a region considers a stopped one live.
+func (f *model) believers(stopped []*node, region string) (n int) {
+	for _, x := range f.nodes {
+		if x.stopped || x.members.self.Region != region {
 			continue
 		}
 		x.members.mu.Lock()
-		x.members.countNear()
-		for _, o := range gone {
-			if k := x.members.others[o.members.self.Name]; k != nil && x.members.alive(k, f.now) {
+		x.members.countRegionPeers()
+		for _, o := range stopped {
+			if ps := x.members.others[o.members.self.Name]; ps != nil && x.members.live(ps, f.now) {
 				n++
 			}
 		}
@@ -130,37 +129,37 @@
 	return n
 }
 
-// TestHalvesOfALargeRegionMeetAgain cuts a region in two and joins it again, and lets some
-// instances stand still for 3 s: soon afterwards nobody is taken for lost.
-func TestHalvesOfALargeRegionMeetAgain(t *testing.T) {
+// TestLargeRegionHealsAfterPartition partitions a region into two halves and joins them, then freezes some
+// instances for 3 s: soon after each fault no running instance is considered down.
+func TestLargeRegionHealsAfterPartition(t *testing.T) {
 	const size = 200
-	f := newFleet(5, 1, size)
+	f := newModel(5, 1, size)
 	f.loss = 0.01
 	f.run(2 * time.Second)
-	half := func(x *instance) int { return slices.Index(f.instances, x) % 2 }
-	for _, x := range f.instances {
-		for _, o := range f.instances {
+	half := func(x *node) int { return slices.Index(f.nodes, x) % 2 }
+	for _, x := range f.nodes {
+		for _, o := range f.nodes {
 			if half(x) != half(o) {
-				x.deaf[o.members.self.Name] = true
+				x.dropFrom[o.members.self.Name] = true
 			}
 		}
 	}
 	f.run(6 * time.Second)
-	lost := f.lostPairs()
-	t.Logf("%d of %d pairs lost while the region is cut", lost, size*size/2)
-	assert.Assert(t, lost > size*size/2*9/10, "%d", lost)
-	for _, x := range f.instances {
-		clear(x.deaf)
+	down := f.falselyDown()
+	t.Logf("%d of %d pairs down while the region is partitioned", down, size*size/2)
+	assert.Assert(t, down > size*size/2*9/10, "%d", down)
+	for _, x := range f.nodes {
+		clear(x.dropFrom)
 	}
 	f.run(6 * time.Second)
-	assert.Equal(t, f.lostPairs(), 0)
-	for _, x := range f.instances[:20] {
+	assert.Equal(t, f.falselyDown(), 0)
+	for _, x := range f.nodes[:20] {
 		x.frozen = true
 	}
 	f.run(3 * time.Second)
-	for _, x := range f.instances[:20] {
+	for _, x := range f.nodes[:20] {
 		x.frozen = false
 	}
 	f.run(4 * time.Second)
-	assert.Equal(t, f.lostPairs(), 0)
+	assert.Equal(t, f.falselyDown(), 0)
 }
--- a/process/cluster/work.go
+++ b/process/cluster/work.go
@@ -4,23 +4,23 @@
 
 import "time"
 
-// AtWork returns the instances that may have requests in flight, the own one included,
-// ordered by name: those that are alive, and those that are leaving and have not ended.
-func (m *Members) AtWork() []Member {
+// Active returns the instances that may have requests in flight by name, including this one: those that
+// are live, and those that are leaving but have not stopped yet.
+func (m *Members) Active() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.countNear()
-	now, heardFor := m.now(), m.heardFor()
-	out := make([]Member, 0, len(m.order)+1)
+	m.countRegionPeers()
+	now, timeout := m.now(), m.livenessTimeout()
+	out := make([]Member, 0, len(m.sorted)+1)
 	selfDone := false
-	for _, k := range m.order {
-		if k.Name > m.self.Name && !selfDone {
+	for _, ps := range m.sorted {
+		if ps.Name > m.self.Name && !selfDone {
 			out = append(out, m.selfNow())
 			selfDone = true
 		}
-		ending := k.Leaving && k.heard != 0 && now-k.heard <= heardFor && k.failed <= k.heard
-		if ending || m.alive(k, now) {
-			out = append(out, k.Member)
+		stopping := ps.Leaving && ps.lastSeen != 0 && now-ps.lastSeen <= timeout && ps.callFailedAt <= ps.lastSeen
+		if stopping || m.live(ps, now) {
+			out = append(out, ps.Member)
 		}
 	}
 	if !selfDone {
@@ -29,16 +29,16 @@
 	return out
 }
 
-// Silent returns those of the other instances that count as alive, and were not heard for
-// a time. Of asks whether one matters; it must not call the members.
-func (m *Members) Silent(least time.Duration, of func(Member) bool) []Member {
+// Unresponsive returns the other instances that count as live but have not been seen for more than
+// minSilence. Relevant selects the instances of interest; it must not call methods of Members.
+func (m *Members) Unresponsive(minSilence time.Duration, relevant func(Member) bool) []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
 	var out []Member
-	m.eachLive(func(k *known) {
-		if !m.isSelf(k) && now-k.heard > least && of(k.Member) {
-			out = append(out, k.Member)
+	m.eachLive(func(ps *peerState) {
+		if !m.isSelf(ps) && now-ps.lastSeen > minSilence && relevant(ps.Member) {
+			out = append(out, ps.Member)
 		}
 	})
 	return out
--- a/process/edge/edge.go
+++ b/process/edge/edge.go
@@ -62,7 +62,7 @@
 	started    time.Time
 	born       time.Duration // when it was started, by the deployment's clock
 	members    *cluster.Members
-	beats      *cluster.Beats
+	beats      *cluster.Gossiper
 	peers      *cluster.Peers
 	follower   *state.Follower
 	table      *balance.Table
@@ -123,7 +123,7 @@
 		Link: s.Link, Cores: s.Cores,
 	}, e.now)
 	if s.First {
-		e.members.AwaitOthers()
+		e.members.SetInitialStart()
 	}
 	var err error
 	if e.beats, err = cluster.Listen(e.members); err != nil {
@@ -150,17 +150,17 @@
 func (e *Edge) build() {
 	e.peers = cluster.NewPeers(e.members, conn.NewDialer(dialTimeout, peerSilence).DialContext)
 	e.follower = &state.Follower{
-		Store: e.deployment.Store, Peers: e.peers, Log: e.log, Now: e.now, Wanted: e.wantsTable, Instances: e.members.Count,
-		Declines: func(table string) bool { return table == e.deployment.BackendTable && e.isSpare() },
+		Store: e.deployment.Store, Peers: e.peers, Log: e.log, Now: e.now, Subscribed: e.wantsTable, Instances: e.members.Count,
+		Excluded: func(table string) bool { return table == e.deployment.BackendTable && e.isSpare() },
 		Tables: map[string]*state.Table{
-			e.deployment.OperatorTable: state.NewHoldingTable(state.Hold{Missing: holdOperator, Older: holdOperator}),
-			e.deployment.BackendTable:  state.NewHoldingTable(state.Hold{Missing: keepLapsed(e.settings.DrainWithin), Older: holdBackends}),
-			e.deployment.RecordTable:   state.NewHoldingTable(state.Hold{}),
+			e.deployment.OperatorTable: state.NewRetainingTable(state.Retention{Missing: holdOperator, Reverted: holdOperator}),
+			e.deployment.BackendTable:  state.NewRetainingTable(state.Retention{Missing: keepLapsed(e.settings.DrainWithin), Reverted: holdBackends}),
+			e.deployment.RecordTable:   state.NewRetainingTable(state.Retention{}),
 			e.deployment.InstanceTable: state.NewTable(),
 		},
 	}
 	e.peers.Follower = e.follower
-	e.peers.OnCut = e.storeLost
+	e.peers.OnStoreUnreachable = e.storeLost
 	e.documents = Documents{Key: e.deployment.DocumentKey, Translate: e.deployment.Configuration}
 	e.lapses.keep = keepLapsed(e.settings.DrainWithin)
 	dialer := conn.NewDialer(dialTimeout, backendSilence)
@@ -174,11 +174,11 @@
 			return &conn.Pool{Address: address, Dialer: dialer, IdleTimeout: backendIdle}
 		},
 	}
-	e.beats.Observations, e.beats.Hear, e.beats.Ask = e.table.Observations, e.table.ApplyObservations, e.askPeer
+	e.beats.Observations, e.beats.OnObservations, e.beats.RequestMembers = e.table.Observations, e.table.ApplyObservations, e.askPeer
 	e.quota = e.newQuota()
 	e.rollouts = e.newRollouts()
 	e.quarantine = e.newQuarantine()
-	e.beats.Message = e.hearMessage
+	e.beats.OnMessage = e.hearMessage
 	if e.settings.Memory > 0 {
 		e.held = &held.Budget{Limit: e.settings.Memory / heldShare, Now: e.now, OnCutOff: e.logCutOff}
 	}
