--- a/cmd/shalewick/rollout_test.go
+++ b/cmd/shalewick/rollout_test.go
@@ -41,7 +41,7 @@
 		_ = json.NewEncoder(w).Encode(admin.Applied{Version: 7, Operation: "o"})
 	})
 	mux.Handle("GET "+rolloutview.Pattern, rolloutview.Handler(func(service string) (rolloutview.Status, bool) {
-		record := &rollout.Record{Service: service, Order: 7, Target: "v2", Before: "v1", Phase: x.phase, Cause: "it fails more often"}
+		record := &rollout.Record{Service: service, Order: 7, Target: "v2", Previous: "v1", Phase: x.phase, Cause: "it fails more often"}
 		return rolloutview.Status{Service: service, InForce: "v1", Order: 7, Target: "v2", Record: record}, service == "s"
 	}))
 	srv := httptest.NewServer(mux)
--- a/operator/rollout.go
+++ b/operator/rollout.go
@@ -91,7 +91,7 @@
 		line("order", fmt.Sprintf("%d: %s within %s", s.Order, s.Target, time.Duration(s.Within)))
 	}
 	if r := s.Record; r != nil {
-		line("record", fmt.Sprintf("order %d: from %s to %s, %s", r.Order, r.Before, r.Target, r.Phase))
+		line("record", fmt.Sprintf("order %d: from %s to %s, %s", r.Order, r.Previous, r.Target, r.Phase))
 		line("cause", r.Cause)
 		line("evidence", r.Evidence)
 	}
--- a/process/admin/rollout_test.go
+++ b/process/admin/rollout_test.go
@@ -151,7 +151,7 @@
 }
 
 func record(order int64, phase rollout.Phase, cause string) *rollout.Record {
-	return &rollout.Record{Service: "s", Order: order, Target: "v2", Before: "v1", Phase: phase, Cause: cause}
+	return &rollout.Record{Service: "s", Order: order, Target: "v2", Previous: "v1", Phase: phase, Cause: cause}
 }
 
 // TestRolloutIsFollowedToItsEnd checks that what is known of an earlier order ends no
--- a/process/edge/edge.go
+++ b/process/edge/edge.go
@@ -69,7 +69,7 @@
 	proxy      *proxy.Proxy
 	quota      *quota.Quota
 	limits     *ratelimit.Limiter
-	rollouts   *rollout.Rollouts
+	rollouts   *rollout.Controller
 	rolling    rolling
 	lateness   clock.Lateness // noted while an order waits for its end
 	quarantine *quarantine.Quarantine
--- a/process/edge/record.go
+++ b/process/edge/record.go
@@ -94,7 +94,7 @@
 func (e *Edge) recordWritten(p rollout.Proposal, row state.Row) {
 	e.compiling.Lock()
 	e.records().Apply(state.Delta{Rows: []state.Row{row}}, e.now())
-	e.rollouts.Written(p, row.Version)
+	e.rollouts.Confirm(p, row.Version)
 	e.compiling.Unlock()
 	e.recompile()
 }
--- a/process/edge/rollout.go
+++ b/process/edge/rollout.go
@@ -38,20 +38,20 @@
 }
 
 // newRollouts returns the roll-outs of services, made together with the other instances.
-func (e *Edge) newRollouts() *rollout.Rollouts {
+func (e *Edge) newRollouts() *rollout.Controller {
 	e.rolling.heldBack = make(map[string]string)
-	return &rollout.Rollouts{
+	return &rollout.Controller{
 		Now: e.now, Bounds: e.settings.Rollouts, Incarnation: e.started.UnixNano(),
 		Owner: e.rolloutOwner, Live: e.liveAddresses, InFlight: e.table.InFlight,
 		Send: e.beats.SendMessage, Log: e.logRollout,
-		Introduce: e.beats.Introduce,
-		Late:      func() time.Duration { return e.lateness.Most(e.now()) },
+		Announce:        e.beats.Introduce,
+		SchedulingDelay: func() time.Duration { return e.lateness.Most(e.now()) },
 	}
 }
 
 // hearMessage passes a message of another instance on to the part that it is for.
 func (e *Edge) hearMessage(from string, text []byte) {
-	if e.rollouts.Hear(from, text) || e.quarantine.Hear(from, text) || e.limits.Hear(from, text) {
+	if e.rollouts.Receive(from, text) || e.quarantine.Hear(from, text) || e.limits.Hear(from, text) {
 		return
 	}
 	e.quota.Hear(from, text)
@@ -177,7 +177,7 @@
 	for _, name := range rollingNames(orders, records) {
 		s := rollout.Service{
 			Name: name, Order: orders[name], Record: records[name].record, Revision: records[name].revision,
-			InForce: software[name].InForce, Held: records[name].held,
+			InForce: software[name].InForce, RecordLost: records[name].held,
 		}
 		s.InForceSlots, s.Homes = slotsAndHomes(r, name)
 		s.Unknown = !r.HasService(name)
@@ -238,8 +238,8 @@
 // what lived shortly before one matters.
 func (e *Edge) tickRollouts(ctx context.Context) {
 	for e.rolling.open.wait(ctx) {
-		e.lateness.Waits(e.now() + rollout.TickTime)
-		if !clock.Sleep(ctx, rollout.TickTime) {
+		e.lateness.Waits(e.now() + rollout.TickInterval)
+		if !clock.Sleep(ctx, rollout.TickInterval) {
 			return
 		}
 		e.lateness.Wakes(e.now())
--- a/process/edge/rollout_test.go
+++ b/process/edge/rollout_test.go
@@ -60,7 +60,7 @@
 // when the rows of both versions are there.
 func TestRecordOutweighsWhatIsThere(t *testing.T) {
 	c := configOf([2]string{"s", "v1"}, [2]string{"s", "v2"})
-	done := recordsOf(rollout.Record{Service: "s", Target: "v2", Before: "v1", Phase: rollout.Completed})
+	done := recordsOf(rollout.Record{Service: "s", Target: "v2", Previous: "v1", Phase: rollout.Completed})
 	assert.Equal(t, admit(c, nil, done, nil)["s"], version.Software{InForce: "v2"})
 }
 
@@ -78,9 +78,9 @@
 	leaving := c.Resources[version.Key{Kind: version.KindBackend, Name: "b-2"}]
 	leaving.Backend.Leaving = true
 	records := recordsOf(
-		rollout.Record{Service: "s", Order: 7, Target: "v2", Before: "v1", Phase: rollout.Canary},
-		rollout.Record{Service: "t", Order: 3, Target: "v2", Before: "v1", Phase: rollout.Promote},
-		rollout.Record{Service: "u", Order: 2, Target: "v1", Before: "v0", Phase: rollout.Completed},
+		rollout.Record{Service: "s", Order: 7, Target: "v2", Previous: "v1", Phase: rollout.Canary},
+		rollout.Record{Service: "t", Order: 3, Target: "v2", Previous: "v1", Phase: rollout.Promote},
+		rollout.Record{Service: "u", Order: 2, Target: "v1", Previous: "v0", Phase: rollout.Completed},
 	)
 	orders := map[string]*rollout.Order{"s": {ID: 7, Target: "v2", Within: time.Minute}}
 	c.Software = admit(c, orders, records, nil)
--- a/process/edge/rolloutlog.go
+++ b/process/edge/rolloutlog.go
@@ -40,7 +40,7 @@
 			continue
 		}
 		e.log.Info().Str("service", name).Str("phase", string(k.record.Phase)).Int64("order", k.record.Order).
-			Str("target", k.record.Target).Str("before", k.record.Before).Str("cause", k.record.Cause).
+			Str("target", k.record.Target).Str("before", k.record.Previous).Str("cause", k.record.Cause).
 			Dur("deadline", time.Duration(k.record.Deadline)).Int64("revision", k.revision).
 			Str("inForce", e.rolling.software[name].InForce).Msg("rollout-record")
 	}
@@ -66,5 +66,5 @@
 	e.log.Info().Str("service", x.Service).Str("what", x.What).Str("cause", x.Cause).
 		Int64("targetRequests", x.Target.Requests).Int64("targetFailed", x.Target.Failed).Int64("targetSlow", x.Target.Slow).
 		Int64("baseRequests", x.Base.Requests).Int64("baseFailed", x.Base.Failed).Int64("baseSlow", x.Base.Slow).
-		Dur("age", x.Age).Dur("late", x.Late).Msg("rollout-event")
+		Dur("age", x.Age).Dur("late", x.SchedulingDelay).Msg("rollout-event")
 }
--- a/process/edge/software.go
+++ b/process/edge/software.go
@@ -27,7 +27,7 @@
 }
 
 // announced is what the backend servers of one service say of their software.
-type announced map[string]*rollout.Running
+type announced map[string]*rollout.RunningVersion
 
 // tells reports whether any of them tells a version.
 func (a announced) tells() bool {
@@ -36,12 +36,12 @@
 }
 
 // running returns the versions in a fixed order.
-func (a announced) running() []rollout.Running {
-	out := make([]rollout.Running, 0, len(a))
+func (a announced) running() []rollout.RunningVersion {
+	out := make([]rollout.RunningVersion, 0, len(a))
 	for _, r := range a {
 		out = append(out, *r)
 	}
-	slices.SortFunc(out, func(x, y rollout.Running) int { return cmp.Compare(x.Software, y.Software) })
+	slices.SortFunc(out, func(x, y rollout.RunningVersion) int { return cmp.Compare(x.Software, y.Software) })
 	return out
 }
 
@@ -75,7 +75,7 @@
 func (a announced) add(x *version.Announced) {
 	r := a[x.Backend.Software]
 	if r == nil {
-		r = &rollout.Running{Software: x.Backend.Software, Oldest: x.Version}
+		r = &rollout.RunningVersion{Software: x.Backend.Software, Oldest: x.Version}
 		a[x.Backend.Software] = r
 	}
 	r.Backends++
@@ -96,7 +96,7 @@
 		if !told && !all[key.Name].tells() {
 			continue
 		}
-		now := rollout.Admit(orders[key.Name], records[key.Name].record, all[key.Name].running(), was.InForce)
+		now := rollout.SelectVersions(orders[key.Name], records[key.Name].record, all[key.Name].running(), was.InForce)
 		if now.InForce == "" {
 			now.InForce = was.InForce // all rows are gone for a while
 		}
--- a/process/edge/step.go
+++ b/process/edge/step.go
@@ -51,7 +51,7 @@
 // pause returns the time until the next turn.
 func (w *stepWriter) pause() time.Duration {
 	if w.failures == 0 {
-		return rollout.TickTime
+		return rollout.TickInterval
 	}
 	p := min(stepPause<<min(w.failures-1, 8), longestStepPause)
 	return p/2 + rand.N(p)
@@ -94,7 +94,7 @@
 	for _, name := range services {
 		o, before := w.owned[name]
 		if !before {
-			o.from = w.edge.now() + rollout.InformTime
+			o.from = w.edge.now() + rollout.TakeoverWait
 		}
 		owned[name] = o
 	}
--- a/process/proxy/failure.go
+++ b/process/proxy/failure.go
@@ -58,7 +58,7 @@
 		pick.Pool.CloseIdle()
 	}
 	unsent := code == request.DeadlinePassed && t.c.tooShort(pick, sent)
-	t.over(pick, rollout.Outcome{Failed: !unsent, Inconclusive: unsent, Took: time.Since(sent)})
+	t.over(pick, rollout.Outcome{Failed: !unsent, Inconclusive: unsent, Latency: time.Since(sent)})
 	t.line(pick).Str("request", t.c.print.String()).Str("path", t.c.path()).Err(err).Msg("answer-lost")
 	if code != request.DeadlinePassed { // the end of its process ends the connection
 		t.suspect(pick)
--- a/process/proxy/proxy.go
+++ b/process/proxy/proxy.go
@@ -39,7 +39,7 @@
 	// Limits, if set, are the rate limits that backend servers name; those of the table.
 	Limits *ratelimit.Limiter
 	// Rollouts, if set, says which requests go to the target of a roll-out.
-	Rollouts *rollout.Rollouts
+	Rollouts *rollout.Controller
 	// Crashes, if set, is told of requests that were lost at backend servers.
 	Crashes *crash.Watch
 	// Quarantine, if set, says which requests crash what runs them.
--- a/process/proxy/rollout.go
+++ b/process/proxy/rollout.go
@@ -94,14 +94,14 @@
 
 // answered tells roll-outs of an answer.
 func (t *trial) answered(a *answer, took time.Duration) {
-	t.over(a.pick, rollout.Outcome{Failed: a.failed(), Took: took, Unseen: a.pick.Unseen, Cold: a.pick.Cold})
+	t.over(a.pick, rollout.Outcome{Failed: a.failed(), Latency: took, Unseen: a.pick.Unseen, Cold: a.pick.Cold})
 }
 
 // over tells roll-outs what came of an attempt, and counts it for the version that had it.
 func (t *trial) over(pick *balance.Pick, o rollout.Outcome) {
 	t.rolled.Done(o)
 	if !o.Inconclusive {
-		t.p.Metrics.Software(t.c.service, pick.Software, o.Failed, o.Took)
+		t.p.Metrics.Software(t.c.service, pick.Software, o.Failed, o.Latency)
 	}
 }
 
--- a/process/proxy/rollout_test.go
+++ b/process/proxy/rollout_test.go
@@ -35,7 +35,7 @@
 	assert.Assert(t, all[0].first && all[0].hasHome && all[0].declined == 0)
 	o := x.outcome()
 	assert.Assert(t, !o.Failed && !o.Inconclusive && o.Unseen && !o.Cold)
-	assert.Assert(t, o.Took >= x.new.First && o.Took < 300*time.Millisecond, "%s", o.Took)
+	assert.Assert(t, o.Latency >= x.new.First && o.Latency < 300*time.Millisecond, "%s", o.Latency)
 	x.own(x.send("again", "/reads/1", ""), "again")
 	assert.Assert(t, !x.attempts(t)[1].outcomes[0].Unseen)
 }
@@ -317,7 +317,7 @@
 	x := newRolling(t)
 	x.proxy.begin = nil
 	now := time.Hour
-	x.proxy.Rollouts = &rollout.Rollouts{
+	x.proxy.Rollouts = &rollout.Controller{
 		Now: func() time.Duration { return now }, Bounds: rollout.Bounds{Share: share, Slack: slack, StopWithin: 2 * time.Second},
 		Incarnation: 1, Owner: func(string) rollout.Owner { return rollout.Owner{Name: "here"} },
 		Live: func() []string { return []string{""} }, InFlight: x.table.InFlight, Send: func(string, []byte) {},
@@ -327,7 +327,7 @@
 	x.proxy.Rollouts.Install(nil)
 	x.proxy.Rollouts.Install([]rollout.Service{{
 		Name: "s", Order: &rollout.Order{ID: 1, Target: "v2", Within: time.Minute}, Revision: 1, InForce: "v1", InForceSlots: 4,
-		Record: &rollout.Record{Service: "s", Order: 1, Target: "v2", Before: "v1", Phase: rollout.Canary, Began: 1, Deadline: version.Duration(2 * time.Hour)},
+		Record: &rollout.Record{Service: "s", Order: 1, Target: "v2", Previous: "v1", Phase: rollout.Canary, StartedAt: 1, Deadline: version.Duration(2 * time.Hour)},
 		Homes:  []rollout.Home{{Hash: hash, Slots: 4}},
 	}})
 	for i := range requests {
@@ -346,7 +346,7 @@
 // beginning, the end, and the counts by version.
 func BenchmarkNoRollout(b *testing.B) {
 	f := newFixture(b, 1)
-	f.proxy.Rollouts = &rollout.Rollouts{}
+	f.proxy.Rollouts = &rollout.Controller{}
 	routing := f.table.Routing()
 	c := &call{route: routing.Route("a.example", "/reads/1"), service: "s"}
 	t := &trial{p: f.proxy, c: c, query: balance.Query{Route: c.route, Object: 7}}
@@ -356,6 +356,6 @@
 		t.begun = false
 		t.begin()
 		t.query.Target = t.rolled.Target()
-		t.over(pick, rollout.Outcome{Took: time.Millisecond})
+		t.over(pick, rollout.Outcome{Latency: time.Millisecond})
 	}
 }
--- a/process/rollout/admit.go
+++ b/process/rollout/admit.go
@@ -5,7 +5,7 @@
 import "shalewick/version"
 
 // Running is one version of a service's software as backend servers announce it.
-type Running struct {
+type RunningVersion struct {
 	Software string
 	Backends int
 	// Oldest is the lowest version of their rows.
@@ -16,9 +16,9 @@
 // record may be nil. Before is what was in force at this instance until now, "" at
 // its start. Where nothing else tells, the version whose backend servers announced
 // themselves first is in force.
-func Admit(order *Order, record *Record, running []Running, before string) version.Software {
-	out := admitted(order, record, running, before)
-	if order == nil || runs(out.InForce, running) || !runs(order.Target, running) {
+func SelectVersions(order *Order, record *Record, running []RunningVersion, before string) version.Software {
+	out := fromRecord(order, record, running, before)
+	if order == nil || isRunning(out.InForce, running) || !isRunning(order.Target, running) {
 		return out
 	}
 	if record.isFor(order) && record.Phase == Reverted {
@@ -28,15 +28,15 @@
 }
 
 // admitted decides it by order and record, whether or not backend servers are left.
-func admitted(order *Order, record *Record, running []Running, before string) version.Software {
+func fromRecord(order *Order, record *Record, running []RunningVersion, before string) version.Software {
 	switch {
 	case record.isFor(order) && !record.Phase.Ended():
-		return version.Software{InForce: record.Before, Target: record.Target}
+		return version.Software{InForce: record.Previous, Target: record.Target}
 	case record != nil:
 		return version.Software{InForce: record.InForce()}
 	case order != nil:
-		return version.Software{InForce: besides(order.Target, running, before)}
-	case before != "" && runs(before, running):
+		return version.Software{InForce: previousVersion(order.Target, running, before)}
+	case before != "" && isRunning(before, running):
 		return version.Software{InForce: before}
 	}
 	return version.Software{InForce: oldest(running, nil)}
@@ -45,7 +45,7 @@
 // besides returns the version that serves beside an ordered one of which there is no
 // record. That is the ordered one itself if it was in force and is the oldest: then
 // the other ones stand by, and nobody ordered them.
-func besides(target string, running []Running, before string) string {
+func previousVersion(target string, running []RunningVersion, before string) string {
 	if before != "" && before != target {
 		return before
 	}
@@ -57,8 +57,8 @@
 
 // oldest returns the version whose backend servers announced themselves first, but for
 // one.
-func oldest(running []Running, but *string) string {
-	var first *Running
+func oldest(running []RunningVersion, but *string) string {
+	var first *RunningVersion
 	for i, x := range running {
 		if x.Backends == 0 || but != nil && x.Software == *but {
 			continue
@@ -74,7 +74,7 @@
 }
 
 // runs reports whether backend servers of a version are there.
-func runs(software string, running []Running) bool {
+func isRunning(software string, running []RunningVersion) bool {
 	for _, x := range running {
 		if x.Software == software && x.Backends > 0 {
 			return true
--- a/process/rollout/admit_test.go
+++ b/process/rollout/admit_test.go
@@ -13,52 +13,52 @@
 )
 
 // both are two versions of which v1 is the older.
-var both = []Running{{"v2", 3, 40}, {"v1", 3, 7}}
+var bothRunning = []RunningVersion{{"v2", 3, 40}, {"v1", 3, 7}}
 
 func recordOf(order int64, phase Phase) *Record {
-	return &Record{Order: order, Target: "v2", Before: "v1", Phase: phase}
+	return &Record{Order: order, Target: "v2", Previous: "v1", Phase: phase}
 }
 
-func TestAdmit(t *testing.T) {
+func TestSelectVersions(t *testing.T) {
 	order := &Order{ID: 9, Target: "v2"}
 	only := func(software string) version.Software { return version.Software{InForce: software} }
 	for _, c := range []struct {
 		name    string
 		order   *Order
 		record  *Record
-		running []Running
+		running []RunningVersion
 		before  string
 		want    version.Software
 	}{
-		{"no order, at start", nil, nil, both, "", only("v1")},
-		{"no order, as before", nil, nil, both, "v2", only("v2")},
-		{"no order, the version before is gone", nil, nil, both, "v0", only("v1")},
+		{"no order, at start", nil, nil, bothRunning, "", only("v1")},
+		{"no order, as before", nil, nil, bothRunning, "v2", only("v2")},
+		{"no order, the version before is gone", nil, nil, bothRunning, "v0", only("v1")},
 		{"no order, nothing runs", nil, nil, nil, "", only("")},
-		{"no order, completed", nil, recordOf(9, Completed), both, "v1", only("v2")},
-		{"no order, reverted", nil, recordOf(9, Reverted), both, "v2", only("v1")},
-		{"withdrawn while it runs", nil, recordOf(9, Canary), both, "v1", only("v1")},
-		{"withdrawn, the version before is gone", nil, recordOf(9, Promote), both[:1], "v1", only("v1")},
-		{"order without a record", order, nil, both, "v1", only("v1")},
-		{"order without a record, at start", order, nil, both, "", only("v1")},
-		{"order without a record, its target was taken for the oldest", order, nil, both, "v2", only("v1")},
-		{"order for the version in force, another stands by", &Order{ID: 9, Target: "v1"}, nil, both, "v1", only("v1")},
-		{"order without a record, only its target runs", order, nil, both[:1], "v1", only("v2")},
-		{"order without a record, only its target runs, at start", order, nil, both[:1], "", only("v2")},
-		{"order, completed before", order, &Record{Order: 8, Target: "v1", Before: "v0", Phase: Completed}, both, "", only("v1")},
-		{"order, reverted before", order, recordOf(8, Reverted), both, "", only("v1")},
-		{"ordered again while it runs", order, recordOf(8, Promote), both, "v1", only("v1")},
-		{"canary", order, recordOf(9, Canary), both, "v1", version.Software{InForce: "v1", Target: "v2"}},
-		{"canary, at start", order, recordOf(9, Canary), both, "", version.Software{InForce: "v1", Target: "v2"}},
-		{"promotion", order, recordOf(9, Promote), both, "v1", version.Software{InForce: "v1", Target: "v2"}},
-		{"completed", order, recordOf(9, Completed), both, "v1", only("v2")},
-		{"reverted", order, recordOf(9, Reverted), both, "v1", only("v1")},
-		{"promotion, the version before is gone", order, recordOf(9, Promote), both[:1], "v1", only("v2")},
+		{"no order, completed", nil, recordOf(9, Completed), bothRunning, "v1", only("v2")},
+		{"no order, reverted", nil, recordOf(9, Reverted), bothRunning, "v2", only("v1")},
+		{"withdrawn while it runs", nil, recordOf(9, Canary), bothRunning, "v1", only("v1")},
+		{"withdrawn, the version before is gone", nil, recordOf(9, Promote), bothRunning[:1], "v1", only("v1")},
+		{"order without a record", order, nil, bothRunning, "v1", only("v1")},
+		{"order without a record, at start", order, nil, bothRunning, "", only("v1")},
+		{"order without a record, its target was taken for the oldest", order, nil, bothRunning, "v2", only("v1")},
+		{"order for the version in force, another stands by", &Order{ID: 9, Target: "v1"}, nil, bothRunning, "v1", only("v1")},
+		{"order without a record, only its target runs", order, nil, bothRunning[:1], "v1", only("v2")},
+		{"order without a record, only its target runs, at start", order, nil, bothRunning[:1], "", only("v2")},
+		{"order, completed before", order, &Record{Order: 8, Target: "v1", Previous: "v0", Phase: Completed}, bothRunning, "", only("v1")},
+		{"order, reverted before", order, recordOf(8, Reverted), bothRunning, "", only("v1")},
+		{"ordered again while it runs", order, recordOf(8, Promote), bothRunning, "v1", only("v1")},
+		{"canary", order, recordOf(9, Canary), bothRunning, "v1", version.Software{InForce: "v1", Target: "v2"}},
+		{"canary, at start", order, recordOf(9, Canary), bothRunning, "", version.Software{InForce: "v1", Target: "v2"}},
+		{"promotion", order, recordOf(9, Promote), bothRunning, "v1", version.Software{InForce: "v1", Target: "v2"}},
+		{"completed", order, recordOf(9, Completed), bothRunning, "v1", only("v2")},
+		{"reverted", order, recordOf(9, Reverted), bothRunning, "v1", only("v1")},
+		{"promotion, the version before is gone", order, recordOf(9, Promote), bothRunning[:1], "v1", only("v2")},
 		{"canary, nothing runs", order, recordOf(9, Canary), nil, "v1", version.Software{InForce: "v1", Target: "v2"}},
-		{"reverted, the version before is gone", order, recordOf(9, Reverted), both[:1], "v1", only("v1")},
-		{"completed, the target is gone", order, recordOf(9, Completed), both[1:], "v2", only("v2")},
+		{"reverted, the version before is gone", order, recordOf(9, Reverted), bothRunning[:1], "v1", only("v1")},
+		{"completed, the target is gone", order, recordOf(9, Completed), bothRunning[1:], "v2", only("v2")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			assert.Equal(t, Admit(c.order, c.record, c.running, c.before), c.want)
+			assert.Equal(t, SelectVersions(c.order, c.record, c.running, c.before), c.want)
 		})
 	}
 }
@@ -68,14 +68,14 @@
 // in which nothing tells the two apart: an instance that starts between an order for the
 // version in force and its record. There the other version is taken to be in force,
 // since an order mostly is for a version that does not serve yet.
-func TestNoVersionIsAdmittedThatNobodyOrdered(t *testing.T) {
+func TestOnlyOrderedVersionsAreSelected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		versions := []string{"v1", "v2", "v3"}
-		standsBy := Running{Software: "standby", Backends: 4, Oldest: 500}
+		standsBy := RunningVersion{Software: "standby", Backends: 4, Oldest: 500}
 		before := ""
 		inForce := "v1" // at first
 		allowed := []string{inForce}
-		running := []Running{{"v1", 2, 1}, standsBy}
+		running := []RunningVersion{{"v1", 2, 1}, standsBy}
 		var record *Record
 		var order *Order
 		for i := range rapid.IntRange(1, 12).Draw(t, "steps") {
@@ -90,7 +90,7 @@
 					if record != nil {
 						inForce = record.InForce()
 					}
-					record = &Record{Order: order.ID, Target: order.Target, Before: inForce, Phase: Canary}
+					record = &Record{Order: order.ID, Target: order.Target, Previous: inForce, Phase: Canary}
 				}
 			case 3:
 				if record != nil && !record.Phase.Ended() {
@@ -99,14 +99,14 @@
 					record = &next
 				}
 			case 4: // backend servers of the version in force always stay, others come and go
-				running = []Running{standsBy}
+				running = []RunningVersion{standsBy}
 				now := inForce
 				if record != nil {
 					now = record.InForce()
 				}
 				for j, v := range versions {
 					if v == now || rapid.Bool().Draw(t, "there") {
-						running = append(running, Running{v, 2, int64(j + 1)})
+						running = append(running, RunningVersion{v, 2, int64(j + 1)})
 					}
 				}
 			case 5: // the instance starts anew
@@ -115,7 +115,7 @@
 			if before == "" && record == nil && order != nil && order.Target == inForce {
 				continue
 			}
-			got := Admit(order, record, running, before)
+			got := SelectVersions(order, record, running, before)
 			assert.Assert(t, slices.Contains(allowed, got.InForce), "%+v of %v", got, allowed)
 			assert.Assert(t, got.Target == "" || slices.Contains(allowed, got.Target), "%+v of %v", got, allowed)
 			before = got.InForce
--- a/process/rollout/attempt.go
+++ b/process/rollout/attempt.go
@@ -7,13 +7,13 @@
 // Attempt is one attempt at a request of a service whose roll-out runs. Nil: there is
 // none.
 type Attempt struct {
-	r      *Rollouts
-	s      *service
-	trial  *trial
-	route  *routeTrial
-	order  int64
-	target string // the version that it goes to; "": it goes to the version before
-	ended  bool
+	controller *Controller
+	service    *service
+	stats      *localStats
+	route      *routeStats
+	orderID    int64
+	target     string // the version that it goes to; "": it goes to the version before
+	ended      bool
 }
 
 // Outcome is what came of an attempt.
@@ -24,7 +24,7 @@
 	// the backend server.
 	Inconclusive bool
 	// Took is the time from sending to the answer.
-	Took time.Duration
+	Latency time.Duration
 	// Unseen: the backend server had not worked on the object lately; Cold: it counts
 	// as cold.
 	Unseen, Cold bool
@@ -35,79 +35,79 @@
 // Home returns the hash of the backend server that the request's object has as its
 // home among the target's; ok is false if none takes work. It is called only if the
 // answer matters, and may call the roll-outs.
-func (r *Rollouts) Begin(service, route string, first bool, home func() (hash uint64, ok bool)) *Attempt {
-	if !r.running.Load() {
+func (r *Controller) Begin(service, route string, first bool, home func() (hash uint64, ok bool)) *Attempt {
+	if !r.active.Load() {
 		return nil
 	}
 	a, way := r.begin(service, route, first)
-	if way != ifOpen {
+	if way != ifActive {
 		return a
 	}
 	hash, ok := home()
 	r.mu.Lock()
 	defer r.unlock()
-	r.send(a, r.wayIfOpen(a, hash, ok))
+	r.assign(a, r.destinationByHome(a, hash, ok))
 	return a
 }
 
 // begin begins an attempt as far as that goes without the home of its object.
-func (r *Rollouts) begin(service, route string, first bool) (*Attempt, way) {
+func (r *Controller) begin(service, route string, first bool) (*Attempt, destination) {
 	r.mu.Lock()
 	defer r.unlock()
 	s := r.services[service]
-	if s == nil || !s.runs() {
-		return nil, toBefore
+	if s == nil || !s.inProgress() {
+		return nil, toPrevious
 	}
 	now := r.Now()
-	a := &Attempt{r: r, s: s, trial: s.trial, route: s.trial.route(route), order: s.Order.ID}
-	s.reports.cameAt = now
-	s.reports.came = true
-	s.gate.came(r.Bounds.Share, r.saveFor(s), now)
-	way := r.way(a, first, now)
-	if way != ifOpen {
-		r.send(a, way)
+	a := &Attempt{controller: r, service: s, stats: s.stats, route: s.stats.route(route), orderID: s.Order.ID}
+	s.reporting.lastRequestAt = now
+	s.reporting.hadRequest = true
+	s.gate.addAttempt(r.Bounds.Share, r.creditPeriod(s), now)
+	way := r.destination(a, first, now)
+	if way != ifActive {
+		r.assign(a, way)
 	}
 	return a, way
 }
 
 // send notes where an attempt goes. The caller holds the lock.
-func (r *Rollouts) send(a *Attempt, to way) {
+func (r *Controller) assign(a *Attempt, to destination) {
 	if to == toTarget {
-		a.target = a.s.Order.Target
-		a.s.gate.take(r.Bounds.Share, r.Now())
+		a.target = a.service.Order.Target
+		a.service.gate.addTargetAttempt(r.Bounds.Share, r.Now())
 		return
 	}
-	a.s.toBefore++
+	a.service.inFlightToPrevious++
 }
 
 // way decides on an attempt. The caller holds the lock.
-func (r *Rollouts) way(a *Attempt, first bool, now time.Duration) way {
-	g := &a.s.gate
-	chance := g.chance(a.route.hash, a.trial.part(a.route))
-	return g.way(r.Bounds.Share, first, chance > 0 && r.random() < chance, now)
+func (r *Controller) destination(a *Attempt, first bool, now time.Duration) destination {
+	g := &a.service.gate
+	chance := g.evidenceProbability(a.route.hash, a.stats.trafficFraction(a.route))
+	return g.decide(r.Bounds.Share, first, chance > 0 && r.random() < chance, now)
 }
 
 // wayIfOpen decides on an attempt whose object has a home. The roll-out may have moved
 // while that was looked up. The caller holds the lock.
-func (r *Rollouts) wayIfOpen(a *Attempt, home uint64, ok bool) way {
-	s, now := a.s, r.Now()
-	if !ok || s.Order == nil || s.Order.ID != a.order || !s.runs() {
-		return toBefore
+func (r *Controller) destinationByHome(a *Attempt, home uint64, ok bool) destination {
+	s, now := a.service, r.Now()
+	if !ok || s.Order == nil || s.Order.ID != a.orderID || !s.inProgress() {
+		return toPrevious
 	}
-	way := s.gate.way(r.Bounds.Share, true, false, now)
-	if way == ifOpen && s.turns.open(home, s.gate.turn(now), canaryPart*r.Bounds.Share) {
+	way := s.gate.decide(r.Bounds.Share, true, false, now)
+	if way == ifActive && s.rotation.isActive(home, s.gate.round(now), canaryFraction*r.Bounds.Share) {
 		return toTarget
 	}
-	if way == ifOpen {
-		return toBefore
+	if way == ifActive {
+		return toPrevious
 	}
 	return way
 }
 
 // saveFor is over how long the share is saved: at least until a backend server is open
 // again.
-func (r *Rollouts) saveFor(s *service) time.Duration {
-	return max(saveTime, time.Duration(s.turns.every(canaryPart*r.Bounds.Share))*turnTime)
+func (r *Controller) creditPeriod(s *service) time.Duration {
+	return max(creditTime, time.Duration(s.rotation.roundInterval(canaryFraction*r.Bounds.Share))*roundTime)
 }
 
 // Target returns the version that the attempt goes to if it goes to the target, else "".
@@ -127,16 +127,16 @@
 	if a.Target() == "" {
 		return true
 	}
-	a.r.mu.Lock()
-	defer a.r.unlock()
-	s := a.s
-	if !over && s.gate.closed(a.r.Now()) {
+	a.controller.mu.Lock()
+	defer a.controller.unlock()
+	s := a.service
+	if !over && s.gate.closed(a.controller.Now()) {
 		return false
 	}
 	a.target = ""
-	s.toBefore++
-	if s.Order != nil && s.Order.ID == a.order {
-		s.gate.giveBack()
+	s.inFlightToPrevious++
+	if s.Order != nil && s.Order.ID == a.orderID {
+		s.gate.undoTargetAttempt()
 	}
 	return true
 }
@@ -146,7 +146,7 @@
 	if a == nil {
 		return
 	}
-	r, s := a.r, a.s
+	r, s := a.controller, a.service
 	r.mu.Lock()
 	defer r.unlock()
 	if a.ended {
@@ -154,37 +154,37 @@
 	}
 	a.ended = true
 	if a.target == "" {
-		s.toBefore--
+		s.inFlightToPrevious--
 	}
 	if o.Inconclusive {
-		a.inconclusive()
+		a.uncount()
 		return
 	}
 	now := r.Now()
 	c := a.count(o)
-	if a.trial != s.trial || !s.runs() {
+	if a.stats != s.stats || !s.inProgress() {
 		return // of a roll-out that has ended
 	}
 	if a.target == "" {
-		s.trial.local.base(a.route.hash, c, now)
+		s.stats.analysis.addBase(a.route.hash, c, now)
 		return
 	}
-	s.trial.local.target(a.route.hash, c, now, now)
+	s.stats.analysis.addTarget(a.route.hash, c, now, now)
 	if c.bad() > 0 {
-		s.reports.hasty = true
+		s.reporting.urgent = true
 	}
-	if s.trial.local.cause != "" && !s.gate.halted {
+	if s.stats.analysis.cause != "" && !s.gate.halted {
 		s.gate.halted = true // what was promised holds until then
-		r.note(s, "instance-stopped", s.trial.local.cause, &s.trial.local, 0)
+		r.logEvent(s, "instance-stopped", s.stats.analysis.cause, &s.stats.analysis, 0)
 	}
 }
 
 // inconclusive takes an attempt at the version before out of the count of all. Some of
 // them were sent, so the share is kept a little more strictly than it has to be.
-func (a *Attempt) inconclusive() {
-	s := a.s
-	if a.target == "" && s.Order != nil && s.Order.ID == a.order {
-		s.gate.all--
+func (a *Attempt) uncount() {
+	s := a.service
+	if a.target == "" && s.Order != nil && s.Order.ID == a.orderID {
+		s.gate.attempts--
 	}
 }
 
@@ -194,11 +194,11 @@
 	if o.Failed {
 		c.Failed = 1
 	} else {
-		doubts := &a.trial.doubtsOfBase
+		doubts := &a.stats.baseAmbiguous
 		if a.target != "" {
-			doubts = &a.trial.doubtsOfTarget
+			doubts = &a.stats.targetAmbiguous
 		}
-		timed, slow := doubts.note(a.route.usual.class(o, a.lateness()))
+		timed, slow := doubts.resolve(a.route.typical.classify(o, a.schedulingDelay()))
 		c.Timed, c.Slow = oneIf(timed), oneIf(slow)
 	}
 	if a.target != "" {
@@ -207,7 +207,7 @@
 	}
 	a.route.base.add(c)
 	if !o.Failed && !o.Cold && !o.Unseen {
-		a.route.usual.add(o.Took)
+		a.route.typical.add(o.Latency)
 	}
 	return c
 }
@@ -216,11 +216,11 @@
 // matters: most of the time the baseline has answers of the same moment, some of which it delayed
 // as much, and the verdict compares. Where many are, or there are none since the target has been
 // promoted, that is too rough.
-func (a *Attempt) lateness() time.Duration {
-	if a.s.gate.phase != Promote && a.trial.doubtsOfBase.part < doubtSpell {
+func (a *Attempt) schedulingDelay() time.Duration {
+	if a.service.gate.phase != Promote && a.stats.baseAmbiguous.slowFraction < stallFraction {
 		return 0
 	}
-	return a.r.late()
+	return a.controller.schedulingDelay()
 }
 
 func oneIf(set bool) int64 {
--- a/process/rollout/busy_test.go
+++ b/process/rollout/busy_test.go
@@ -15,40 +15,40 @@
 // target.
 
 // heldUp lets both versions' answers come late while it is on.
-func heldUp(under performance, h holdUp, on func(at time.Duration) bool) performance {
+func stalledWhen(under behaviourAt, h stall, on func(at time.Duration) bool) behaviourAt {
 	return func(software string, route int, at time.Duration, load float64) behaviour {
 		b := under(software, route, at, load)
 		if on(at) {
-			b.held = h
+			b.stall = h
 		}
 		return b
 	}
 }
 
 // inSpells is on for one second of each five.
-func inSpells(at time.Duration) bool { return at/time.Second%5 == 4 }
+func inBursts(at time.Duration) bool { return at/time.Second%5 == 4 }
 
-func allAlong(time.Duration) bool { return true }
+func allTheTime(time.Duration) bool { return true }
 
 // busyKinds are targets at instances that are held up: answers of 30 ms take up to 60 ms more.
-func busyKinds() (out []kind) {
-	slower := func(factor float64, when func(int, time.Duration, float64) bool) performance {
-		return whenBad(behaviour{factor: factor, failed: usually.failed}, when)
+func stalledKinds() (out []targetKind) {
+	slower := func(factor float64, when func(int, time.Duration, float64) bool) behaviourAt {
+		return whenBad(behaviour{factor: factor, failedFraction: goodBehaviour.failedFraction}, when)
 	}
-	for _, k := range []kind{
-		{name: "good", perform: bothWhen(usually, 0, 0)},
-		{name: "a tenth slower", perform: slower(1.1, always)},
-		{name: "2 times slower", bad: true, perform: slower(2, always)},
-		{name: "2 times slower late", bad: true, perform: slower(2, late)},
-		{name: "4 times slower", bad: true, perform: slower(4, always)},
-		{name: "4 times slower late", bad: true, perform: slower(4, late)},
-		{name: "fails 0.2", bad: true, perform: whenBad(behaviour{factor: 1, failed: 0.2}, always)},
+	for _, k := range []targetKind{
+		{name: "good", behave: bothDuring(goodBehaviour, 0, 0)},
+		{name: "a tenth slower", behave: slower(1.1, always)},
+		{name: "2 times slower", bad: true, behave: slower(2, always)},
+		{name: "2 times slower late", bad: true, behave: slower(2, late)},
+		{name: "4 times slower", bad: true, behave: slower(4, always)},
+		{name: "4 times slower late", bad: true, behave: slower(4, late)},
+		{name: "fails 0.2", bad: true, behave: whenBad(behaviour{factor: 1, failedFraction: 0.2}, always)},
 	} {
 		spells, along := k, k
 		spells.name += ", held up in spells"
-		spells.perform = heldUp(k.perform, holdUp{part: 0.9, most: 2 * usualTime}, inSpells)
+		spells.behave = stalledWhen(k.behave, stall{fraction: 0.9, maxDelay: 2 * meanLatency}, inBursts)
 		along.name += ", held up all along"
-		along.perform = heldUp(k.perform, holdUp{part: 0.2, most: 2 * usualTime}, allAlong)
+		along.behave = stalledWhen(k.behave, stall{fraction: 0.2, maxDelay: 2 * meanLatency}, allTheTime)
 		out = append(out, spells, along)
 	}
 	return out
@@ -57,18 +57,18 @@
 // How often each of them is played. Of good ones a part may be reverted (mostWrong), which few
 // plays would not tell from chance.
 const (
-	busyGoodSeeds = 30
-	busyBadSeeds  = 5
+	stalledGoodSeeds = 30
+	stalledBadSeeds  = 5
 )
 
 // TestHeldUpInstances plays good and bad targets at instances that are held up: each ends as it
 // should.
-func TestHeldUpInstances(t *testing.T) {
-	for _, k := range busyKinds() {
-		runs := busyGoodSeeds * *seeds
+func TestStalledInstances(t *testing.T) {
+	for _, k := range stalledKinds() {
+		runs := stalledGoodSeeds * *seeds
 		if k.bad {
-			runs = busyBadSeeds * *seeds
+			runs = stalledBadSeeds * *seeds
 		}
-		checkKind(t, k, *highRate, playAll([]kind{k}, 12, *highRate, runs)[0])
+		checkKind(t, k, *highRate, playAll([]targetKind{k}, 12, *highRate, runs)[0])
 	}
 }
--- a/process/rollout/counts.go
+++ b/process/rollout/counts.go
@@ -43,19 +43,19 @@
 }
 
 // pair is the counts of both versions.
-type pair struct{ base, target Counts }
+type versionCounts struct{ base, target Counts }
 
-func (p *pair) add(x pair) {
+func (p *versionCounts) add(x versionCounts) {
 	p.base.add(x.base)
 	p.target.add(x.target)
 }
 
-func (p pair) since(old pair) pair {
-	return pair{base: p.base.since(old.base), target: p.target.since(old.target)}
+func (p versionCounts) since(old versionCounts) versionCounts {
+	return versionCounts{base: p.base.since(old.base), target: p.target.since(old.target)}
 }
 
 // newer returns the greater of each count.
-func (p pair) newer(old pair) pair {
+func (p versionCounts) max(old versionCounts) versionCounts {
 	old.add(p.since(old))
 	return old
 }
--- a/process/rollout/gate_test.go
+++ b/process/rollout/gate_test.go
@@ -13,27 +13,27 @@
 	"shalewick/version"
 )
 
-var cmpAll = cmp.AllowUnexported(report{}, answer{}, routeCounts{}, pair{})
+var cmpAll = cmp.AllowUnexported(report{}, reply{}, routeCounts{}, versionCounts{})
 
 // canaryOf is what the tables say of a service whose canary runs.
 func canaryOf(phase Phase) []Service {
 	return []Service{{
 		Name: "s", Order: &Order{ID: 1, Target: "v2", Within: time.Minute}, Revision: 1, InForce: "v1", InForceSlots: 10,
-		Record: &Record{Service: "s", Order: 1, Target: "v2", Before: "v1", Phase: phase, Began: 1, Deadline: version.Duration(2 * time.Hour)},
+		Record: &Record{Service: "s", Order: 1, Target: "v2", Previous: "v1", Phase: phase, StartedAt: 1, Deadline: version.Duration(2 * time.Hour)},
 		Homes:  []Home{{Hash: 1, Slots: 10}},
 	}}
 }
 
 // alone returns the roll-outs of an instance that was there before the order.
-func alone(owner Owner) (*Rollouts, *time.Duration) {
+func singleInstance(owner Owner) (*Controller, *time.Duration) {
 	now := time.Hour
-	r := &Rollouts{
+	r := &Controller{
 		Now: func() time.Duration { return now }, Bounds: testBounds, Incarnation: 1, Random: func() float64 { return 0 },
 		Owner: func(string) Owner { return owner }, Live: func() []string { return []string{""} },
 		InFlight: func(string) int { return 0 }, Send: func(string, []byte) {},
 	}
 	r.Install(nil)
-	now += settledTime
+	now += minUptimeForSlack
 	r.Install(canaryOf(Canary))
 	r.Tick()
 	return r, &now
@@ -42,86 +42,86 @@
 func anyHome() (uint64, bool) { return 1, true }
 
 // send sends n requests that succeed, and returns how many went to the target.
-func send(r *Rollouts, n int) (target int) {
+func sendRequests(r *Controller, n int) (target int) {
 	for range n {
 		a := r.Begin("s", "r", true, anyHome)
 		if a.Target() != "" {
 			target++
 		}
-		a.Done(Outcome{Took: time.Millisecond})
+		a.Done(Outcome{Latency: time.Millisecond})
 	}
 	return target
 }
 
 // TestShareIsKeptBeforeAnyEvidence checks the bound at one instance, request by request.
-func TestShareIsKeptBeforeAnyEvidence(t *testing.T) {
-	r, now := alone(Owner{Name: "here"})
+func TestShareHoldsFromFirstRequest(t *testing.T) {
+	r, now := singleInstance(Owner{Name: "here"})
 	all, target := 0, 0
 	for range 15_000 {
 		*now += 10 * time.Millisecond
 		r.Tick()
-		target += send(r, 3)
+		target += sendRequests(r, 3)
 		all += 3
-		assert.Assert(t, float64(target) <= scarcePart*testBounds.Share*float64(all)+slackPart*testBounds.Slack, "%d of %d", target, all)
+		assert.Assert(t, float64(target) <= scarceFraction*testBounds.Share*float64(all)+slackFraction*testBounds.Slack, "%d of %d", target, all)
 	}
-	assert.Assert(t, float64(target) > 0.6*canaryPart*testBounds.Share*float64(all), "%d of %d", target, all)
+	assert.Assert(t, float64(target) > 0.6*canaryFraction*testBounds.Share*float64(all), "%d of %d", target, all)
 }
 
 // TestInstanceThatStartsHasNoSlack checks that a restart gives nothing.
-func TestInstanceThatStartsHasNoSlack(t *testing.T) {
+func TestStartingInstanceHasNoSlack(t *testing.T) {
 	now := time.Hour
-	r := &Rollouts{
+	r := &Controller{
 		Now: func() time.Duration { return now }, Bounds: testBounds, Random: func() float64 { return 0 },
 		Owner: func(string) Owner { return Owner{Name: "here"} }, Live: func() []string { return []string{""} },
 		InFlight: func(string) int { return 0 }, Send: func(string, []byte) {},
 	}
 	r.Install(canaryOf(Canary))
 	r.Tick()
-	least := int(1 / (scarcePart * testBounds.Share))
-	assert.Equal(t, send(r, least), 0)
+	least := int(1 / (scarceFraction * testBounds.Share))
+	assert.Equal(t, sendRequests(r, least), 0)
 
 	r.Install(nil)
-	now += settledTime / 2
+	now += minUptimeForSlack / 2
 	again := canaryOf(Canary)
 	again[0].Order.ID, again[0].Record.Order = 2, 2
 	r.Install(again)
 	r.Tick()
-	assert.Equal(t, send(r, least), 0, "it has started a moment ago")
+	assert.Equal(t, sendRequests(r, least), 0, "it has started a moment ago")
 }
 
 // TestLeaseLapses checks that nothing goes to the target without answers of the owner,
 // and that an answer to a report of long ago gives no lease.
-func TestLeaseLapses(t *testing.T) {
-	r, now := alone(Owner{Name: "x", Address: "x"})
+func TestLeaseExpires(t *testing.T) {
+	r, now := singleInstance(Owner{Name: "x", Address: "x"})
 	var reports [][]byte
 	r.Send = func(_ string, text []byte) { reports = append(reports, text) }
-	send(r, 100)
-	*now += reportPause
+	sendRequests(r, 100)
+	*now += reportInterval
 	r.Tick()
 	assert.Equal(t, len(reports), 1)
 	x, err := decodeReport(reports[0])
 	assert.NilError(t, err)
-	answer := &answer{service: x.service, order: x.order, seq: x.seq, phase: Canary, stamp: 0, allLacking: true}
-	assert.Equal(t, send(r, 50), 0, "no lease yet")
-	*now += leaseTime
-	r.Hear("x", answer.encode())
-	assert.Equal(t, send(r, 50), 0, "the answer is to a report that is too old")
+	answer := &reply{service: x.service, order: x.order, seq: x.seq, phase: Canary, ownerClock: 0, allLacking: true}
+	assert.Equal(t, sendRequests(r, 50), 0, "no lease yet")
+	*now += maxLeaseTime
+	r.Receive("x", answer.encode())
+	assert.Equal(t, sendRequests(r, 50), 0, "the answer is to a report that is too old")
 	r.Tick()
 	x, err = decodeReport(reports[1])
 	assert.NilError(t, err)
 	answer.seq = x.seq
-	r.Hear("y", answer.encode())
-	assert.Equal(t, send(r, 50), 0, "not an answer of the owner")
-	r.Hear("x", answer.encode())
-	assert.Assert(t, send(r, 50) > 0)
-	*now += leaseTime
-	assert.Equal(t, send(r, 500), 0, "lapsed")
+	r.Receive("y", answer.encode())
+	assert.Equal(t, sendRequests(r, 50), 0, "not an answer of the owner")
+	r.Receive("x", answer.encode())
+	assert.Assert(t, sendRequests(r, 50) > 0)
+	*now += maxLeaseTime
+	assert.Equal(t, sendRequests(r, 500), 0, "lapsed")
 }
 
 // TestLeaseFollowsTheTimeToStop checks that a short time to stop makes leases short.
-func TestLeaseFollowsTheTimeToStop(t *testing.T) {
+func TestLeaseFollowsStopWithin(t *testing.T) {
 	for _, c := range []struct{ stop, lease time.Duration }{
-		{0, leaseTime}, {time.Second, 300 * time.Millisecond}, {5 * time.Second, leaseTime}, {time.Minute, leaseTime},
+		{0, maxLeaseTime}, {time.Second, 300 * time.Millisecond}, {5 * time.Second, maxLeaseTime}, {time.Minute, maxLeaseTime},
 	} {
 		b := Bounds{StopWithin: c.stop}
 		assert.Equal(t, b.lease(), c.lease, "%s", c.stop)
@@ -131,7 +131,7 @@
 // TestOrderForAnUnknownServiceIsReverted checks that nobody waits for such an order's
 // deadline.
 func TestOrderForAnUnknownServiceIsReverted(t *testing.T) {
-	r, _ := alone(Owner{Name: "here"})
+	r, _ := singleInstance(Owner{Name: "here"})
 	r.Install([]Service{{Name: "none", Order: &Order{ID: 9, Target: "v2", Within: time.Minute}, Unknown: true}})
 	steps := r.Proposals(time.Hour)
 	assert.Equal(t, len(steps), 1)
@@ -140,37 +140,37 @@
 }
 
 // TestHaltHoldsForTheOrder checks that no later answer takes a halt back.
-func TestHaltHoldsForTheOrder(t *testing.T) {
-	r, now := alone(Owner{Name: "here"})
-	*now += TickTime
+func TestHaltIsPermanentForOrder(t *testing.T) {
+	r, now := singleInstance(Owner{Name: "here"})
+	*now += TickInterval
 	r.Tick()
-	assert.Assert(t, send(r, 200) > 0)
-	r.Hear("x", (&answer{service: hashOfService("s"), order: 1, halted: true}).encode())
+	assert.Assert(t, sendRequests(r, 200) > 0)
+	r.Receive("x", (&reply{service: hashOfService("s"), order: 1, halted: true}).encode())
 	for range 20 {
-		*now += TickTime
+		*now += TickInterval
 		r.Tick()
-		assert.Equal(t, send(r, 50), 0)
+		assert.Equal(t, sendRequests(r, 50), 0)
 	}
 	proposals := r.Proposals(time.Hour)
 	assert.Equal(t, len(proposals), 1)
 	assert.Equal(t, proposals[0].Record.Phase, Reverted)
 	assert.Equal(t, proposals[0].Revision, int64(1))
 	assert.Equal(t, len(r.Proposals(time.Hour)), 0, "it was proposed just now")
-	*now += proposePause
+	*now += proposeInterval
 	assert.Equal(t, len(r.Proposals(time.Hour)), 1, "it was not confirmed")
 }
 
 // TestInstanceStopsByItself checks an instance whose owner does not judge.
-func TestInstanceStopsByItself(t *testing.T) {
-	r, now := alone(Owner{Name: "x", Address: "x"})
+func TestInstanceHaltsWithoutOwner(t *testing.T) {
+	r, now := singleInstance(Owner{Name: "x", Address: "x"})
 	var seq byte
 	r.Send = func(_ string, text []byte) { seq = text[10] }
 	target := 0
 	for range 600 {
-		*now += TickTime
+		*now += TickInterval
 		r.Tick()
-		x := &answer{service: hashOfService("s"), order: 1, seq: r.services["s"].reports.seq, phase: Canary, allLacking: true}
-		r.Hear("x", x.encode())
+		x := &reply{service: hashOfService("s"), order: 1, seq: r.services["s"].reporting.seq, phase: Canary, allLacking: true}
+		r.Receive("x", x.encode())
 		for range 20 {
 			a := r.Begin("s", "r", true, anyHome)
 			if a.Target() != "" {
@@ -184,9 +184,9 @@
 }
 
 // TestFurtherAttemptsGoToTheVersionInForce checks retries.
-func TestFurtherAttemptsGoToTheVersionInForce(t *testing.T) {
-	r, now := alone(Owner{Name: "here"})
-	*now += TickTime
+func TestRetriesGoToVersionInForce(t *testing.T) {
+	r, now := singleInstance(Owner{Name: "here"})
+	*now += TickInterval
 	r.Tick()
 	for range 500 {
 		assert.Assert(t, r.Begin("s", "r", false, anyHome).Target() == "")
@@ -194,24 +194,24 @@
 }
 
 // TestClockThatBeginsAtZero checks an instance whose clock is the time since its start.
-func TestClockThatBeginsAtZero(t *testing.T) {
-	r, now := alone(Owner{Name: "here"})
+func TestClockStartingAtZero(t *testing.T) {
+	r, now := singleInstance(Owner{Name: "here"})
 	*now = 0
 	r.Install(nil)
 	r.Install(canaryOf(Canary))
 	target := 0
 	for range 100 {
 		r.Tick()
-		target += send(r, 20)
+		target += sendRequests(r, 20)
 		r.Proposals(*now)
-		*now += TickTime
+		*now += TickInterval
 	}
 	assert.Assert(t, target > 0)
 }
 
 // TestNothingRuns checks attempts of services without a roll-out.
-func TestNothingRuns(t *testing.T) {
-	r, _ := alone(Owner{Name: "here"})
+func TestNoRollout(t *testing.T) {
+	r, _ := singleInstance(Owner{Name: "here"})
 	a := r.Begin("other", "r", true, anyHome)
 	assert.Assert(t, a == nil)
 	assert.Assert(t, a.Target() == "")
@@ -222,18 +222,18 @@
 	r.Install(nil)
 	assert.Assert(t, r.Begin("s", "r", true, anyHome) == nil)
 	assert.Equal(t, len(r.Proposals(time.Hour)), 0)
-	assert.Assert(t, !r.Hear("x", []byte{1}))
-	assert.Assert(t, !r.Hear("x", nil))
+	assert.Assert(t, !r.Receive("x", []byte{1}))
+	assert.Assert(t, !r.Receive("x", nil))
 }
 
 // TestDeclineIsRefusedAfterThePromise checks that an instance that has said that it
 // sends nothing to the version before keeps to that.
-func TestDeclineIsRefusedAfterThePromise(t *testing.T) {
-	r, now := alone(Owner{Name: "here"})
+func TestDeclineIsRefusedAfterDrainPromise(t *testing.T) {
+	r, now := singleInstance(Owner{Name: "here"})
 	r.Install(canaryOf(Promote))
 	r.Proposals(3 * time.Hour) // the deadline is over
 	for range 3 {
-		*now += TickTime
+		*now += TickInterval
 		r.Tick()
 	}
 	a := r.Begin("s", "r", false, anyHome)
@@ -243,8 +243,8 @@
 }
 
 // TestUseFromManyGoroutines is for the race detector.
-func TestUseFromManyGoroutines(t *testing.T) {
-	r, _ := alone(Owner{Name: "here"})
+func TestConcurrentUse(t *testing.T) {
+	r, _ := singleInstance(Owner{Name: "here"})
 	began := time.Now()
 	r.Now = func() time.Duration { return time.Hour + time.Since(began) }
 	var wait sync.WaitGroup
@@ -258,10 +258,10 @@
 					r.Tick()
 				case i == 2:
 					for _, p := range r.Proposals(time.Hour) {
-						r.Written(p, p.Revision+1)
+						r.Confirm(p, p.Revision+1)
 					}
 				default:
-					send(r, 3)
+					sendRequests(r, 3)
 				}
 			}
 		})
@@ -275,22 +275,22 @@
 	began := time.Now()
 	clock := func() time.Duration { return time.Hour + time.Since(began) }
 	b.Run("none", func(b *testing.B) {
-		r, _ := alone(Owner{Name: "here"})
+		r, _ := singleInstance(Owner{Name: "here"})
 		r.Install(nil)
 		b.ReportAllocs()
 		for b.Loop() {
-			r.Begin("s", "r", true, anyHome).Done(Outcome{Took: time.Millisecond})
+			r.Begin("s", "r", true, anyHome).Done(Outcome{Latency: time.Millisecond})
 		}
 	})
 	b.Run("another", func(b *testing.B) {
-		r, _ := alone(Owner{Name: "here"})
+		r, _ := singleInstance(Owner{Name: "here"})
 		b.ReportAllocs()
 		for b.Loop() {
-			r.Begin("other", "r", true, anyHome).Done(Outcome{Took: time.Millisecond})
+			r.Begin("other", "r", true, anyHome).Done(Outcome{Latency: time.Millisecond})
 		}
 	})
 	b.Run("canary", func(b *testing.B) {
-		r, _ := alone(Owner{Name: "here"})
+		r, _ := singleInstance(Owner{Name: "here"})
 		r.Now = clock
 		b.ReportAllocs()
 		n := 0
@@ -298,7 +298,7 @@
 			if n++; n%10_000 == 0 {
 				r.Tick()
 			}
-			r.Begin("s", "r", true, anyHome).Done(Outcome{Took: time.Millisecond})
+			r.Begin("s", "r", true, anyHome).Done(Outcome{Latency: time.Millisecond})
 		}
 	})
 }
--- a/process/rollout/model_node_test.go
+++ b/process/rollout/model_node_test.go
@@ -8,49 +8,49 @@
 
 func (x *node) start() {
 	f := x.f
-	x.life++
-	x.dead, x.frozen, x.frozenQ = false, false, nil
-	x.started = f.now
+	x.incarnation++
+	x.down, x.frozen, x.frozenQueue = false, false, nil
+	x.startedAt = f.now
 	x.version = -1
-	x.order, x.record, x.before = nil, nil, ""
-	x.now, x.lastTo = make(map[string]int), make(map[string]time.Duration)
-	x.heard = make([]time.Duration, f.size)
-	x.lookAround()
-	x.nextAt = f.now + time.Duration(f.random.Int64N(int64(TickTime)))
-	x.r = &Rollouts{
-		Now: func() time.Duration { return f.now }, Bounds: f.bounds, Incarnation: int64(x.index)<<32 + int64(x.life),
-		Owner: x.ownerNow, Live: func() []string { return x.lives },
-		InFlight: func(string) int { return x.now[x.before] }, Send: x.send,
-		Random: f.random.Float64, Late: x.lateness, Introduce: x.introduce,
+	x.order, x.record, x.inForce = nil, nil, ""
+	x.inFlight, x.lastSentTo = make(map[string]int), make(map[string]time.Duration)
+	x.lastHeartbeat = make([]time.Duration, f.size)
+	x.refreshLive()
+	x.nextTickAt = f.now + time.Duration(f.random.Int64N(int64(TickInterval)))
+	x.controller = &Controller{
+		Now: func() time.Duration { return f.now }, Bounds: f.bounds, Incarnation: int64(x.index)<<32 + int64(x.incarnation),
+		Owner: x.ownerOf, Live: func() []string { return x.liveNodes },
+		InFlight: func(string) int { return x.inFlight[x.inForce] }, Send: x.send,
+		Random: f.random.Float64, SchedulingDelay: x.schedulingDelay, Announce: x.announce,
 	}
-	x.read()
+	x.readTables()
 }
 
 // ownerNow is who owns the roll-out as x knows now: by the rank that is looked up each beat only,
 // to save time.
-func (x *node) ownerNow(string) Owner {
+func (x *node) ownerOf(string) Owner {
 	if x.f.ownerFor != nil {
 		return x.owner()
 	}
-	return x.ownerIs
+	return x.currentOwner
 }
 
 // noteHoldUp notes by how much the machine of x is late with turns, as x itself sees it.
-func (x *node) noteHoldUp(h holdUp) { x.late, x.lateAt = h.most, x.f.now }
+func (x *node) noteStall(h stall) { x.delay, x.delayedAt = h.maxDelay, x.f.now }
 
 // lateness is by how much x was given its turns late within the last second, at most.
-func (x *node) lateness() time.Duration {
-	if x.lateAt == 0 || x.f.now-x.lateAt > time.Second {
+func (x *node) schedulingDelay() time.Duration {
+	if x.delayedAt == 0 || x.f.now-x.delayedAt > time.Second {
 		return 0
 	}
-	return x.late
+	return x.delay
 }
 
 // live returns the instances that x takes for alive.
-func (x *node) live() []string {
+func (x *node) findLive() []string {
 	out := []string{""}
 	for _, o := range x.f.nodes {
-		if o != x && x.takesForAlive(o) {
+		if o != x && x.considersLive(o) {
 			out = append(out, o.name)
 		}
 	}
@@ -58,21 +58,21 @@
 }
 
 // lookAround notes who lives and who owns the roll-out.
-func (x *node) lookAround() {
-	x.lives = x.live()
-	x.ownerIs = x.owner()
+func (x *node) refreshLive() {
+	x.liveNodes = x.findLive()
+	x.currentOwner = x.owner()
 }
 
 // takesForAlive: heartbeats come twice a second, so an instance counts as dead a while
 // after the last one.
-func (x *node) takesForAlive(o *node) bool {
-	return x.heard[o.index] > 0 && x.f.now-x.heard[o.index] < deadAfter
+func (x *node) considersLive(o *node) bool {
+	return x.lastHeartbeat[o.index] > 0 && x.f.now-x.lastHeartbeat[o.index] < unresponsiveAfter
 }
 
-func (x *node) beat() {
+func (x *node) sendHeartbeats() {
 	for _, o := range x.f.nodes {
-		if o != x && !o.dead && !x.cutOut && !o.cutIn {
-			o.heard[x.index] = x.f.now
+		if o != x && !o.down && !x.cutOut && !o.cutIn {
+			o.lastHeartbeat[x.index] = x.f.now
 		}
 	}
 }
@@ -87,7 +87,7 @@
 		return Owner{Name: best.name, Address: best.name}
 	}
 	for _, o := range x.f.nodes {
-		if o != x && !x.takesForAlive(o) {
+		if o != x && !x.considersLive(o) {
 			continue
 		}
 		if o.rank < best.rank {
@@ -102,43 +102,43 @@
 
 func (x *node) send(address string, text []byte) {
 	f := x.f
-	f.bytes[x.name] += len(text) + headers
-	f.got[address] += len(text) + headers
+	f.sentBytes[x.name] += len(text) + datagramHeaderBytes
+	f.received[address] += len(text) + datagramHeaderBytes
 	if x.cutOut || f.random.Float64() < f.loss {
 		return
 	}
 	o := f.byName[address]
-	life := o.life
+	life := o.incarnation
 	f.after(time.Millisecond+time.Duration(f.random.Int64N(int64(24*time.Millisecond))), func() {
-		if o.dead || o.life != life || o.cutIn {
+		if o.down || o.incarnation != life || o.cutIn {
 			return
 		}
-		o.do(func() { o.r.Hear(x.name, text) })
+		o.run(func() { o.controller.Receive(x.name, text) })
 	})
 }
 
 // introduce tells the node at an address who x is.
-func (x *node) introduce(address string) {
+func (x *node) announce(address string) {
 	f := x.f
-	f.bytes[x.name] += introductionBytes + headers
-	if f.introduced == nil || x.cutOut || f.random.Float64() < f.loss {
+	f.sentBytes[x.name] += announcementBytes + datagramHeaderBytes
+	if f.onAnnounce == nil || x.cutOut || f.random.Float64() < f.loss {
 		return
 	}
 	o := f.byName[address]
 	f.after(time.Millisecond+time.Duration(f.random.Int64N(int64(24*time.Millisecond))), func() {
-		if !o.dead && !o.cutIn {
-			o.do(func() { f.introduced(x, o) })
+		if !o.down && !o.cutIn {
+			o.run(func() { f.onAnnounce(x, o) })
 		}
 	})
 }
 
 // introductionBytes is the usual size of such a datagram.
-const introductionBytes = 110
+const announcementBytes = 110
 
 // do runs something at the node, or once it is no longer frozen.
-func (x *node) do(f func()) {
+func (x *node) run(f func()) {
 	if x.frozen {
-		x.frozenQ = append(x.frozenQ, f)
+		x.frozenQueue = append(x.frozenQueue, f)
 		return
 	}
 	f()
@@ -146,8 +146,8 @@
 
 func (x *node) thaw() {
 	x.frozen = false
-	queue := x.frozenQ
-	x.frozenQ = nil
+	queue := x.frozenQueue
+	x.frozenQueue = nil
 	for _, f := range queue {
 		f()
 	}
@@ -165,15 +165,15 @@
 }
 
 func (x *node) kill() {
-	x.dead = true
-	for k := range x.now {
-		x.now[k] = 0
+	x.down = true
+	for k := range x.inFlight {
+		x.inFlight[k] = 0
 	}
 }
 
 // read follows the tables with some delay.
-func (x *node) read() {
-	if x.noStore || x.f.store.away {
+func (x *node) readTables() {
+	if x.cutFromStore || x.f.store.unavailable {
 		if x.version < 0 { // it starts without
 			x.install(nil, nil, 0)
 		}
@@ -183,7 +183,7 @@
 	if x.version == s.version {
 		return
 	}
-	version, order, record, revision, life := s.version, s.order, s.record, s.revision, x.life
+	version, order, record, revision, life := s.version, s.order, s.record, s.revision, x.incarnation
 	if x.version < 0 {
 		x.version = version
 		x.install(order, record, revision)
@@ -191,8 +191,8 @@
 	}
 	x.version = version
 	x.f.after(s.delay(), func() {
-		x.do(func() {
-			if x.life == life && !x.dead && x.version == version {
+		x.run(func() {
+			if x.incarnation == life && !x.down && x.version == version {
 				x.install(order, record, revision)
 			}
 		})
@@ -201,36 +201,38 @@
 
 func (x *node) install(order *Order, record *Record, revision int64) {
 	x.order, x.record = order, record
-	software := Admit(order, record, x.f.running, x.before)
-	x.before = software.InForce
+	software := SelectVersions(order, record, x.f.running, x.inForce)
+	x.inForce = software.InForce
 	var all []Service
 	if order != nil || record != nil && !record.Phase.Ended() {
 		all = append(all, Service{
 			Name: "s", Order: order, Record: record, Revision: revision, InForce: software.InForce, InForceSlots: 48, Homes: x.f.homesOf(software.Target),
 		})
 	}
-	x.r.Install(all)
+	x.controller.Install(all)
 }
 
 // target is the version that may be tried at x.
-func (x *node) target() string { return Admit(x.order, x.record, x.f.running, x.before).Target }
+func (x *node) target() string {
+	return SelectVersions(x.order, x.record, x.f.running, x.inForce).Target
+}
 
 func (x *node) tick() {
-	x.read()
-	x.r.Tick()
-	if x.noStore || x.f.store.away {
+	x.readTables()
+	x.controller.Tick()
+	if x.cutFromStore || x.f.store.unavailable {
 		return
 	}
-	for _, p := range x.r.Proposals(x.f.now + 1000*time.Hour) {
+	for _, p := range x.controller.Proposals(x.f.now + 1000*time.Hour) {
 		x.write(p)
 	}
 }
 
 // write writes a proposal, under the condition that the row is as it was read.
 func (x *node) write(p Proposal) {
-	f, life := x.f, x.life
+	f, life := x.f, x.incarnation
 	f.after(f.store.delay(), func() {
-		if f.store.away || f.store.revision != p.Revision || x.life != life || x.dead {
+		if f.store.unavailable || f.store.revision != p.Revision || x.incarnation != life || x.down {
 			return
 		}
 		if do := f.onWrite; do != nil {
@@ -242,8 +244,8 @@
 		f.put(p.Record)
 		revision := f.store.revision
 		f.after(f.store.delay(), func() {
-			if x.life == life && !x.dead && f.random.Float64() >= f.loss {
-				x.do(func() { x.r.Written(p, revision) })
+			if x.incarnation == life && !x.down && f.random.Float64() >= f.loss {
+				x.run(func() { x.controller.Confirm(p, revision) })
 			}
 		})
 	})
--- a/process/rollout/model_requests_test.go
+++ b/process/rollout/model_requests_test.go
@@ -14,33 +14,33 @@
 		for len(f.queue) > 0 && f.queue[0].at <= f.now {
 			heap.Pop(&f.queue).(event).do()
 		}
-		beats := f.now%beatTime < modelStep
+		beats := f.now%heartbeatInterval < modelStep
 		for _, x := range f.nodes {
-			x.noteSound()
-			if x.dead || x.frozen {
+			x.trackConnection()
+			if x.down || x.frozen {
 				continue
 			}
 			if beats {
-				x.beat()
-				x.lookAround()
+				x.sendHeartbeats()
+				x.refreshLive()
 			}
-			if f.now >= x.nextAt {
-				x.nextAt = f.now + TickTime
+			if f.now >= x.nextTickAt {
+				x.nextTickAt = f.now + TickInterval
 				x.tick()
 			}
 		}
-		f.come()
+		f.sendRequests()
 	}
 }
 
 // come lets requests come.
-func (f *fleet) come() {
-	f.missing += f.rate(f.now) * modelStep.Seconds()
-	n := int(f.missing)
-	f.missing -= float64(n)
+func (f *fleet) sendRequests() {
+	f.fractionDue += f.rate(f.now) * modelStep.Seconds()
+	n := int(f.fractionDue)
+	f.fractionDue -= float64(n)
 	for range n {
 		x := f.nodes[f.random.IntN(len(f.nodes))]
-		if x.dead || x.frozen {
+		if x.down || x.frozen {
 			continue
 		}
 		route, at := 0, f.random.Float64()
@@ -53,7 +53,7 @@
 
 // homesOf are the backend servers of a version.
 func (f *fleet) homesOf(software string) []Home {
-	if !runs(software, f.running) {
+	if !isRunning(software, f.running) {
 		return nil
 	}
 	return f.homes
@@ -75,8 +75,8 @@
 		}
 		return f.homeOf(object), true
 	}
-	a := x.r.Begin("s", routeNames[route], attempt == 1, home)
-	software := x.before
+	a := x.controller.Begin("s", routeNames[route], attempt == 1, home)
+	software := x.inForce
 	if a.Target() != "" {
 		software = x.target()
 		if len(f.homesOf(software)) == 0 {
@@ -84,35 +84,35 @@
 				a.Done(Outcome{Inconclusive: true})
 				return
 			}
-			software = x.before
+			software = x.inForce
 		}
 	}
-	b := f.perform(software, route, f.now)
-	took := time.Duration(float64(usualTime) * b.factor * math.Exp(f.spread*f.random.NormFloat64()))
-	unseen := f.random.Float64() < b.unseen
+	b := f.behave(software, route, f.now)
+	took := time.Duration(float64(meanLatency) * b.factor * math.Exp(f.spread*f.random.NormFloat64()))
+	unseen := f.random.Float64() < b.unseenFraction
 	if unseen {
 		took = took * 2
 	}
-	if b.held.part > 0 {
-		x.noteHoldUp(b.held)
-		if f.random.Float64() < b.held.part {
-			took += time.Duration(f.random.Float64() * float64(b.held.most))
+	if b.stall.fraction > 0 {
+		x.noteStall(b.stall)
+		if f.random.Float64() < b.stall.fraction {
+			took += time.Duration(f.random.Float64() * float64(b.stall.maxDelay))
 		}
 	}
-	failed := f.random.Float64() < b.failed
+	failed := f.random.Float64() < b.failedFraction
 	f.count(x, software)
 	f.sentTo(software).add(f.now)
-	x.now[software]++
-	life := x.life
+	x.inFlight[software]++
+	life := x.incarnation
 	f.after(took, func() {
-		x.do(func() {
-			if x.life != life || x.dead {
+		x.run(func() {
+			if x.incarnation != life || x.down {
 				return
 			}
-			x.now[software]--
-			a.Done(Outcome{Failed: failed, Took: took, Cold: b.cold, Unseen: unseen})
+			x.inFlight[software]--
+			a.Done(Outcome{Failed: failed, Latency: took, Cold: b.cold, Unseen: unseen})
 			if failed && software == "v2" && !f.good {
-				f.bad = append(f.bad, f.now)
+				f.badResponses = append(f.badResponses, f.now)
 			}
 			if failed && attempt < 3 {
 				x.request(route, object, attempt+1)
@@ -132,5 +132,5 @@
 
 // load is what a version gets, as a part of all requests.
 func (f *fleet) load(software string) float64 {
-	return f.sentTo(software).now(f.now) / f.rate(f.now)
+	return f.sentTo(software).perSecond(f.now) / f.rate(f.now)
 }
--- a/process/rollout/owners_test.go
+++ b/process/rollout/owners_test.go
@@ -19,12 +19,12 @@
 const (
 	// changeEach is how long each is the owner, changeFrom and changeTo in which time since the
 	// order they change.
-	changeEach = 500 * time.Millisecond
-	changeFrom = 1500 * time.Millisecond
-	changeTo   = 4500 * time.Millisecond
+	ownerChangeInterval = 500 * time.Millisecond
+	ownerChangeFrom     = 1500 * time.Millisecond
+	ownerChangeTo       = 4500 * time.Millisecond
 	// changeMost is the part of the time in which the instances may have no lease. Origin: a
 	// lease lasts far longer than a report and its answer, so a change costs none.
-	changeMost = 0.02
+	maxWithoutLease = 0.02
 
 	ownersSize   = 4
 	ownersRate   = 180
@@ -33,24 +33,24 @@
 
 // playOwners plays a good target while owners are what a function says, and returns the part of
 // the time from changeFrom to changeTo in which nodes had no lease.
-func playOwners(t *testing.T, seed uint64, begin func(f *fleet, order *orderSeen)) (lapsed float64) {
+func playOwnerChanges(t *testing.T, seed uint64, begin func(f *fleet, order *trackedOrder)) (lapsed float64) {
 	f := newFleet(seed, ownersSize, ownersRate)
 	f.good = true
 	f.bounds.Share = 0.2
 	f.ownerFor = func(*node) *node { return f.nodes[0] }
 	for _, x := range f.nodes {
-		x.r.Bounds = f.bounds
+		x.controller.Bounds = f.bounds
 	}
-	f.run(settledTime)
+	f.run(minUptimeForSlack)
 	order := f.order("v2", ownersWithin)
 	begin(f, order)
-	f.run(changeFrom)
+	f.run(ownerChangeFrom)
 	without, all := 0, 0
-	for f.now < order.at+changeTo {
-		f.run(TickTime)
+	for f.now < order.orderedAt+ownerChangeTo {
+		f.run(TickInterval)
 		for _, x := range f.nodes {
 			all++
-			if f.now >= x.r.services["s"].gate.lease {
+			if f.now >= x.controller.services["s"].gate.leaseUntil {
 				without++
 			}
 		}
@@ -58,47 +58,47 @@
 	f.run(ownersWithin)
 	t.Logf("seed %d: %d of %d without a lease, %s, %d of the target, %v", seed, without, all, f.phase(), f.targetAll, f.store.record.Cause)
 	assert.Check(t, f.phase() == Completed)
-	assert.Check(t, len(f.faults) == 0, "%v", f.faults)
+	assert.Check(t, len(f.violations) == 0, "%v", f.violations)
 	return float64(without) / float64(all)
 }
 
 // TestOwnersChangeWithoutALapse lets the owner change again and again: the instances keep their
 // leases, and a good target has its evidence in time.
-func TestOwnersChangeWithoutALapse(t *testing.T) {
+func TestOwnerChangesKeepLeases(t *testing.T) {
 	for seed := range uint64(40) {
-		lapsed := playOwners(t, seed+1, func(f *fleet, order *orderSeen) {
+		lapsed := playOwnerChanges(t, seed+1, func(f *fleet, order *trackedOrder) {
 			f.ownerFor = func(*node) *node {
-				at := min(max(f.now-order.at, changeFrom), changeTo) - changeFrom
-				return f.nodes[int(at/changeEach)%ownersSize]
+				at := min(max(f.now-order.orderedAt, ownerChangeFrom), ownerChangeTo) - ownerChangeFrom
+				return f.nodes[int(at/ownerChangeInterval)%ownersSize]
 			}
 		})
-		assert.Check(t, lapsed <= changeMost, "%.2f", lapsed)
+		assert.Check(t, lapsed <= maxWithoutLease, "%.2f", lapsed)
 	}
 }
 
 // cuts is what the nodes know of each other: who is cut off from the store. Those of a region
 // tell each other at once, the others each beat one of them.
-type cuts struct {
-	cut  []bool   // as it is
-	seen [][]bool // as a node was told of another
+type storeReachability struct {
+	unreachable []bool   // as it is
+	known       [][]bool // as a node was told of another
 }
 
-func (c *cuts) region(i int) int { return i % 2 }
+func (c *storeReachability) region(i int) int { return i % 2 }
 
 // becomes notes that a node is cut off, or no more.
-func (c *cuts) becomes(i int, cut bool) {
-	c.cut[i] = cut
-	for j := range c.cut {
+func (c *storeReachability) set(i int, cut bool) {
+	c.unreachable[i] = cut
+	for j := range c.unreachable {
 		if c.region(i) == c.region(j) {
-			c.seen[j][i] = cut
+			c.known[j][i] = cut
 		}
 	}
 }
 
 // ownerFor returns the first node that is not cut off, or the first one if all are.
-func (c *cuts) ownerFor(x *node) *node {
+func (c *storeReachability) ownerFor(x *node) *node {
 	for i, o := range x.f.nodes {
-		if !c.seen[x.index][i] {
+		if !c.known[x.index][i] {
 			return o
 		}
 	}
@@ -108,30 +108,30 @@
 // TestOwnersAreAgreedOnAcrossRegions takes the store away from one instance after the other, and
 // gives it back, where those of another region hear of it late: seen, an instance took for the
 // owner for 3 s one that took it for the owner itself.
-func TestOwnersAreAgreedOnAcrossRegions(t *testing.T) {
+func TestOwnerAgreementAcrossRegions(t *testing.T) {
 	for seed := range uint64(40) {
-		c := &cuts{cut: make([]bool, ownersSize)}
+		c := &storeReachability{unreachable: make([]bool, ownersSize)}
 		for range ownersSize {
-			c.seen = append(c.seen, make([]bool, ownersSize))
+			c.known = append(c.known, make([]bool, ownersSize))
 		}
-		lapsed := playOwners(t, seed+1, func(f *fleet, _ *orderSeen) {
+		lapsed := playOwnerChanges(t, seed+1, func(f *fleet, _ *trackedOrder) {
 			f.ownerFor = c.ownerFor
-			f.introduced = func(x, to *node) { c.seen[to.index][x.index] = c.cut[x.index] }
+			f.onAnnounce = func(x, to *node) { c.known[to.index][x.index] = c.unreachable[x.index] }
 			for i := range ownersSize {
-				f.after(changeFrom+time.Duration(f.random.Int64N(int64(time.Second))), func() { c.becomes(i, true) })
-				f.after(changeTo-time.Second+time.Duration(f.random.Int64N(int64(time.Second))), func() { c.becomes(i, false) })
+				f.after(ownerChangeFrom+time.Duration(f.random.Int64N(int64(time.Second))), func() { c.set(i, true) })
+				f.after(ownerChangeTo-time.Second+time.Duration(f.random.Int64N(int64(time.Second))), func() { c.set(i, false) })
 			}
 			var beat func()
 			beat = func() {
 				for i := range ownersSize {
 					if j := f.random.IntN(ownersSize); c.region(i) != c.region(j) {
-						c.seen[j][i] = c.cut[i]
+						c.known[j][i] = c.unreachable[i]
 					}
 				}
-				f.after(beatTime, beat)
+				f.after(heartbeatInterval, beat)
 			}
 			beat()
 		})
-		assert.Check(t, lapsed <= changeMost, "%.2f", lapsed)
+		assert.Check(t, lapsed <= maxWithoutLease, "%.2f", lapsed)
 	}
 }
--- a/process/rollout/record.go
+++ b/process/rollout/record.go
@@ -45,12 +45,12 @@
 	// Within is the order's time; zero: an older release wrote the record.
 	Within version.Duration `json:"within,omitempty"`
 	// Before is the version that was in force when the order came.
-	Before string `json:"before"`
-	Phase  Phase  `json:"phase"`
+	Previous string `json:"before"`
+	Phase    Phase  `json:"phase"`
 	// Began and Deadline are times of the store's steady clock. Deadline is lateOrder
 	// before that of the order, since the order may have been on its way so long.
-	Began    version.Duration `json:"began"`
-	Deadline version.Duration `json:"deadline"`
+	StartedAt version.Duration `json:"began"`
+	Deadline  version.Duration `json:"deadline"`
 	// Cause says why it was reverted. "": it was not.
 	Cause string `json:"cause,omitempty"`
 	// Evidence is what the last step was decided on, for operators.
@@ -62,7 +62,7 @@
 	if r.Phase == Completed {
 		return r.Target
 	}
-	return r.Before
+	return r.Previous
 }
 
 // For reports whether the record is that of an order.
@@ -78,7 +78,7 @@
 
 // same reports whether an order is another one written again since the store lost it, or that one
 // itself.
-func (o *Order) same(other *Order) bool {
+func (o *Order) sameAs(other *Order) bool {
 	if o.Epoch == other.Epoch {
 		return o.ID == other.ID
 	}
--- a/process/rollout/rollout.go
+++ b/process/rollout/rollout.go
@@ -10,7 +10,7 @@
 )
 
 // TickTime is the pause between two calls of Tick.
-const TickTime = 50 * time.Millisecond
+const TickInterval = 50 * time.Millisecond
 
 // Bounds are what operators allow.
 type Bounds struct {
@@ -26,9 +26,9 @@
 // lease is how long a lease lasts.
 func (b *Bounds) lease() time.Duration {
 	if b.StopWithin == 0 {
-		return leaseTime
+		return maxLeaseTime
 	}
-	return min(leaseTime, time.Duration(leasePart*float64(b.StopWithin)))
+	return min(maxLeaseTime, time.Duration(leaseFraction*float64(b.StopWithin)))
 }
 
 // Owner is the instance that decides on a service's roll-out.
@@ -49,7 +49,7 @@
 	Record   *Record
 	Revision int64
 	// Held is set if the store has lost the record, or has it as it was before.
-	Held bool
+	RecordLost bool
 	// InForce is the version that serves, as Admit said.
 	InForce string
 	// InForceSlots are those of the version in force's backend servers that take work, and
@@ -83,12 +83,12 @@
 	// Age is how old the newest of what it was decided on is.
 	Age time.Duration
 	// Late is by how much the machine gave this instance its turns late within the last moments.
-	Late time.Duration
+	SchedulingDelay time.Duration
 }
 
 // Rollouts is the roll-outs of all services at one instance. The fields are set before
 // use.
-type Rollouts struct {
+type Controller struct {
 	Now    func() time.Duration
 	Bounds Bounds
 	// Incarnation tells this process from the one before at the same address.
@@ -104,116 +104,116 @@
 	Send func(address string, message []byte)
 	// Introduce, if set, tells the instance at an address who this one is, and whether it is cut
 	// off from the store: the two do not agree on the owner.
-	Introduce func(address string)
+	Announce func(address string)
 	// Log, if set, is told of what operators should see. It must not call the
 	// roll-outs.
 	Log func(e Event)
 	// Late, if set, returns by how much the machine gave this process its turns late within
 	// the last moments.
-	Late func() time.Duration
+	SchedulingDelay func() time.Duration
 	// Random, if set, returns a number from zero to one.
 	Random func() float64
 
 	// running is set while there is an order, so that requests cost nothing else.
-	running atomic.Bool
+	active atomic.Bool
 
-	mu          sync.Mutex
-	began       time.Duration // of the first Install. Zero: there was none
-	services    map[string]*service
-	byHash      map[uint64]*service
-	live        []string
-	mostLive    int           // the most instances that lived at once lately
-	mostPast    int           // ... in the span of time before
-	mostSince   time.Duration // since when mostLive counts
-	liveAt      time.Duration // when live was asked last
-	storeOffset time.Duration // the store's clock, less this instance's
-	storeKnown  bool
-	events      []Event         // to be logged once the lock is free
-	skipped     map[string]bool // senders of messages that could not be taken up
+	mu              sync.Mutex
+	installedAt     time.Duration // of the first Install. Zero: there was none
+	services        map[string]*service
+	byHash          map[uint64]*service
+	live            []string
+	maxLive         int           // the most instances that lived at once lately
+	previousMaxLive int           // ... in the span of time before
+	maxLiveSince    time.Duration // since when mostLive counts
+	liveAt          time.Duration // when live was asked last
+	storeOffset     time.Duration // the store's clock, less this instance's
+	storeKnown      bool
+	events          []Event         // to be logged once the lock is free
+	skipped         map[string]bool // senders of messages that could not be taken up
 }
 
 // service is the roll-out of one service at this instance.
 type service struct {
 	Service
-	hash uint64
-	gone bool // the tables have no roll-out of it any more
+	hash    uint64
+	removed bool // the tables have no roll-out of it any more
 	// seen is when this instance saw the present order. Zero: it was there at its start.
-	seen  time.Duration
-	turns turns
-	owner Owner
+	orderSeenAt time.Duration
+	rotation    rotation
+	owner       Owner
 	// ownsSince is since when this instance is the owner, if it is, and introduced when it told
 	// who it is to those that had not reported to it since, last.
-	ownsSince, introduced time.Duration
+	ownerSince, announcedAt time.Duration
 	// gaveUp: another instance is the owner now, and those that reported to this one may not know
 	// it.
-	gaveUp bool
+	lostOwnership bool
 	// toBefore is the number of attempts at the version before that have not ended.
-	toBefore int
-	trial    *trial
-	gate     gate
-	reports  reports
-	decider  decider
+	inFlightToPrevious int
+	stats              *localStats
+	gate               gate
+	reporting          reportState
+	ownerState         ownerState
 }
 
 // Install takes up what the tables say of all services that have an order or a record
 // of one that has not ended.
-func (r *Rollouts) Install(services []Service) {
+func (r *Controller) Install(services []Service) {
 	live := r.Live()
 	r.mu.Lock()
 	defer r.unlock()
 	now := r.Now()
-	r.noteLive(live, now)
-	if r.began == 0 {
-		r.began = now
+	r.setLive(live, now)
+	if r.installedAt == 0 {
+		r.installedAt = now
 	}
 	old := r.services
 	r.services = make(map[string]*service, len(services))
 	r.byHash = make(map[uint64]*service, len(services))
 	for _, s := range old {
-		s.gone = true
+		s.removed = true
 	}
 	for _, x := range services {
 		s := old[x.Name]
 		if s == nil {
 			s = &service{hash: hashOfService(x.Name)}
 		}
-		s.gone = false
+		s.removed = false
 		r.services[x.Name] = s
 		r.byHash[s.hash] = s
 		r.install(s, x, now)
 	}
-	r.running.Store(len(services) > 0)
+	r.active.Store(len(services) > 0)
 }
 
 // install takes up what the tables say of one service. The caller holds the lock.
-func (r *Rollouts) install(s *service, x Service, now time.Duration) {
+func (r *Controller) install(s *service, x Service, now time.Duration) {
 	if s.Revision > x.Revision {
 		x.Record, x.Revision = s.Record, s.Revision // this instance wrote it
 	}
 	old := s.Order
 	goesOn := old != nil && x.Order != nil && old.Target == x.Order.Target && !ended(s.Record) && !ended(x.Record)
-	same := old != nil && x.Order != nil && x.Order.same(old)
+	same := old != nil && x.Order != nil && x.Order.sameAs(old)
 	if x.Order != nil && !same {
-		s.seen = r.seenAt(now)
+		s.orderSeenAt = r.orderSeenTime(now)
 	}
 	s.Service = x
-	s.turns.set(x.Homes)
+	s.rotation.set(x.Homes)
 	switch {
 	case x.Order == nil:
-		s.trial = nil
+		s.stats = nil
 		return
-	case same && s.trial != nil:
-	case goesOn && s.trial != nil:
-		s.gate = s.gate.renewed()
+	case same && s.stats != nil:
+	case goesOn && s.stats != nil:
+		s.gate = s.gate.forNewOrder()
 	default:
-		r.try(s, now)
+		r.resetStats(s, now)
 	}
-	r.noteRecord(s, now)
+	r.applyRecord(s, now)
 }
 
 // seenAt is now, or zero for what was there when the process started.
-func (r *Rollouts) seenAt(now time.Duration) time.Duration {
-	if now == r.began {
+func (r *Controller) orderSeenTime(now time.Duration) time.Duration {
+	if now == r.installedAt {
 		return 0
 	}
 	return now
@@ -222,46 +222,46 @@
 func ended(r *Record) bool { return r != nil && r.Phase.Ended() }
 
 // try begins with an order whose target is not known yet.
-func (r *Rollouts) try(s *service, now time.Duration) {
-	s.trial = &trial{routes: make(map[string]*routeTrial), local: newVerdict(localAlarm(r.fleet()))}
+func (r *Controller) resetStats(s *service, now time.Duration) {
+	s.stats = &localStats{routes: make(map[string]*routeStats), analysis: newAnalysis(localAlarmThreshold(r.fleetSize()))}
 	s.gate = gate{}
-	if now-r.began >= settledTime {
-		s.gate.extra = slackPart * r.Bounds.Slack / float64(r.fleet())
-		s.gate.saved = s.gate.extra
+	if now-r.installedAt >= minUptimeForSlack {
+		s.gate.slack = slackFraction * r.Bounds.Slack / float64(r.fleetSize())
+		s.gate.credit = s.gate.slack
 	}
-	s.decider = newDecider(now)
+	s.ownerState = newOwnerState(now)
 }
 
 // noteRecord takes up the record of the present order, if there is one.
-func (r *Rollouts) noteRecord(s *service, now time.Duration) {
+func (r *Controller) applyRecord(s *service, now time.Duration) {
 	if !s.Record.isFor(s.Order) {
 		return
 	}
-	began := int64(s.Record.Began)
-	if s.trial.began != 0 && s.trial.began != began {
-		r.try(s, now) // what was known is of a roll-out that has ended meanwhile
+	began := int64(s.Record.StartedAt)
+	if s.stats.rolloutStartedAt != 0 && s.stats.rolloutStartedAt != began {
+		r.resetStats(s, now) // what was known is of a roll-out that has ended meanwhile
 	}
-	s.trial.began = began
-	s.gate.goOn(s.Record.Phase)
+	s.stats.rolloutStartedAt = began
+	s.gate.advanceTo(s.Record.Phase)
 	if s.Record.Phase == Promote {
-		s.decider.promoted(now)
+		s.ownerState.markPromoted(now)
 	}
 }
 
 // runs reports whether requests of the service are part of a roll-out. After the last
 // step they are until the version that serves here is the target, too.
-func (s *service) runs() bool {
-	return !s.gone && s.trial != nil && s.Order.Target != s.InForce && !(s.Record.isFor(s.Order) && s.Record.Phase == Reverted)
+func (s *service) inProgress() bool {
+	return !s.removed && s.stats != nil && s.Order.Target != s.InForce && !(s.Record.isFor(s.Order) && s.Record.Phase == Reverted)
 }
 
-func (r *Rollouts) late() time.Duration {
-	if r.Late == nil {
+func (r *Controller) schedulingDelay() time.Duration {
+	if r.SchedulingDelay == nil {
 		return 0
 	}
-	return r.Late()
+	return r.SchedulingDelay()
 }
 
-func (r *Rollouts) random() float64 {
+func (r *Controller) random() float64 {
 	if r.Random != nil {
 		return r.Random()
 	}
@@ -269,7 +269,7 @@
 }
 
 // unlock frees the lock, and logs what has happened under it.
-func (r *Rollouts) unlock() {
+func (r *Controller) unlock() {
 	events := r.events
 	r.events = nil
 	r.mu.Unlock()
@@ -281,8 +281,8 @@
 }
 
 // note notes an event of a service.
-func (r *Rollouts) note(s *service, what, cause string, v *verdict, age time.Duration) {
+func (r *Controller) logEvent(s *service, what, cause string, v *analysis, age time.Duration) {
 	r.events = append(r.events, Event{
-		Service: s.Name, What: what, Cause: cause, Target: v.all.total.target, Base: v.all.total.base, Age: age, Late: r.late(),
+		Service: s.Name, What: what, Cause: cause, Target: v.all.total.target, Base: v.all.total.base, Age: age, SchedulingDelay: r.schedulingDelay(),
 	})
 }
--- a/process/rollout/rollout_test.go
+++ b/process/rollout/rollout_test.go
@@ -18,11 +18,11 @@
 		rate float64
 	}{{1, 50}, {12, 5}, {12, 50}, {12, 500}, {77, 500}} {
 		f := newFleet(1, c.size, c.rate)
-		f.run(settledTime + time.Second)
+		f.run(minUptimeForSlack + time.Second)
 		o := f.order("v2", time.Minute)
 		f.run(70 * time.Second)
-		t.Logf("%d instances, %g requests/s: %v at %s, %d of %d, %s", c.size, c.rate, f.store.record, o.ended-o.at, o.target, o.all, f.phase())
-		assert.Equal(t, len(f.faults), 0, "%v", f.faults)
+		t.Logf("%d instances, %g requests/s: %v at %s, %d of %d, %s", c.size, c.rate, f.store.record, o.endedAt-o.orderedAt, o.target, o.all, f.phase())
+		assert.Equal(t, len(f.violations), 0, "%v", f.violations)
 		assert.Equal(t, f.phase(), Completed)
 	}
 }
@@ -31,24 +31,24 @@
 func TestBadTargetIsReverted(t *testing.T) {
 	for _, part := range []float64{0.05, 0.2, 1} {
 		f := newFleet(1, 12, 200)
-		f.perform = func(software string, _ int, _ time.Duration) behaviour {
+		f.behave = func(software string, _ int, _ time.Duration) behaviour {
 			if software == "v2" {
-				return behaviour{factor: 1, failed: part}
+				return behaviour{factor: 1, failedFraction: part}
 			}
 			return behaviour{factor: 1}
 		}
-		f.run(settledTime + time.Second)
+		f.run(minUptimeForSlack + time.Second)
 		o := f.order("v2", time.Minute)
 		f.run(70 * time.Second)
-		t.Logf("%g: %v, %d requests, stopped after %s", part, f.store.record, f.targetAll, f.lastTarget-o.at)
-		assert.Equal(t, len(f.faults), 0, "%v", f.faults)
+		t.Logf("%g: %v, %d requests, stopped after %s", part, f.store.record, f.targetAll, f.lastTarget-o.orderedAt)
+		assert.Equal(t, len(f.violations), 0, "%v", f.violations)
 		assert.Equal(t, f.phase(), Reverted)
 	}
 }
 
 // TestLostRecordIsWrittenAgain guards against roll-outs whose record the store has lost, or has
 // under an order that was written again since.
-func TestLostRecordIsWrittenAgain(t *testing.T) {
+func TestLostRecordIsRestored(t *testing.T) {
 	for _, phase := range []Phase{Canary, Promote, Completed, Reverted} {
 		for name, c := range map[string]struct {
 			held  bool
@@ -60,12 +60,12 @@
 			"order not there any more": {held: true},
 		} {
 			t.Run(string(phase)+", "+name, func(t *testing.T) {
-				r, now := alone(Owner{Name: "here"})
+				r, now := singleInstance(Owner{Name: "here"})
 				s := canaryOf(phase)[0]
 				s.Record.Within = version.Duration(time.Minute)
 				r.Install([]Service{s})
 				before := *s.Record
-				s.Held, s.Order, s.Revision = c.held, c.order, 1<<50
+				s.RecordLost, s.Order, s.Revision = c.held, c.order, 1<<50
 				r.Install([]Service{s})
 				got := r.Proposals(*now)
 				assert.Equal(t, len(got), 1)
@@ -82,8 +82,8 @@
 
 // TestHeldOrderRenamesNoRecord guards against an owner that still holds an order of the epoch before,
 // and would write the record back under that.
-func TestHeldOrderRenamesNoRecord(t *testing.T) {
-	r, now := alone(Owner{Name: "here"})
+func TestOrderOfOlderEpochRestoresNothing(t *testing.T) {
+	r, now := singleInstance(Owner{Name: "here"})
 	s := canaryOf(Completed)[0]
 	s.Record.Order, s.Record.Epoch, s.Record.Within = 9, 1, version.Duration(time.Minute)
 	r.Install([]Service{s})
@@ -91,7 +91,7 @@
 }
 
 // TestAnotherOrderOfALaterEpochIsNoOldOne guards against orders that are taken for one that has ended.
-func TestAnotherOrderOfALaterEpochIsNoOldOne(t *testing.T) {
+func TestOrdersMatchAcrossEpochs(t *testing.T) {
 	record := &Record{Order: 5, Epoch: 1, Target: "v2", Within: version.Duration(time.Minute), Phase: Completed}
 	assert.Assert(t, record.isFor(&Order{ID: 5, Epoch: 1, Target: "v2", Within: time.Minute}))
 	assert.Assert(t, record.isFor(&Order{ID: 7, Epoch: 2, Target: "v2", Within: time.Minute}), "it was written again")
--- a/process/rollout/strangers.go
+++ b/process/rollout/strangers.go
@@ -5,12 +5,12 @@
 import "time"
 
 // introduce tells instances who this one is. The lock is free.
-func (r *Rollouts) introduce(addresses []string) {
-	if r.Introduce == nil {
+func (r *Controller) announce(addresses []string) {
+	if r.Announce == nil {
 		return
 	}
 	for _, address := range addresses {
-		r.Introduce(address)
+		r.Announce(address)
 	}
 }
 
@@ -19,25 +19,25 @@
 // of each other seldom. Those that have been silent for longer have no requests of the service,
 // or are gone. One that has just ceased to own it tells all that reported to it. The caller holds
 // the lock.
-func (r *Rollouts) strangers(s *service, now time.Duration) (out []string) {
-	if s.gaveUp {
-		s.gaveUp = false
-		return s.decider.heardLately(now)
+func (r *Controller) announceTargets(s *service, now time.Duration) (out []string) {
+	if s.lostOwnership {
+		s.lostOwnership = false
+		return s.ownerState.recentReporters(now)
 	}
-	if !s.runs() || !s.owner.here() || now-s.introduced < reportPause {
+	if !s.inProgress() || !s.owner.here() || now-s.announcedAt < reportInterval {
 		return nil
 	}
-	isNew := now-s.ownsSince >= strangerTime && now-s.ownsSince < strangerMost
+	isNew := now-s.ownerSince >= announceAfter && now-s.ownerSince < announceUntil
 	for _, address := range r.live {
-		p := s.decider.newest[address]
-		heard := p != nil && p.heardAt >= s.ownsSince
+		p := s.ownerState.byAddress[address]
+		heard := p != nil && p.lastReportAt >= s.ownerSince
 		silence := time.Duration(0)
 		if heard {
-			silence = now - p.heardAt
+			silence = now - p.lastReportAt
 		}
-		if address != "" && (isNew && !heard || silence > 2*reportPause && silence < idleAfter) {
+		if address != "" && (isNew && !heard || silence > 2*reportInterval && silence < idleTime) {
 			out = append(out, address)
-			s.introduced = now
+			s.announcedAt = now
 		}
 	}
 	return out
--- a/process/rollout/traffic_test.go
+++ b/process/rollout/traffic_test.go
@@ -11,15 +11,15 @@
 
 // TestTrafficOfAnInstance counts the bytes of reports and answers, with the headers of
 // datagrams, at an instance with four routes while a canary runs.
-func TestTrafficOfAnInstance(t *testing.T) {
+func TestMessageTraffic(t *testing.T) {
 	const most = 300.0 // bytes a second, each way
 	f := newFleet(1, 12, 1000)
-	f.run(settledTime + time.Second)
-	assert.Equal(t, len(f.bytes), 0, "without a roll-out")
+	f.run(minUptimeForSlack + time.Second)
+	assert.Equal(t, len(f.sentBytes), 0, "without a roll-out")
 	f.order("v2", 10*time.Minute)
 	f.run(2 * time.Minute)
-	clear(f.bytes)
-	clear(f.got)
+	clear(f.sentBytes)
+	clear(f.received)
 	const span = 30 * time.Second
 	f.run(span)
 	assert.Equal(t, f.phase(), Canary)
@@ -28,7 +28,7 @@
 		if x == owner {
 			continue
 		}
-		out, in := float64(f.bytes[x.name])/span.Seconds(), float64(f.got[x.name])/span.Seconds()
+		out, in := float64(f.sentBytes[x.name])/span.Seconds(), float64(f.received[x.name])/span.Seconds()
 		assert.Assert(t, out < most && in < most, "%s: %g out, %g in", x.name, out, in)
 		if x.index < 3 {
 			t.Logf("%s: %.0f bytes/s out, %.0f in", x.name, out, in)
--- a/process/rollout/turn.go
+++ b/process/rollout/turn.go
@@ -9,36 +9,36 @@
 )
 
 // turns are the sets of the target's backend servers that are open one after another.
-type turns struct {
-	homes []Home // by hash
-	stay  int64  // turns for which a set stays, of those in which one is open
-	slots int    // of all
-	most  int    // of one
+type rotation struct {
+	homes        []Home // by hash
+	roundsPerSet int64  // turns for which a set stays, of those in which one is open
+	slots        int    // of all
+	maxSlots     int    // of one
 	// The set of the turn that was asked for last.
-	turn  int64
-	part  float64
-	first int
-	count int
+	round    int64
+	fraction float64
+	first    int
+	count    int
 }
 
 // set sets the backend servers of the target that take work.
-func (t *turns) set(homes []Home) {
-	*t = turns{homes: slices.Clone(homes), turn: -1, stay: stayTurns}
+func (t *rotation) set(homes []Home) {
+	*t = rotation{homes: slices.Clone(homes), round: -1, roundsPerSet: defaultRoundsPerSet}
 	slices.SortFunc(t.homes, func(a, b Home) int { return cmp.Compare(a.Hash, b.Hash) })
 	for _, h := range t.homes {
 		t.slots += h.Slots
-		t.most = max(t.most, h.Slots)
+		t.maxSlots = max(t.maxSlots, h.Slots)
 	}
 }
 
 // open reports whether a backend server is open in a turn, if those that are open get
 // a part of all requests.
-func (t *turns) open(hash uint64, turn int64, part float64) bool {
+func (t *rotation) isActive(hash uint64, turn int64, part float64) bool {
 	if len(t.homes) == 0 {
 		return false
 	}
-	if turn != t.turn || part != t.part {
-		t.choose(turn, part)
+	if turn != t.round || part != t.fraction {
+		t.selectSet(turn, part)
 	}
 	i, found := slices.BinarySearchFunc(t.homes, hash, func(h Home, x uint64) int { return cmp.Compare(h.Hash, x) })
 	if !found {
@@ -49,27 +49,27 @@
 
 // every is in one of how many turns any backend server is open: when one has more
 // than the part, turns are left out in between.
-func (t *turns) every(part float64) int64 {
-	if t.most == 0 || part <= 0 {
+func (t *rotation) roundInterval(part float64) int64 {
+	if t.maxSlots == 0 || part <= 0 {
 		return 1
 	}
-	return max(1, int64(math.Ceil(float64(t.most)/(part*float64(t.slots))-rounding)))
+	return max(1, int64(math.Ceil(float64(t.maxSlots)/(part*float64(t.slots))-roundingError)))
 }
 
 // rounding is what a quotient may be off.
-const rounding = 1e-9
+const roundingError = 1e-9
 
 // choose finds the set of a turn: as many as have the part of the slots.
-func (t *turns) choose(turn int64, part float64) {
-	t.turn, t.part = turn, part
+func (t *rotation) selectSet(turn int64, part float64) {
+	t.round, t.fraction = turn, part
 	t.count = 0
-	every := t.every(part)
+	every := t.roundInterval(part)
 	if turn%every != 0 {
 		return
 	}
 	n := len(t.homes)
 	step := max(1, int64(part*float64(n)))
-	t.first = int(turn / every / t.stay * step % int64(n))
+	t.first = int(turn / every / t.roundsPerSet * step % int64(n))
 	slots := 0
 	for t.count < n {
 		slots += t.homes[(t.first+t.count)%n].Slots
--- a/process/rollout/usual.go
+++ b/process/rollout/usual.go
@@ -9,9 +9,9 @@
 
 // usual is the usual time of a route's answers: a running median, by stochastic
 // approximation on a logarithmic scale (Robbins and Monro 1951).
-type usual struct {
-	median float64 // nanoseconds
-	seen   int
+type typicalLatency struct {
+	median  float64 // nanoseconds
+	samples int
 }
 
 const (
@@ -22,13 +22,13 @@
 )
 
 // add takes up an answer.
-func (u *usual) add(took time.Duration) {
-	u.seen++
-	if u.seen == 1 {
+func (u *typicalLatency) add(took time.Duration) {
+	u.samples++
+	if u.samples == 1 {
 		u.median = max(1, float64(took))
 		return
 	}
-	step := math.Exp(max(lastStep, firstStep/math.Sqrt(float64(u.seen))))
+	step := math.Exp(max(lastStep, firstStep/math.Sqrt(float64(u.samples))))
 	if float64(took) > u.median {
 		u.median *= step
 		return
@@ -37,13 +37,13 @@
 }
 
 // classed is what the time of an answer tells of the backend server.
-type classed byte
+type latencyClass byte
 
 const (
-	untold   classed = iota // nothing
-	inTime                  // it was no slower than usual
-	doubtful                // it was slow, by no more than this instance's own machine may have added
-	slowly                  // it was slow
+	latencyUnknown   latencyClass = iota // nothing
+	latencyNormal                        // it was no slower than usual
+	latencyAmbiguous                     // it was slow, by no more than this instance's own machine may have added
+	latencySlow                          // it was slow
 )
 
 // class classes an answer that did not fail, where this instance was given its turns late by some
@@ -51,55 +51,55 @@
 // the two bounds tells nothing: it may be usual work on an object that is new there, or slow work
 // on one that others have sent before. Counted as good, such answers hid a target that is twice
 // as slow for up to 11 s.
-func (u *usual) class(o Outcome, late time.Duration) classed {
-	if o.Cold || u.seen < leastUsual {
-		return untold
+func (u *typicalLatency) classify(o Outcome, late time.Duration) latencyClass {
+	if o.Cold || u.samples < minLatencySamples {
+		return latencyUnknown
 	}
 	allowed := u.median * slowFactor
-	took := float64(o.Took)
+	took := float64(o.Latency)
 	switch {
 	case took <= allowed:
-		return inTime
+		return latencyNormal
 	case o.Unseen && took <= allowed*unseenFactor+float64(late):
-		return untold
+		return latencyUnknown
 	case took <= allowed+float64(late):
-		return doubtful
+		return latencyAmbiguous
 	}
-	return slowly
+	return latencySlow
 }
 
 // doubts is what is made of one version's doubtful answers at this instance. What its own machine
 // adds strikes some of them; a backend server that is slow makes nearly all of them so. Once the
 // target has all requests there is no baseline of the same moment that would tell.
-type doubts struct {
-	part float64 // of the latest answers that were slow, doubtful ones with them
+type ambiguityFilter struct {
+	slowFraction float64 // of the latest answers that were slow, doubtful ones with them
 }
 
 const (
 	// doubtMemory is the weight of the newest answer in it, and doubtMostly the part from which
 	// doubtful answers count as slow. Origin: beside 24 busy threads on 8 processors 0.15 of the
 	// answers of either version were; of those of a target that is twice as slow 0.97 are.
-	doubtMemory = 0.125
-	doubtMostly = 0.75
+	ambiguityWeight       = 0.125
+	ambiguousSlowFraction = 0.75
 	// doubtSpell is the part of the baseline's answers from which an instance is in a spell of
 	// hold-ups. Origin: above the 0.15 to 0.2 of times that are spread widely or held up all
 	// along, which the verdict allows for.
-	doubtSpell = 0.4
+	stallFraction = 0.4
 )
 
 // note takes up an answer, and reports whether its time tells something, and whether it was slow.
-func (d *doubts) note(c classed) (timed, slow bool) {
-	if c == untold {
+func (d *ambiguityFilter) resolve(c latencyClass) (timed, slow bool) {
+	if c == latencyUnknown {
 		return false, false
 	}
 	over := 0.0
-	if c != inTime {
+	if c != latencyNormal {
 		over = 1
 	}
-	d.part += doubtMemory * (over - d.part)
-	if c == doubtful {
-		mostly := d.part >= doubtMostly
+	d.slowFraction += ambiguityWeight * (over - d.slowFraction)
+	if c == latencyAmbiguous {
+		mostly := d.slowFraction >= ambiguousSlowFraction
 		return mostly, mostly
 	}
-	return true, c == slowly
+	return true, c == latencySlow
 }
--- a/process/rollout/wire.go
+++ b/process/rollout/wire.go
@@ -13,27 +13,27 @@
 // The first byte of a message says what it is. 1 and 2 are those of quotas.
 const (
 	kindReport = 3
-	kindAnswer = 4
+	kindReply  = 4
 )
 
 // mostRoutes bounds the routes of a message, so that it fits in a datagram.
-const mostRoutes = 32
+const maxRoutes = 32
 
 // Flags of reports and answers. The lowest three bits are the phase.
 const (
-	phaseBits   = 7
-	flagHalted  = 1 << 3 // of both
-	flagDrained = 1 << 4 // of a report
-	flagEchoes  = 1 << 5 // of a report
-	flagSoon    = 1 << 4 // of an answer
-	flagLacking = 1 << 5 // of an answer
-	flagTimed   = 1 << 6 // of an answer
+	phaseBits        = 7
+	flagHalted       = 1 << 3 // of both
+	flagDrained      = 1 << 4 // of a report
+	flagHasEcho      = 1 << 5 // of a report
+	flagStepDueSoon  = 1 << 4 // of an answer
+	flagLacking      = 1 << 5 // of an answer
+	flagHasRemaining = 1 << 6 // of an answer
 )
 
 // phases are the phases by number, which is their order.
 var phases = [...]Phase{"", Canary, Promote, Completed, Reverted}
 
-func numberOf(p Phase) byte {
+func phaseNumber(p Phase) byte {
 	for i, x := range phases {
 		if x == p {
 			return byte(i)
@@ -57,19 +57,19 @@
 	inFlight uint64
 	// echo is the stamp of the owner's last answer, if echoes is set: the report was made
 	// after it.
-	echo   uint32
-	echoes bool
-	routes []routeCounts
+	echoClock uint32
+	hasEcho   bool
+	routes    []routeCounts
 }
 
 // routeCounts are the counts of a route.
 type routeCounts struct {
 	route routeHash
-	pair
+	versionCounts
 }
 
 // answer is what the owner says.
-type answer struct {
+type reply struct {
 	service uint64
 	order   int64
 	// seq is that of the report. Zero: the answer is to none, and gives no lease.
@@ -77,18 +77,18 @@
 	phase  Phase
 	halted bool
 	// soon: the phase is about to change.
-	soon bool
+	stepDueSoon bool
 	// stamp is the owner's clock in milliseconds. Turns follow from it.
-	stamp uint32
+	ownerClock uint32
 	// left is the time for which the bound on the share holds, if timed is set.
-	left  time.Duration
-	timed bool
+	remaining    time.Duration
+	hasRemaining bool
 	// lacking are the routes that lack evidence; allLacking: each one does.
-	lacking    []routeHash
-	allLacking bool
+	lackingRoutes []routeHash
+	allLacking    bool
 }
 
-func flagIf(set bool, bit byte) byte {
+func bitIf(set bool, bit byte) byte {
 	if set {
 		return bit
 	}
@@ -100,41 +100,41 @@
 	out = binary.LittleEndian.AppendUint64(out, x.service)
 	out = binary.AppendVarint(out, x.order)
 	out = binary.LittleEndian.AppendUint64(out, uint64(x.incarnation))
-	out = append(out, x.seq, numberOf(x.phase)|flagIf(x.drained, flagDrained)|flagIf(x.halted, flagHalted)|flagIf(x.echoes, flagEchoes))
-	if x.echoes {
-		out = binary.LittleEndian.AppendUint32(out, x.echo)
+	out = append(out, x.seq, phaseNumber(x.phase)|bitIf(x.drained, flagDrained)|bitIf(x.halted, flagHalted)|bitIf(x.hasEcho, flagHasEcho))
+	if x.hasEcho {
+		out = binary.LittleEndian.AppendUint32(out, x.echoClock)
 	}
 	out = binary.AppendUvarint(out, x.inFlight)
 	out = append(out, byte(len(x.routes)))
 	for _, c := range x.routes {
 		out = binary.LittleEndian.AppendUint32(out, uint32(c.route))
-		out = c.base.append(out)
-		out = c.target.append(out)
+		out = c.base.appendTo(out)
+		out = c.target.appendTo(out)
 	}
 	return out
 }
 
 // append appends counts, with the answers that are not timed in place of those that are:
 // at the version before they are few.
-func (c Counts) append(out []byte) []byte {
+func (c Counts) appendTo(out []byte) []byte {
 	out = binary.AppendUvarint(out, uint64(c.Requests))
 	out = binary.AppendUvarint(out, uint64(c.Failed))
 	out = binary.AppendUvarint(out, uint64(c.Requests-c.Timed))
 	return binary.AppendUvarint(out, uint64(c.Slow))
 }
 
-func (x *answer) encode() []byte {
-	out := []byte{kindAnswer}
+func (x *reply) encode() []byte {
+	out := []byte{kindReply}
 	out = binary.LittleEndian.AppendUint64(out, x.service)
 	out = binary.AppendVarint(out, x.order)
-	out = append(out, x.seq, numberOf(x.phase)|flagIf(x.halted, flagHalted)|flagIf(x.soon, flagSoon)|
-		flagIf(x.allLacking, flagLacking)|flagIf(x.timed, flagTimed))
-	out = binary.LittleEndian.AppendUint32(out, x.stamp)
-	if x.timed {
-		out = binary.AppendUvarint(out, uint64(max(0, x.left.Milliseconds())))
+	out = append(out, x.seq, phaseNumber(x.phase)|bitIf(x.halted, flagHalted)|bitIf(x.stepDueSoon, flagStepDueSoon)|
+		bitIf(x.allLacking, flagLacking)|bitIf(x.hasRemaining, flagHasRemaining))
+	out = binary.LittleEndian.AppendUint32(out, x.ownerClock)
+	if x.hasRemaining {
+		out = binary.AppendUvarint(out, uint64(max(0, x.remaining.Milliseconds())))
 	}
-	out = append(out, byte(len(x.lacking)))
-	for _, h := range x.lacking {
+	out = append(out, byte(len(x.lackingRoutes)))
+	for _, h := range x.lackingRoutes {
 		out = binary.LittleEndian.AppendUint32(out, uint32(h))
 	}
 	return out
@@ -142,17 +142,17 @@
 
 // reader reads a message. After the first mistake it returns zeros.
 type reader struct {
-	text []byte
-	bad  bool
+	rest   []byte
+	failed bool
 }
 
 func (r *reader) take(n int) []byte {
-	if len(r.text) < n {
-		r.bad = true
+	if len(r.rest) < n {
+		r.failed = true
 		return make([]byte, n)
 	}
-	out := r.text[:n]
-	r.text = r.text[n:]
+	out := r.rest[:n]
+	r.rest = r.rest[n:]
 	return out
 }
 
@@ -162,22 +162,22 @@
 
 // count reads a number that is not below zero.
 func (r *reader) count() int64 {
-	x, n := binary.Uvarint(r.text)
+	x, n := binary.Uvarint(r.rest)
 	if n <= 0 || x > math.MaxInt64 {
-		r.bad = true
+		r.failed = true
 		return 0
 	}
-	r.text = r.text[n:]
+	r.rest = r.rest[n:]
 	return int64(x)
 }
 
 func (r *reader) signed() int64 {
-	x, n := binary.Varint(r.text)
+	x, n := binary.Varint(r.rest)
 	if n <= 0 {
-		r.bad = true
+		r.failed = true
 		return 0
 	}
-	r.text = r.text[n:]
+	r.rest = r.rest[n:]
 	return x
 }
 
@@ -185,7 +185,7 @@
 func (r *reader) phase(flags byte) Phase {
 	n := flags & phaseBits
 	if int(n) >= len(phases) {
-		r.bad = true
+		r.failed = true
 		return ""
 	}
 	return phases[n]
@@ -196,25 +196,25 @@
 	c := Counts{Requests: r.count(), Failed: r.count()}
 	c.Timed = c.Requests - r.count()
 	c.Slow = r.count()
-	if c.Failed > c.Requests || c.Timed < 0 || c.Slow > c.Timed || c.Requests > mostCount {
-		r.bad = true
+	if c.Failed > c.Requests || c.Timed < 0 || c.Slow > c.Timed || c.Requests > maxCount {
+		r.failed = true
 	}
 	return c
 }
 
 // mostCount bounds a count, so that sums of them do not overflow.
-const mostCount = 1 << 48
+const maxCount = 1 << 48
 
 // err returns whether the message was one.
 func (r *reader) err() error {
-	if r.bad || len(r.text) > 0 {
+	if r.failed || len(r.rest) > 0 {
 		return errors.New("not a message of roll-outs")
 	}
 	return nil
 }
 
 func decodeReport(text []byte) (*report, error) {
-	r := reader{text: text}
+	r := reader{rest: text}
 	if r.byte() != kindReport {
 		return nil, errors.New("not a report")
 	}
@@ -223,40 +223,40 @@
 	x.phase = r.phase(flags)
 	x.drained = flags&flagDrained != 0
 	x.halted = flags&flagHalted != 0
-	x.echoes = flags&flagEchoes != 0
-	if x.echoes {
-		x.echo = r.uint32()
+	x.hasEcho = flags&flagHasEcho != 0
+	if x.hasEcho {
+		x.echoClock = r.uint32()
 	}
 	x.inFlight = uint64(r.count())
 	n := int(r.byte())
-	for i := 0; i < n && !r.bad; i++ {
-		x.routes = append(x.routes, routeCounts{routeHash(r.uint32()), pair{base: r.counts(), target: r.counts()}})
+	for i := 0; i < n && !r.failed; i++ {
+		x.routes = append(x.routes, routeCounts{routeHash(r.uint32()), versionCounts{base: r.counts(), target: r.counts()}})
 	}
 	return x, r.err()
 }
 
-func decodeAnswer(text []byte) (*answer, error) {
-	r := reader{text: text}
-	if r.byte() != kindAnswer {
+func decodeReply(text []byte) (*reply, error) {
+	r := reader{rest: text}
+	if r.byte() != kindReply {
 		return nil, errors.New("not an answer")
 	}
-	x := &answer{service: r.uint64(), order: r.signed(), seq: r.byte()}
+	x := &reply{service: r.uint64(), order: r.signed(), seq: r.byte()}
 	flags := r.byte()
 	x.phase = r.phase(flags)
 	x.halted = flags&flagHalted != 0
-	x.soon = flags&flagSoon != 0
+	x.stepDueSoon = flags&flagStepDueSoon != 0
 	x.allLacking = flags&flagLacking != 0
-	x.timed = flags&flagTimed != 0
-	x.stamp = r.uint32()
-	if x.timed {
-		x.left = time.Duration(min(r.count(), mostLeft.Milliseconds())) * time.Millisecond
+	x.hasRemaining = flags&flagHasRemaining != 0
+	x.ownerClock = r.uint32()
+	if x.hasRemaining {
+		x.remaining = time.Duration(min(r.count(), maxRemaining.Milliseconds())) * time.Millisecond
 	}
 	n := int(r.byte())
-	for i := 0; i < n && !r.bad; i++ {
-		x.lacking = append(x.lacking, routeHash(r.uint32()))
+	for i := 0; i < n && !r.failed; i++ {
+		x.lackingRoutes = append(x.lackingRoutes, routeHash(r.uint32()))
 	}
 	return x, r.err()
 }
 
 // mostLeft bounds the time that an answer tells.
-const mostLeft = 48 * time.Hour
+const maxRemaining = 48 * time.Hour
--- a/process/rollout/wire_test.go
+++ b/process/rollout/wire_test.go
@@ -11,7 +11,7 @@
 )
 
 func drawCounts(t *rapid.T, name string) Counts {
-	c := Counts{Requests: rapid.Int64Range(0, mostCount).Draw(t, name)}
+	c := Counts{Requests: rapid.Int64Range(0, maxCount).Draw(t, name)}
 	c.Failed = rapid.Int64Range(0, c.Requests).Draw(t, "failed")
 	c.Timed = rapid.Int64Range(0, c.Requests).Draw(t, "timed")
 	c.Slow = rapid.Int64Range(0, c.Timed).Draw(t, "slow")
@@ -19,7 +19,7 @@
 }
 
 // TestMessagesAreReadAsWritten checks the wire, and that messages fit in a datagram.
-func TestMessagesAreReadAsWritten(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	const datagram = 1400
 	rapid.Check(t, func(t *rapid.T) {
 		x := &report{
@@ -27,52 +27,52 @@
 			incarnation: rapid.Int64().Draw(t, "incarnation"), seq: rapid.Byte().Draw(t, "seq"),
 			phase: rapid.SampledFrom(phases[:]).Draw(t, "phase"), halted: rapid.Bool().Draw(t, "halted"),
 			drained: rapid.Bool().Draw(t, "drained"), inFlight: uint64(rapid.Uint32().Draw(t, "inFlight")),
-			echoes: true, echo: rapid.Uint32().Draw(t, "echo"),
+			hasEcho: true, echoClock: rapid.Uint32().Draw(t, "echo"),
 		}
-		for range rapid.IntRange(0, mostRoutes).Draw(t, "routes") {
+		for range rapid.IntRange(0, maxRoutes).Draw(t, "routes") {
 			x.routes = append(x.routes, routeCounts{
-				routeHash(rapid.Uint32().Draw(t, "route")), pair{base: drawCounts(t, "base"), target: drawCounts(t, "target")},
+				routeHash(rapid.Uint32().Draw(t, "route")), versionCounts{base: drawCounts(t, "base"), target: drawCounts(t, "target")},
 			})
 		}
 		got, err := decodeReport(x.encode())
 		assert.NilError(t, err)
 		assert.DeepEqual(t, *got, *x, cmpAll)
 
-		a := &answer{
-			service: x.service, order: x.order, seq: x.seq, phase: x.phase, halted: x.halted, soon: x.drained,
-			stamp: x.echo, timed: true, left: time.Duration(rapid.IntRange(0, 100_000).Draw(t, "left")) * time.Millisecond,
+		a := &reply{
+			service: x.service, order: x.order, seq: x.seq, phase: x.phase, halted: x.halted, stepDueSoon: x.drained,
+			ownerClock: x.echoClock, hasRemaining: true, remaining: time.Duration(rapid.IntRange(0, 100_000).Draw(t, "left")) * time.Millisecond,
 			allLacking: rapid.Bool().Draw(t, "allLacking"),
 		}
 		for _, c := range x.routes {
-			a.lacking = append(a.lacking, c.route)
+			a.lackingRoutes = append(a.lackingRoutes, c.route)
 		}
-		back, err := decodeAnswer(a.encode())
+		back, err := decodeReply(a.encode())
 		assert.NilError(t, err)
 		assert.DeepEqual(t, *back, *a, cmpAll)
 		assert.Assert(t, len(a.encode()) < datagram)
 	})
-	full := &report{echoes: true, incarnation: -1, order: 1 << 40}
-	for range mostRoutes {
+	full := &report{hasEcho: true, incarnation: -1, order: 1 << 40}
+	for range maxRoutes {
 		c := Counts{Requests: 1 << 34, Failed: 1 << 27, Timed: 1<<34 - 1<<27, Slow: 1 << 27}
-		full.routes = append(full.routes, routeCounts{pair: pair{c, c}})
+		full.routes = append(full.routes, routeCounts{versionCounts: versionCounts{c, c}})
 	}
 	assert.Assert(t, len(full.encode()) < datagram, "%d", len(full.encode()))
 }
 
 // FuzzHear checks that whatever comes in a datagram is taken up or refused, at the owner
 // and at another instance.
-func FuzzHear(f *testing.F) {
+func FuzzReceive(f *testing.F) {
 	s := hashOfService("s")
-	f.Add((&report{service: s, order: 1, seq: 1, routes: []routeCounts{{1, pair{base: Counts{Requests: 3, Timed: 2}}}}}).encode())
-	f.Add((&answer{service: s, order: 1, seq: 1, phase: Promote, timed: true, lacking: []routeHash{1}}).encode())
+	f.Add((&report{service: s, order: 1, seq: 1, routes: []routeCounts{{1, versionCounts{base: Counts{Requests: 3, Timed: 2}}}}}).encode())
+	f.Add((&reply{service: s, order: 1, seq: 1, phase: Promote, hasRemaining: true, lackingRoutes: []routeHash{1}}).encode())
 	f.Add([]byte{kindReport})
 	f.Add([]byte{1, 2})
 	f.Fuzz(func(t *testing.T, text []byte) {
 		for _, owner := range []Owner{{Name: "here"}, {Name: "x", Address: "x"}} {
-			r, now := alone(owner)
-			took := r.Hear("x", text)
-			assert.Equal(t, took, len(text) > 0 && (text[0] == kindReport || text[0] == kindAnswer))
-			*now += TickTime
+			r, now := singleInstance(owner)
+			took := r.Receive("x", text)
+			assert.Equal(t, took, len(text) > 0 && (text[0] == kindReport || text[0] == kindReply))
+			*now += TickInterval
 			r.Tick()
 			r.Begin("s", "r", true, func() (uint64, bool) { return 1, true }).Done(Outcome{})
 			r.Proposals(*now)
--- a/process/rolloutview/view.go
+++ b/process/rolloutview/view.go
@@ -79,19 +79,19 @@
 // Serve answers the call for a service.
 func Serve(w http.ResponseWriter, service string, find Find) {
 	if find == nil {
-		refuse(w, request.NotCarriedOut, service)
+		writeError(w, request.NotCarriedOut, service)
 		return
 	}
 	s, ok := find(service)
 	if !ok {
-		refuse(w, request.NotFound, service)
+		writeError(w, request.NotFound, service)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(s) // a caller that is gone needs no answer
 }
 
-func refuse(w http.ResponseWriter, code request.Code, service string) {
+func writeError(w http.ResponseWriter, code request.Code, service string) {
 	r := request.NotRun(code, 0)
 	r.Detail = "roll-out of " + service
 	r.Write(w)
