--- a/process/rollout/attempt.go
+++ b/process/rollout/attempt.go
@@ -4,43 +4,42 @@
 
 import "time"
 
-// Attempt is one attempt at a request of a service whose roll-out runs. Nil: there is
-// none.
+// Attempt is one attempt at a request of a service with a running rollout. It is nil if there is no
+// rollout.
 type Attempt struct {
 	controller *Controller
 	service    *service
 	stats      *localStats
 	route      *routeStats
 	orderID    int64
-	target     string // the version that it goes to; "": it goes to the version before
+	target     string // "": the attempt goes to the previous version
 	ended      bool
 }
 
-// Outcome is what came of an attempt.
+// Outcome is the result of an attempt.
 type Outcome struct {
-	// Failed: the answer was a failure of the backend server, or none came.
+	// Failed is set if the backend server responded with a failure, or not at all.
 	Failed bool
-	// Inconclusive: nothing was sent, or the caller gave up, so that it tells nothing of
-	// the backend server.
+	// Inconclusive is set if nothing was sent or the caller gave up, so that the outcome says
+	// nothing about the backend server.
 	Inconclusive bool
-	// Took is the time from sending to the answer.
+	// Latency is the time from sending the request to the response.
 	Latency time.Duration
-	// Unseen: the backend server had not worked on the object lately; Cold: it counts
-	// as cold.
+	// Unseen is set if the backend server had not worked on the object lately, Cold if it counts as
+	// cold.
 	Unseen, Cold bool
 }
 
-// Begin begins an attempt. First is false for a further attempt at the same request:
-// it goes to the target only while nothing may go to the version before any more.
-// Home returns the hash of the backend server that the request's object has as its
-// home among the target's; ok is false if none takes work. It is called only if the
-// answer matters, and may call the roll-outs.
+// Begin begins an attempt. First is false for a retry of the same request: a retry goes to the
+// target only if nothing may go to the previous version any more. Home returns the hash of the
+// object's home among the target's backend servers; ok is false if none accepts requests. It is
+// called only if the result matters, and may call the Controller.
 func (r *Controller) Begin(service, route string, first bool, home func() (hash uint64, ok bool)) *Attempt {
 	if !r.active.Load() {
 		return nil
 	}
-	a, way := r.begin(service, route, first)
-	if way != ifActive {
+	a, dest := r.begin(service, route, first)
+	if dest != ifActive {
 		return a
 	}
 	hash, ok := home()
@@ -50,7 +49,7 @@
 	return a
 }
 
-// begin begins an attempt as far as that goes without the home of its object.
+// begin begins an attempt as far as that is possible without the home of its object.
 func (r *Controller) begin(service, route string, first bool) (*Attempt, destination) {
 	r.mu.Lock()
 	defer r.unlock()
@@ -63,16 +62,16 @@
 	s.reporting.lastRequestAt = now
 	s.reporting.hadRequest = true
 	s.gate.addAttempt(r.Bounds.Share, r.creditPeriod(s), now)
-	way := r.destination(a, first, now)
-	if way != ifActive {
-		r.assign(a, way)
+	dest := r.destination(a, first, now)
+	if dest != ifActive {
+		r.assign(a, dest)
 	}
-	return a, way
+	return a, dest
 }
 
-// send notes where an attempt goes. The caller holds the lock.
-func (r *Controller) assign(a *Attempt, to destination) {
-	if to == toTarget {
+// assign records where an attempt goes. The caller holds the lock.
+func (r *Controller) assign(a *Attempt, dest destination) {
+	if dest == toTarget {
 		a.target = a.service.Order.Target
 		a.service.gate.addTargetAttempt(r.Bounds.Share, r.Now())
 		return
@@ -80,37 +79,37 @@
 	a.service.inFlightToPrevious++
 }
 
-// way decides on an attempt. The caller holds the lock.
+// destination decides on an attempt. The caller holds the lock.
 func (r *Controller) destination(a *Attempt, first bool, now time.Duration) destination {
 	g := &a.service.gate
-	chance := g.evidenceProbability(a.route.hash, a.stats.trafficFraction(a.route))
-	return g.decide(r.Bounds.Share, first, chance > 0 && r.random() < chance, now)
+	probability := g.evidenceProbability(a.route.hash, a.stats.trafficFraction(a.route))
+	return g.decide(r.Bounds.Share, first, probability > 0 && r.random() < probability, now)
 }
 
-// wayIfOpen decides on an attempt whose object has a home. The roll-out may have moved
-// while that was looked up. The caller holds the lock.
+// destinationByHome decides on an attempt by the home of its object. The rollout may have changed
+// since begin, as the lock was free meanwhile. The caller holds the lock.
 func (r *Controller) destinationByHome(a *Attempt, home uint64, ok bool) destination {
 	s, now := a.service, r.Now()
 	if !ok || s.Order == nil || s.Order.ID != a.orderID || !s.inProgress() {
 		return toPrevious
 	}
-	way := s.gate.decide(r.Bounds.Share, true, false, now)
-	if way == ifActive && s.rotation.isActive(home, s.gate.round(now), canaryFraction*r.Bounds.Share) {
+	dest := s.gate.decide(r.Bounds.Share, true, false, now)
+	if dest == ifActive && s.rotation.isActive(home, s.gate.round(now), canaryFraction*r.Bounds.Share) {
 		return toTarget
 	}
-	if way == ifActive {
+	if dest == ifActive {
 		return toPrevious
 	}
-	return way
+	return dest
 }
 
-// saveFor is over how long the share is saved: at least until a backend server is open
-// again.
+// creditPeriod is the time over which unused share accumulates: at least until a backend server is
+// active again.
 func (r *Controller) creditPeriod(s *service) time.Duration {
 	return max(creditTime, time.Duration(s.rotation.roundInterval(canaryFraction*r.Bounds.Share))*roundTime)
 }
 
-// Target returns the version that the attempt goes to if it goes to the target, else "".
+// Target returns the target version if the attempt goes to the target, else "".
 func (a *Attempt) Target() string {
 	if a == nil {
 		return ""
@@ -118,11 +117,10 @@
 	return a.target
 }
 
-// Decline sends the attempt to the version in force after all, since the target can't
-// take it. It reports whether it may go there: not while the instance has said that
-// nothing goes there any more. Over says that the tables have no roll-out of the service
-// any more: what was said while it ran does not bind then, and the roll-outs are told of
-// its end in the next moment.
+// Decline sends the attempt to the version in force after all, since the target can't take it. It
+// returns false if the attempt must not go there because the instance has promised to send nothing
+// there. Over is set if the tables have no rollout of the service any more. The promise is then
+// void, and the Controller is about to receive the end of the rollout.
 func (a *Attempt) Decline(over bool) bool {
 	if a.Target() == "" {
 		return true
@@ -141,7 +139,7 @@
 	return true
 }
 
-// Done tells what came of the attempt. It is called once.
+// Done reports the outcome of the attempt. It is called once.
 func (a *Attempt) Done(o Outcome) {
 	if a == nil {
 		return
@@ -163,7 +161,7 @@
 	now := r.Now()
 	c := a.count(o)
 	if a.stats != s.stats || !s.inProgress() {
-		return // of a roll-out that has ended
+		return // it belongs to a rollout that has ended
 	}
 	if a.target == "" {
 		s.stats.analysis.addBase(a.route.hash, c, now)
@@ -174,13 +172,13 @@
 		s.reporting.urgent = true
 	}
 	if s.stats.analysis.cause != "" && !s.gate.halted {
-		s.gate.halted = true // what was promised holds until then
+		s.gate.halted = true // a drain promise stays valid until it ends
 		r.logEvent(s, "instance-stopped", s.stats.analysis.cause, &s.stats.analysis, 0)
 	}
 }
 
-// inconclusive takes an attempt at the version before out of the count of all. Some of
-// them were sent, so the share is kept a little more strictly than it has to be.
+// uncount removes an inconclusive attempt at the previous version from the count of all attempts.
+// Some of these were sent, so the limit on the share is slightly stricter than necessary.
 func (a *Attempt) uncount() {
 	s := a.service
 	if a.target == "" && s.Order != nil && s.Order.ID == a.orderID {
@@ -188,17 +186,17 @@
 	}
 }
 
-// count classes the outcome and counts it.
+// count classifies the outcome and counts it.
 func (a *Attempt) count(o Outcome) Counts {
 	c := Counts{Requests: 1}
 	if o.Failed {
 		c.Failed = 1
 	} else {
-		doubts := &a.stats.baseAmbiguous
+		filter := &a.stats.baseAmbiguous
 		if a.target != "" {
-			doubts = &a.stats.targetAmbiguous
+			filter = &a.stats.targetAmbiguous
 		}
-		timed, slow := doubts.resolve(a.route.typical.classify(o, a.schedulingDelay()))
+		timed, slow := filter.resolve(a.route.typical.classify(o, a.schedulingDelay()))
 		c.Timed, c.Slow = oneIf(timed), oneIf(slow)
 	}
 	if a.target != "" {
@@ -212,10 +210,11 @@
 	return c
 }
 
-// lateness is by how much this instance's machine may have delayed an answer, as far as that
-// matters: most of the time the baseline has answers of the same moment, some of which it delayed
-// as much, and the verdict compares. Where many are, or there are none since the target has been
-// promoted, that is too rough.
+// schedulingDelay returns how much a stall of this instance's own process may have added to a
+// response, or zero if that may be ignored. It may be ignored as long as the baseline has responses
+// of the same time, some of which were delayed as much: the analysis compares the two. That is too
+// rough if many responses are delayed, or if there is no baseline since the target has been
+// promoted.
 func (a *Attempt) schedulingDelay() time.Duration {
 	if a.service.gate.phase != Promote && a.stats.baseAmbiguous.slowFraction < stallFraction {
 		return 0
--- a/process/rollout/counts.go
+++ b/process/rollout/counts.go
@@ -8,17 +8,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Counts are those of one version's answers.
+// Counts are the response counts of one version.
 type Counts struct {
 	Requests int64
 	Failed   int64
-	// Timed are those whose time tells something: of a backend server that was not cold, on
-	// a route whose usual time is known, and clearly slow or not (usual.class).
+	// Timed counts the responses whose latency is significant: from a backend server that was not
+	// cold, on a route whose typical latency is known, and clearly slow or not
+	// (typicalLatency.classify).
 	Timed int64
 	Slow  int64 // of Timed
 }
 
-// add adds counts.
 func (c *Counts) add(x Counts) {
 	c.Requests += x.Requests
 	c.Failed += x.Failed
@@ -26,8 +26,8 @@
 	c.Slow += x.Slow
 }
 
-// since returns what came after old, which is a count of the same. Messages that
-// overtake each other must not count anything twice, so nothing is below zero.
+// since returns the difference from an earlier value of the same counts. It is never negative, so
+// that reports which overtake each other count nothing twice.
 func (c Counts) since(old Counts) Counts {
 	return Counts{
 		Requests: max(0, c.Requests-old.Requests), Failed: max(0, c.Failed-old.Failed),
@@ -35,14 +35,14 @@
 	}
 }
 
-// bad is the number of answers that failed or were slow.
+// bad returns how many responses failed or were slow.
 func (c Counts) bad() int64 { return c.Failed + c.Slow }
 
 func (c Counts) String() string {
 	return fmt.Sprintf("%d answers, %d failed, %d of %d slow", c.Requests, c.Failed, c.Slow, c.Timed)
 }
 
-// pair is the counts of both versions.
+// versionCounts are the counts of both versions.
 type versionCounts struct{ base, target Counts }
 
 func (p *versionCounts) add(x versionCounts) {
@@ -54,16 +54,16 @@
 	return versionCounts{base: p.base.since(old.base), target: p.target.since(old.target)}
 }
 
-// newer returns the greater of each count.
+// max returns the greater of each count.
 func (p versionCounts) max(old versionCounts) versionCounts {
 	old.add(p.since(old))
 	return old
 }
 
-// routeHash names a route in messages. Zero is all routes that have no place there.
+// routeHash identifies a route in messages.
 type routeHash uint32
 
-// otherRoutes is the hash of those.
+// otherRoutes stands for all routes beyond maxRoutes.
 const otherRoutes routeHash = 0
 
 func hashOfRoute(name string) routeHash { return routeHash(xxhash.Sum64String(name)>>32) | 1 }
--- a/process/rollout/exchange.go
+++ b/process/rollout/exchange.go
@@ -7,112 +7,111 @@
 	"time"
 )
 
-// reports is what an instance remembers of its reports on one service.
+// reportState is the state of an instance's reports on one service.
 type reportState struct {
 	seq    byte
-	sentAt [16]time.Duration // by the lowest bits of seq
-	// echo is the stamp of the last answer of the owner with this name.
+	sentAt [16]time.Duration // by seq modulo its length
+	// echoClock is the owner's clock in the last reply of the owner named echoOwner.
 	echoClock     uint32
 	echoOwner     string
-	lastAt        time.Duration // of the last report
+	lastAt        time.Duration // time of the last report
 	unanswered    int
-	urgent        bool          // something bad has come since the last one
+	urgent        bool          // a bad response has come since the last report
 	stepDueSoon   bool          // the phase is about to change
 	hadRequest    bool          // a request has come since the order
-	lastRequestAt time.Duration // of the last request
-	expiryLogged  bool          // it was logged that the lease has lapsed
-	// newOwner is since when the owner is another one than before, until it gives a lease. Zero:
-	// it has.
+	lastRequestAt time.Duration // time of the last request
+	expiryLogged  bool          // the expiry of the lease has been logged
+	// newOwnerSince is when the owner changed. It is zero once the new owner has granted a lease.
 	newOwnerSince time.Duration
 }
 
-// next returns the number of a report that is made now. Zero is none.
-func (p *reportState) next(now time.Duration) byte {
-	p.seq++
-	if p.seq == 0 {
-		p.seq = 1
-	}
-	p.sentAt[int(p.seq)%len(p.sentAt)] = now
-	p.lastAt = now
-	p.urgent = false
-	return p.seq
+// next returns the sequence number of a new report. Zero stands for no report.
+func (s *reportState) next(now time.Duration) byte {
+	s.seq++
+	if s.seq == 0 {
+		s.seq = 1
+	}
+	s.sentAt[int(s.seq)%len(s.sentAt)] = now
+	s.lastAt = now
+	s.urgent = false
+	return s.seq
 }
 
-// sent returns when a report was sent, if that is not long ago.
-func (p *reportState) sentTime(seq byte) (at time.Duration, ok bool) {
-	if seq == 0 || p.seq-seq >= byte(len(p.sentAt)) {
+// sentTime returns when a report was sent, if it is one of the last len(sentAt).
+func (s *reportState) sentTime(seq byte) (at time.Duration, ok bool) {
+	if seq == 0 || s.seq-seq >= byte(len(s.sentAt)) {
 		return 0, false
 	}
-	return p.sentAt[int(seq)%len(p.sentAt)], true
+	return s.sentAt[int(seq)%len(s.sentAt)], true
 }
 
 // due reports whether it is time for a report.
-func (p *reportState) due(phase Phase, now time.Duration) bool {
-	pause := reportInterval
+func (s *reportState) due(phase Phase, now time.Duration) bool {
+	interval := reportInterval
 	switch {
 	case phase == Promote || phase == Completed:
-		return now-p.lastAt >= urgentReportInterval-tickJitter
-	case p.newOwnerSince > 0 && now-p.newOwnerSince < TakeoverWait:
-		pause = p.newOwnerInterval()
-	case !p.hadRequest || now-p.lastRequestAt > idleTime:
-		return p.urgent
-	case p.urgent || p.stepDueSoon:
-		pause = urgentReportInterval
-	}
-	return now-p.lastAt >= pause-tickJitter
+		return now-s.lastAt >= urgentReportInterval-tickJitter
+	case s.newOwnerSince > 0 && now-s.newOwnerSince < TakeoverWait:
+		interval = s.newOwnerInterval()
+	case !s.hadRequest || now-s.lastRequestAt > idleTime:
+		return s.urgent
+	case s.urgent || s.stepDueSoon:
+		interval = urgentReportInterval
+	}
+	return now-s.lastAt >= interval-tickJitter
 }
 
-// pauseToNewOwner is the pause until the next report to an owner that has given no lease yet: none
-// before the first one, then longer and longer ones, since all instances report to it at once.
-func (p *reportState) newOwnerInterval() time.Duration {
-	if p.lastAt < p.newOwnerSince {
+// newOwnerInterval is the time until the next report to an owner that has granted no lease yet. The
+// first report is sent at once. The intervals then double, since all instances report to the new
+// owner at the same time.
+func (s *reportState) newOwnerInterval() time.Duration {
+	if s.lastAt < s.newOwnerSince {
 		return 0
 	}
-	return 2 * max(urgentReportInterval, p.lastAt-p.newOwnerSince)
+	return 2 * max(urgentReportInterval, s.lastAt-s.newOwnerSince)
 }
 
-// localAlarm is the sum at which one of n instances stops by itself: each may err, so
-// it takes more than at the owner.
+// localAlarmThreshold is the alarm threshold of one of n instances. It is higher than the owner's,
+// since each of the n may raise a false alarm.
 func localAlarmThreshold(n int) float64 { return alarmThreshold + math.Log(float64(max(1, n))) }
 
-// message is a message and where it goes.
+// message is an encoded message and its destination.
 type message struct {
 	address string
 	payload []byte
 }
 
-// Tick sends what is due.
+// Tick sends the messages that are due. It is called every TickInterval.
 func (r *Controller) Tick() {
 	if !r.active.Load() {
 		r.refreshLive()
 		return
 	}
 	live := r.Live()
-	seen := r.collectServiceInfo()
+	infos := r.collectServiceInfo()
 	r.mu.Lock()
 	now := r.Now()
 	r.setLive(live, now)
 	var out []message
-	var strangers []string
-	for name, x := range seen {
+	var unaware []string
+	for name, x := range infos {
 		if s := r.services[name]; s != nil {
 			s.setOwner(x.owner, now)
 			out = append(out, r.tick(s, x.inFlight, now)...)
-			strangers = append(strangers, r.announceTargets(s, now)...)
+			unaware = append(unaware, r.announceTargets(s, now)...)
 		}
 	}
 	r.unlock()
-	r.announce(strangers)
+	r.announce(unaware)
 	for _, m := range out {
 		r.Send(m.address, m.payload)
 	}
 }
 
-// lookPause is the pause between two looks at which instances live while no roll-out
-// runs.
+// liveRefreshInterval is how often the live instances are counted while no rollout runs.
 const liveRefreshInterval = time.Second
 
-// lookAround notes now and then how many instances live.
+// refreshLive updates the live instances every liveRefreshInterval.
 func (r *Controller) refreshLive() {
 	r.mu.Lock()
 	due := r.Now()-r.liveAt >= liveRefreshInterval
@@ -126,14 +125,14 @@
 	r.mu.Unlock()
 }
 
-// outsideOf is what other parts of the process say of a service.
+// serviceInfo is what other parts of the process know about a service.
 type serviceInfo struct {
 	owner    Owner
 	inFlight int
 }
 
-// outside asks the other parts of the process. The lock is free meanwhile: they may
-// call the roll-outs under locks of their own.
+// collectServiceInfo queries other parts of the process. It does not hold the lock during that,
+// since they may call the Controller while they hold locks of their own.
 func (r *Controller) collectServiceInfo() map[string]serviceInfo {
 	r.mu.Lock()
 	out := make(map[string]serviceInfo, len(r.services))
@@ -147,7 +146,7 @@
 	return out
 }
 
-// tick does what is due for one service. The caller holds the lock.
+// tick returns the messages that are due for one service. The caller holds the lock.
 func (r *Controller) tick(s *service, inFlight int, now time.Duration) (out []message) {
 	if !s.inProgress() {
 		return nil
@@ -164,7 +163,7 @@
 	return []message{{s.owner.Address, x.encode()}}
 }
 
-// tickOwner reports to this instance itself.
+// tickOwner makes the report of this instance to itself as the owner.
 func (r *Controller) tickOwner(s *service, inFlight int, now time.Duration) []message {
 	x := r.report(s, inFlight, now)
 	s.ownerState.addReport("", x, now, now)
@@ -201,7 +200,7 @@
 	}
 }
 
-// noteLapse logs once that the lease has lapsed though the owner was asked.
+// logLeaseExpiry logs once that the lease has expired although reports were sent to the owner.
 func (r *Controller) logLeaseExpiry(s *service, now time.Duration) {
 	g := &s.gate
 	if g.leaseUntil == 0 || now < g.leaseUntil || g.halted {
@@ -212,17 +211,17 @@
 		return
 	}
 	s.reporting.expiryLogged = true
-	r.logEvent(s, "lease-lapsed", "owner "+s.owner.Name+" does not answer", &s.stats.analysis, now-g.ownerClockAt)
+	r.logEvent(s, "lease-lapsed", "owner "+s.owner.Name+" does not reply", &s.stats.analysis, now-g.ownerClockAt)
 }
 
-// Hear takes up a message. It reports whether the message was one of roll-outs.
-func (r *Controller) Receive(from string, text []byte) bool {
-	if len(text) == 0 {
+// Receive processes a message. It returns false if the message is not one of rollouts.
+func (r *Controller) Receive(from string, payload []byte) bool {
+	if len(payload) == 0 {
 		return false
 	}
-	switch text[0] {
+	switch payload[0] {
 	case kindReport:
-		x, err := decodeReport(text)
+		x, err := decodeReport(payload)
 		if err != nil {
 			r.recordSkipped(from, err.Error())
 			return true
@@ -230,7 +229,7 @@
 		r.receiveReport(from, x)
 		return true
 	case kindReply:
-		x, err := decodeReply(text)
+		x, err := decodeReply(payload)
 		if err != nil {
 			r.recordSkipped(from, err.Error())
 			return true
@@ -241,19 +240,19 @@
 	return false
 }
 
-// mostSkipped bounds the senders whose messages were skipped that are remembered.
+// maxSkippedSenders limits how many senders of skipped messages are remembered.
 const maxSkippedSenders = 64
 
-// skip notes, once for each sender, that a message could not be taken up: one of another
-// release, or of too many processes.
-func (r *Controller) recordSkipped(from, why string) {
+// recordSkipped logs, once for each sender, that a message could not be processed: it is malformed,
+// as one of another release may be, or too many processes report.
+func (r *Controller) recordSkipped(from, reason string) {
 	r.mu.Lock()
 	defer r.unlock()
-	r.recordSkippedLocked(from, why)
+	r.recordSkippedLocked(from, reason)
 }
 
-// noteSkipped does so for a caller that holds the lock.
-func (r *Controller) recordSkippedLocked(from, why string) {
+// recordSkippedLocked is recordSkipped for a caller that holds the lock.
+func (r *Controller) recordSkippedLocked(from, reason string) {
 	if r.skipped[from] || len(r.skipped) >= maxSkippedSenders {
 		return
 	}
@@ -261,11 +260,11 @@
 		r.skipped = make(map[string]bool)
 	}
 	r.skipped[from] = true
-	r.events = append(r.events, Event{What: "message-skipped", Cause: from + ": " + why})
+	r.events = append(r.events, Event{What: "message-skipped", Cause: from + ": " + reason})
 }
 
-// hearReport takes up a report, and answers it if this instance is the owner. One that
-// has not heard of the last step is told after it, too.
+// receiveReport processes a report and replies to it if this instance is the owner. It replies
+// after the last step too, for instances that have not learned of it yet.
 func (r *Controller) receiveReport(from string, x *report) {
 	r.mu.Lock()
 	now := r.Now()
@@ -281,7 +280,7 @@
 	var out []message
 	if s.inProgress() {
 		if !s.ownerState.addReport(from, x, r.madeAfter(x, now), now) {
-			r.recordSkippedLocked(from, "too many processes have reported")
+			r.recordSkippedLocked(from, "too many reporting processes")
 		}
 	}
 	if s.inProgress() && r.evaluate(s, now) {
@@ -294,8 +293,8 @@
 	}
 }
 
-// hearAnswer takes up an answer of the owner. That of any other instance may only stop
-// the target.
+// receiveReply processes a reply of the owner. A reply of any other instance can only halt the
+// target.
 func (r *Controller) receiveReply(from string, x *reply) {
 	r.mu.Lock()
 	defer r.unlock()
@@ -311,20 +310,19 @@
 	}
 }
 
-// hearStop stops the target on the word of an instance that is, or was, the owner. The
+// haltTarget halts the target because an instance that is or was the owner has halted it. The
 // caller holds the lock.
 func (r *Controller) haltTarget(s *service, from string) {
-	was := s.gate.halted
+	wasHalted := s.gate.halted
 	s.gate.halt()
-	if was {
+	if wasHalted {
 		return
 	}
 	s.ownerState.halt("another owner has stopped it")
-	r.logEvent(s, "target-stopped", "told by "+from, &s.stats.analysis, 0)
+	r.logEvent(s, "target-stopped", "halted by "+from, &s.stats.analysis, 0)
 }
 
-// hear takes up an answer of the owner, which may be this instance. The caller holds the
-// lock.
+// applyReply applies a reply of the owner, which may be this instance. The caller holds the lock.
 func (r *Controller) applyReply(s *service, x *reply, now time.Duration) {
 	sentAt, known := s.reporting.sentTime(x.seq)
 	lease := time.Duration(0)
@@ -338,21 +336,20 @@
 	s.reporting.unanswered = 0
 }
 
-// stamp is this instance's clock as it stands in answers. It begins anywhere, so that
-// it is not taken for that of another one.
+// clockStamp returns this instance's clock for use in replies. Its origin differs between
+// incarnations, so that it is not mistaken for the clock of another one.
 func (r *Controller) clockStamp(now time.Duration) uint32 {
 	return uint32(now.Milliseconds()) + uint32(hashOfIncarnation(r.Incarnation))
 }
 
-// hashOfIncarnation spreads incarnations that follow each other, by the golden ratio.
+// hashOfIncarnation spreads successive incarnations, by the golden ratio.
 func hashOfIncarnation(x int64) uint64 { return uint64(x) * 0x9e3779b97f4a7c15 >> 32 }
 
-// mostEcho is how old an echo may be that is taken for one.
+// maxEchoAge is the age above which an echoed clock stamp is ignored.
 const maxEchoAge = 10 * time.Second
 
-// madeAfter returns a time after which a report was made for certain, by what it
-// echoes. It may have lain in a buffer while this instance stood still. Zero: there is
-// none.
+// madeAfter returns a lower bound of when a report was made, from the clock stamp that it echoes.
+// The report may have waited in a buffer while this instance was stalled. Zero: there is no bound.
 func (r *Controller) madeAfter(x *report, now time.Duration) time.Duration {
 	age := time.Duration(r.clockStamp(now)-x.echoClock) * time.Millisecond
 	if !x.hasEcho || age > maxEchoAge {
--- a/process/rollout/gate.go
+++ b/process/rollout/gate.go
@@ -10,60 +10,63 @@
 
 // gate decides at one instance which attempts go to the target.
 type gate struct {
-	// all are the attempts since the instance heard of the order, and sent those of them
-	// that went to the target.
+	// attempts counts the attempts since the instance received the order, and targetAttempts those
+	// of them that went to the target.
 	attempts, targetAttempts int64
-	// extra is the number of requests that may go there besides the share, and used how
+	// slack is how many requests may go to the target in addition to the share, and slackUsed how
 	// many of them have.
 	slack, slackUsed float64
-	// saved are parts of requests for the next open backend server.
+	// credit is the unused part of the share, in requests, that is kept until a backend server of
+	// the target is active.
 	credit float64
 	rate   rateMeter
 
 	phase      Phase
-	halted     bool // the owner stopped the target, or this instance did
+	halted     bool // by the owner or by this instance
 	leaseUntil time.Duration
-	// stamp is the owner's clock in milliseconds as of stampAt.
+	// ownerClock is the owner's clock in milliseconds at ownerClockAt.
 	ownerClock   uint32
 	ownerClockAt time.Duration
-	// bound is until when the share is bounded. Zero: not known.
+	// boundUntil is when the limit on the share ends. Zero: not known.
 	boundUntil    time.Duration
 	lackingRoutes []routeHash
 	allLacking    bool
-	// promised is until when nothing goes to the version before.
+	// drainedUntil is until when this instance has promised to send nothing to the previous
+	// version.
 	drainedUntil time.Duration
 }
 
-// renewed is the gate for an order that replaces one for the same target: shares count
-// from there, and nothing goes to the target until the owner has taken it up. What was
-// promised holds: the last step for the order before may be in the store.
+// forNewOrder returns the gate for an order that replaces one for the same target. The share counts
+// from zero, and nothing goes to the target until the owner has adopted the new order. A drain
+// promise stays valid, since the last step of the old order may already be in the store.
 func (g *gate) forNewOrder() gate {
 	return gate{slack: max(0, g.slack-g.slackUsed), halted: g.halted, rate: g.rate, drainedUntil: g.drainedUntil}
 }
 
-// closed reports whether nothing may go to the version before.
+// closed reports whether nothing may go to the previous version.
 func (g *gate) closed(now time.Duration) bool {
 	return g.phase == Completed || now < g.drainedUntil
 }
 
-// goOn takes up a phase, unless it is further.
+// advanceTo sets the phase, unless the gate is already in a later one.
 func (g *gate) advanceTo(p Phase) {
 	if phaseNumber(p) > phaseNumber(g.phase) {
 		g.phase = p
 	}
 }
 
-// way is where an attempt goes.
+// destination is where an attempt goes.
 type destination int
 
 const (
 	toPrevious destination = iota
 	toTarget
-	ifActive // to the target if the home of its object is open
+	ifActive // to the target if the home backend server of its object is active
 )
 
-// way decides on an attempt as far as that follows without the home of its object.
-// Random is set if it goes to the target for the evidence, within the bound.
+// decide decides on an attempt as far as that is possible without the home backend server of its
+// object. Random is set if the attempt was drawn to collect evidence; it goes to the target if the
+// share allows it.
 func (g *gate) decide(share float64, first, random bool, now time.Duration) destination {
 	switch {
 	case g.closed(now):
@@ -82,19 +85,19 @@
 	return ifActive
 }
 
-// chance is the part of the attempts on a route that goes to the target for the
-// evidence. Part is the part of all requests that the route has.
-func (g *gate) evidenceProbability(route routeHash, part float64) float64 {
+// evidenceProbability returns the probability with which an attempt on a route is sent to the
+// target to collect evidence. Fraction is the part of all requests that the route gets.
+func (g *gate) evidenceProbability(route routeHash, fraction float64) float64 {
 	switch {
 	case slices.Contains(g.lackingRoutes, route):
-		return scarceRouteFraction / part
+		return scarceRouteFraction / fraction
 	case g.allLacking && (len(g.lackingRoutes) == 0 || g.credit >= spareCredit):
 		return evidenceFraction
 	}
 	return 0
 }
 
-// part is the part of the set share that may be used now.
+// usableFraction returns which fraction of the configured share may be used in the current phase.
 func (g *gate) usableFraction() float64 {
 	switch {
 	case g.phase == Promote:
@@ -105,27 +108,28 @@
 	return canaryFraction
 }
 
-// free reports whether the time is over for which the share is bounded.
+// unbounded reports whether the limit on the share has ended.
 func (g *gate) unbounded(now time.Duration) bool { return g.boundUntil > 0 && now >= g.boundUntil }
 
-// within reports whether one more request at the target is within a share.
+// fits reports whether one more request to the target stays within a share and the slack.
 func (g *gate) fits(share float64) bool { return g.excess(share) <= g.slack }
 
-// over is the part of one more request that is above a share.
+// excess returns by how many requests the target would exceed a share with one more request.
 func (g *gate) excess(share float64) float64 {
 	return float64(g.targetAttempts+1) - share*float64(g.attempts)
 }
 
-// came counts an attempt.
+// addAttempt counts an attempt and adds its part of the share to the credit. Period is the time
+// over which credit accumulates.
 func (g *gate) addAttempt(share float64, period time.Duration, now time.Duration) {
 	g.attempts++
 	g.rate.add(now)
-	part := g.usableFraction() * share
-	most := 1 + g.slack + part*g.rate.perSecond(now)*period.Seconds()
-	g.credit = min(most, g.credit+part)
+	fraction := g.usableFraction() * share
+	maxCredit := 1 + g.slack + fraction*g.rate.perSecond(now)*period.Seconds()
+	g.credit = min(maxCredit, g.credit+fraction)
 }
 
-// take counts one that goes to the target.
+// addTargetAttempt counts an attempt that goes to the target.
 func (g *gate) addTargetAttempt(share float64, now time.Duration) {
 	if !g.unbounded(now) {
 		g.slackUsed = max(g.slackUsed, g.excess(g.usableFraction()*share))
@@ -134,32 +138,32 @@
 	g.credit = max(0, g.credit-1)
 }
 
-// giveBack takes back one that did not go there.
+// undoTargetAttempt reverses addTargetAttempt for an attempt that did not go there after all.
 func (g *gate) undoTargetAttempt() {
 	g.targetAttempts--
 	g.credit++
 }
 
-// turn is the number of the present turn by the owner's clock.
+// round returns the number of the current round by the owner's clock.
 func (g *gate) round(now time.Duration) int64 {
 	return (int64(g.ownerClock) + (now - g.ownerClockAt).Milliseconds()) / roundTime.Milliseconds()
 }
 
-// halt stops the target for good, and takes back what was promised.
+// halt stops sending to the target permanently and withdraws the drain promise.
 func (g *gate) halt() {
 	g.halted = true
 	g.drainedUntil = 0
 }
 
-// hear takes up an answer of the owner. SentAt is when the report went that it is to, and
-// lease how long the lease lasts from then. Zero: there is none.
+// apply applies a reply of the owner. SentAt is when the report it replies to was sent, and lease
+// how long the lease lasts from then. Zero: the reply grants none.
 func (g *gate) apply(x *reply, lease, sentAt, now time.Duration) {
 	g.advanceTo(x.phase)
 	if x.halted || x.phase == Reverted {
 		g.halt()
 		return
 	}
-	if lease > 0 { // an owner that gives none does not know yet what is lacking, either
+	if lease > 0 { // an owner that grants no lease does not know yet which routes lack evidence
 		g.leaseUntil = max(g.leaseUntil, sentAt+lease)
 		g.lackingRoutes, g.allLacking = x.lackingRoutes, x.allLacking
 	}
@@ -169,8 +173,8 @@
 	}
 }
 
-// promise says, if it can be said, that nothing will go to the version before. The
-// caller has seen that nothing is there.
+// promiseDrain promises, if that is possible, to send nothing to the previous version for
+// drainPromiseTime. The caller has checked that no request is in flight there.
 func (g *gate) promiseDrain(share float64, now time.Duration) bool {
 	if g.halted || g.phase != Promote || now >= g.leaseUntil {
 		return false
@@ -182,28 +186,28 @@
 	return true
 }
 
-// hasRoom reports whether the bound holds for the requests that are to be expected in
-// the time of a promise, as far as that lies before the end of the bound.
+// shareSuffices reports whether the share covers the requests expected during a drain promise, up
+// to the time when the limit on the share ends.
 func (g *gate) shareSuffices(share float64, now time.Duration) bool {
-	bounded := drainPromiseTime
+	duration := drainPromiseTime
 	if g.boundUntil > 0 {
-		bounded = min(bounded, g.boundUntil-now)
+		duration = min(duration, g.boundUntil-now)
 	}
-	expected := drainPromiseMargin * g.rate.perSecond(now) * bounded.Seconds()
+	expected := drainPromiseMargin * g.rate.perSecond(now) * duration.Seconds()
 	return float64(g.targetAttempts)+expected*(1-promoteFraction*share) <= promoteFraction*share*float64(g.attempts)+g.slack
 }
 
-// rateMeter measures how many attempts come a second, by an average that forgets.
+// rateMeter measures attempts per second with an exponentially decaying average.
 type rateMeter struct {
 	rate      float64
 	updatedAt time.Duration
 }
 
-func (f *rateMeter) add(now time.Duration) {
-	f.rate = f.perSecond(now) + 1/creditTime.Seconds()
-	f.updatedAt = now
+func (m *rateMeter) add(now time.Duration) {
+	m.rate = m.perSecond(now) + 1/creditTime.Seconds()
+	m.updatedAt = now
 }
 
-func (f *rateMeter) perSecond(perSecond time.Duration) float64 {
-	return f.rate * math.Exp(-float64(perSecond-f.updatedAt)/float64(creditTime))
+func (m *rateMeter) perSecond(perSecond time.Duration) float64 {
+	return m.rate * math.Exp(-float64(perSecond-m.updatedAt)/float64(creditTime))
 }
--- a/process/rollout/record.go
+++ b/process/rollout/record.go
@@ -8,10 +8,10 @@
 	"shalewick/version"
 )
 
-// Phase is where a roll-out stands. It only goes forward.
+// Phase is the phase of a rollout. It only moves forward.
 type Phase string
 
-// The phases.
+// The phases in their order.
 const (
 	Canary    Phase = "canary"
 	Promote   Phase = "promote"
@@ -19,45 +19,45 @@
 	Reverted  Phase = "reverted"
 )
 
-// Ended reports whether the roll-out is over.
+// Ended reports whether the rollout is over.
 func (p Phase) Ended() bool { return p == Completed || p == Reverted }
 
-// Order is what an operator asks for.
+// Order is an operator's order of a rollout.
 type Order struct {
-	// ID is the number of the order's row in its epoch: an order that is written again is a new
-	// one.
+	// ID is the version of the order's row within its epoch. An order that is written again gets a
+	// new one.
 	ID int64
-	// Epoch is that of the store's history. An order of another epoch is the same if it asks for
-	// the same: the store has lost it, and the operator has written it again.
+	// Epoch is the epoch of the store. An order of another epoch with the same target and time is
+	// the same order: the store has lost it, and the operator has written it again.
 	Epoch  int64
 	Target string
 	Within time.Duration
 }
 
-// Record is the state of a service's newest roll-out. It is kept in a row of the
-// system's own table and outlasts the order.
+// Record is the state of a service's newest rollout. It is kept in a row of the system's own table,
+// also after the order is gone.
 type Record struct {
 	Service string `json:"service"`
-	// Order is the ID of the order that it is for.
+	// Order is the ID of the order.
 	Order  int64  `json:"order"`
 	Epoch  int64  `json:"epoch,omitempty"`
 	Target string `json:"target"`
-	// Within is the order's time; zero: an older release wrote the record.
+	// Within is the time that the order allows. Zero: an older release wrote the record.
 	Within version.Duration `json:"within,omitempty"`
-	// Before is the version that was in force when the order came.
+	// Previous is the version that was in force when the order came.
 	Previous string `json:"before"`
 	Phase    Phase  `json:"phase"`
-	// Began and Deadline are times of the store's steady clock. Deadline is lateOrder
-	// before that of the order, since the order may have been on its way so long.
+	// StartedAt and Deadline are times of the store's monotonic clock. Deadline is maxOrderDelay
+	// before the order's own deadline, since the order may have taken that long to arrive.
 	StartedAt version.Duration `json:"began"`
 	Deadline  version.Duration `json:"deadline"`
-	// Cause says why it was reverted. "": it was not.
+	// Cause says why the rollout was reverted, if it was.
 	Cause string `json:"cause,omitempty"`
-	// Evidence is what the last step was decided on, for operators.
+	// Evidence describes for operators what the last step was based on.
 	Evidence string `json:"evidence,omitempty"`
 }
 
-// InForce returns the version of the software that the record leaves in force.
+// InForce returns the version of the software that is in force by the record.
 func (r *Record) InForce() string {
 	if r.Phase == Completed {
 		return r.Target
@@ -65,7 +65,7 @@
 	return r.Previous
 }
 
-// For reports whether the record is that of an order.
+// For reports whether the record belongs to an order.
 func (r *Record) For(o *Order) bool {
 	if r.Epoch == o.Epoch {
 		return r.Order == o.ID
@@ -73,11 +73,10 @@
 	return r.Target == o.Target && (r.Within == 0 || time.Duration(r.Within) == o.Within)
 }
 
-// isFor reports whether the record is that of an order. Both may be nil.
+// isFor is For for a record and an order that may be nil.
 func (r *Record) isFor(o *Order) bool { return r != nil && o != nil && r.For(o) }
 
-// same reports whether an order is another one written again since the store lost it, or that one
-// itself.
+// sameAs reports whether two orders are the same, possibly written again after the store lost it.
 func (o *Order) sameAs(other *Order) bool {
 	if o.Epoch == other.Epoch {
 		return o.ID == other.ID
--- a/process/rollout/rollout.go
+++ b/process/rollout/rollout.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// TickTime is the pause between two calls of Tick.
+// TickInterval is the time between two calls of Tick.
 const TickInterval = 50 * time.Millisecond
 
-// Bounds are what operators allow.
+// Bounds are the limits set by operators.
 type Bounds struct {
-	// Share is the part of a service's requests, from the order to its deadline, that
-	// the target may get, and Slack a number of requests besides.
+	// Share is the fraction of a service's requests, from the order to its deadline, that the
+	// target may get. Slack is a number of requests that it may get in addition.
 	Share float64
 	Slack float64
-	// StopWithin is the time after the target's 50th bad answer from which it must get
-	// nothing. Zero: there is no bound.
+	// StopWithin is how long after its 50th bad response the target may still get requests. Zero:
+	// there is no such limit.
 	StopWithin time.Duration
 }
 
-// lease is how long a lease lasts.
+// lease returns how long a lease lasts.
 func (b *Bounds) lease() time.Duration {
 	if b.StopWithin == 0 {
 		return maxLeaseTime
@@ -31,32 +31,32 @@
 	return min(maxLeaseTime, time.Duration(leaseFraction*float64(b.StopWithin)))
 }
 
-// Owner is the instance that decides on a service's roll-out.
+// Owner is the instance that decides on a service's rollout.
 type Owner struct {
-	Name    string // "": nobody is known
-	Address string // where it takes messages. "": it is this instance
+	Name    string // "": unknown
+	Address string // where it receives messages; "": it is this instance
 }
 
 // here reports whether this instance is the owner.
 func (o Owner) here() bool { return o.Name != "" && o.Address == "" }
 
-// Service is what the tables say of a service's roll-out.
+// Service is what the tables say about a service's rollout.
 type Service struct {
 	Name  string
-	Order *Order // nil: there is none
-	// Record is the row, and Revision that of its last write; nil and zero: there is
-	// none.
+	Order *Order // nil: none
+	// Record is the rollout's row, and Revision that of its last write. They are nil and zero if
+	// there is none.
 	Record   *Record
 	Revision int64
-	// Held is set if the store has lost the record, or has it as it was before.
+	// RecordLost is set if the store has lost the record, or has only an older version of it.
 	RecordLost bool
-	// InForce is the version that serves, as Admit said.
+	// InForce is the version in force, as selected by SelectVersions.
 	InForce string
-	// InForceSlots are those of the version in force's backend servers that take work, and
-	// Homes are the target's.
+	// InForceSlots is the number of slots of the version in force's backend servers that accept
+	// requests. Homes are the backend servers of the target that do.
 	InForceSlots int
 	Homes        []Home
-	// Unknown is set for a service that the configuration does not have.
+	// Unknown is set if the configuration has no such service.
 	Unknown bool
 }
 
@@ -66,88 +66,88 @@
 	Slots int
 }
 
-// Proposal is a step that an owner wants written.
+// Proposal is a step that an owner wants to write to the store.
 type Proposal struct {
 	Record Record
-	// Revision is that of the row that it replaces. Zero: there must be none.
+	// Revision is the revision of the row to replace. Zero: there must be no row.
 	Revision int64
 }
 
-// Event is what operators should see: a stop, a lease that lapsed, a verdict.
+// Event is an event for operators, such as a stop, the expiry of a lease or a step.
 type Event struct {
 	Service string
 	What    string // "target-stopped", "instance-stopped", "lease-lapsed", "message-skipped" or "step-PHASE"
 	Cause   string
 	Target  Counts
 	Base    Counts
-	// Age is how old the newest of what it was decided on is.
+	// Age is the age of the newest data that led to the event.
 	Age time.Duration
-	// Late is by how much the machine gave this instance its turns late within the last moments.
+	// SchedulingDelay is the largest recent scheduling delay of this instance's process.
 	SchedulingDelay time.Duration
 }
 
-// Rollouts is the roll-outs of all services at one instance. The fields are set before
+// Controller runs the rollouts of all services at one instance. The exported fields are set before
 // use.
 type Controller struct {
 	Now    func() time.Duration
 	Bounds Bounds
-	// Incarnation tells this process from the one before at the same address.
+	// Incarnation distinguishes this process from earlier ones at the same address.
 	Incarnation int64
-	// Owner returns who decides on a service. It is asked at each tick.
+	// Owner returns the owner of a service's rollout. It is called at each tick.
 	Owner func(service string) Owner
-	// Live returns the addresses of the instances that live, "" for this one.
+	// Live returns the addresses of the live instances, "" for this one.
 	Live func() []string
-	// InFlight returns the number of this instance's requests at backend servers of
-	// the version in force.
+	// InFlight returns how many requests this instance has in flight at backend servers of the
+	// version in force.
 	InFlight func(service string) int
 	// Send sends a message to an address. Messages may be lost.
 	Send func(address string, message []byte)
-	// Introduce, if set, tells the instance at an address who this one is, and whether it is cut
-	// off from the store: the two do not agree on the owner.
+	// Announce, if set, tells the instance at an address who this one is and whether it is cut off
+	// from the store. It is called when the two don't agree on the owner.
 	Announce func(address string)
-	// Log, if set, is told of what operators should see. It must not call the
-	// roll-outs.
+	// Log, if set, receives the events. It must not call the Controller.
 	Log func(e Event)
-	// Late, if set, returns by how much the machine gave this process its turns late within
-	// the last moments.
+	// SchedulingDelay, if set, returns the largest recent scheduling delay of this process.
 	SchedulingDelay func() time.Duration
-	// Random, if set, returns a number from zero to one.
+	// Random, if set, returns a random number from zero to one.
 	Random func() float64
 
-	// running is set while there is an order, so that requests cost nothing else.
+	// active is set while any service has an order or a running rollout. Requests skip all other
+	// work if it is not set.
 	active atomic.Bool
 
 	mu              sync.Mutex
-	installedAt     time.Duration // of the first Install. Zero: there was none
+	installedAt     time.Duration // time of the first Install; zero: none yet
 	services        map[string]*service
 	byHash          map[uint64]*service
 	live            []string
-	maxLive         int           // the most instances that lived at once lately
-	previousMaxLive int           // ... in the span of time before
-	maxLiveSince    time.Duration // since when mostLive counts
-	liveAt          time.Duration // when live was asked last
-	storeOffset     time.Duration // the store's clock, less this instance's
+	maxLive         int           // highest number of live instances in the present span of fleetSizeMemory
+	previousMaxLive int           // the same for the previous span
+	maxLiveSince    time.Duration // when the present span began
+	liveAt          time.Duration // when live was last updated
+	storeOffset     time.Duration // store clock minus this instance's clock
 	storeKnown      bool
-	events          []Event         // to be logged once the lock is free
-	skipped         map[string]bool // senders of messages that could not be taken up
+	events          []Event         // to be logged once the lock is released
+	skipped         map[string]bool // senders of messages that could not be processed
 }
 
-// service is the roll-out of one service at this instance.
+// service is the rollout of one service at this instance.
 type service struct {
 	Service
 	hash    uint64
-	removed bool // the tables have no roll-out of it any more
-	// seen is when this instance saw the present order. Zero: it was there at its start.
+	removed bool // the tables have no rollout of it any more
+	// orderSeenAt is when this instance first saw the present order. Zero: the order was there when
+	// the instance started.
 	orderSeenAt time.Duration
 	rotation    rotation
 	owner       Owner
-	// ownsSince is since when this instance is the owner, if it is, and introduced when it told
-	// who it is to those that had not reported to it since, last.
+	// ownerSince is when this instance became the owner, if it is. announcedAt is when it last
+	// announced itself to instances that have not reported to it.
 	ownerSince, announcedAt time.Duration
-	// gaveUp: another instance is the owner now, and those that reported to this one may not know
-	// it.
+	// lostOwnership is set when another instance has become the owner, until those that reported to
+	// this one have been told.
 	lostOwnership bool
-	// toBefore is the number of attempts at the version before that have not ended.
+	// inFlightToPrevious is the number of attempts at the previous version that have not ended.
 	inFlightToPrevious int
 	stats              *localStats
 	gate               gate
@@ -155,8 +155,8 @@
 	ownerState         ownerState
 }
 
-// Install takes up what the tables say of all services that have an order or a record
-// of one that has not ended.
+// Install applies the tables' state of all services that have an order, or a record of a rollout
+// that has not ended.
 func (r *Controller) Install(services []Service) {
 	live := r.Live()
 	r.mu.Lock()
@@ -185,15 +185,15 @@
 	r.active.Store(len(services) > 0)
 }
 
-// install takes up what the tables say of one service. The caller holds the lock.
+// install applies the tables' state of one service. The caller holds the lock.
 func (r *Controller) install(s *service, x Service, now time.Duration) {
 	if s.Revision > x.Revision {
-		x.Record, x.Revision = s.Record, s.Revision // this instance wrote it
+		x.Record, x.Revision = s.Record, s.Revision // this instance wrote a newer one
 	}
 	old := s.Order
-	goesOn := old != nil && x.Order != nil && old.Target == x.Order.Target && !ended(s.Record) && !ended(x.Record)
-	same := old != nil && x.Order != nil && x.Order.sameAs(old)
-	if x.Order != nil && !same {
+	continues := old != nil && x.Order != nil && old.Target == x.Order.Target && !ended(s.Record) && !ended(x.Record)
+	unchanged := old != nil && x.Order != nil && x.Order.sameAs(old)
+	if x.Order != nil && !unchanged {
 		s.orderSeenAt = r.orderSeenTime(now)
 	}
 	s.Service = x
@@ -202,8 +202,8 @@
 	case x.Order == nil:
 		s.stats = nil
 		return
-	case same && s.stats != nil:
-	case goesOn && s.stats != nil:
+	case unchanged && s.stats != nil:
+	case continues && s.stats != nil:
 		s.gate = s.gate.forNewOrder()
 	default:
 		r.resetStats(s, now)
@@ -211,7 +211,7 @@
 	r.applyRecord(s, now)
 }
 
-// seenAt is now, or zero for what was there when the process started.
+// orderSeenTime returns now, or zero for an order that was there when the process started.
 func (r *Controller) orderSeenTime(now time.Duration) time.Duration {
 	if now == r.installedAt {
 		return 0
@@ -221,7 +221,7 @@
 
 func ended(r *Record) bool { return r != nil && r.Phase.Ended() }
 
-// try begins with an order whose target is not known yet.
+// resetStats starts measuring a target about which nothing is known yet.
 func (r *Controller) resetStats(s *service, now time.Duration) {
 	s.stats = &localStats{routes: make(map[string]*routeStats), analysis: newAnalysis(localAlarmThreshold(r.fleetSize()))}
 	s.gate = gate{}
@@ -232,24 +232,24 @@
 	s.ownerState = newOwnerState(now)
 }
 
-// noteRecord takes up the record of the present order, if there is one.
+// applyRecord applies the record of the present order, if there is one.
 func (r *Controller) applyRecord(s *service, now time.Duration) {
 	if !s.Record.isFor(s.Order) {
 		return
 	}
-	began := int64(s.Record.StartedAt)
-	if s.stats.rolloutStartedAt != 0 && s.stats.rolloutStartedAt != began {
-		r.resetStats(s, now) // what was known is of a roll-out that has ended meanwhile
+	startedAt := int64(s.Record.StartedAt)
+	if s.stats.rolloutStartedAt != 0 && s.stats.rolloutStartedAt != startedAt {
+		r.resetStats(s, now) // the measurements are of a rollout that has ended meanwhile
 	}
-	s.stats.rolloutStartedAt = began
+	s.stats.rolloutStartedAt = startedAt
 	s.gate.advanceTo(s.Record.Phase)
 	if s.Record.Phase == Promote {
 		s.ownerState.markPromoted(now)
 	}
 }
 
-// runs reports whether requests of the service are part of a roll-out. After the last
-// step they are until the version that serves here is the target, too.
+// inProgress reports whether requests of the service are part of a rollout. After the last step
+// they still are until the target is in force at this instance.
 func (s *service) inProgress() bool {
 	return !s.removed && s.stats != nil && s.Order.Target != s.InForce && !(s.Record.isFor(s.Order) && s.Record.Phase == Reverted)
 }
@@ -268,7 +268,7 @@
 	return rand.Float64()
 }
 
-// unlock frees the lock, and logs what has happened under it.
+// unlock releases the lock and logs the events that occurred under it.
 func (r *Controller) unlock() {
 	events := r.events
 	r.events = nil
@@ -280,9 +280,9 @@
 	}
 }
 
-// note notes an event of a service.
-func (r *Controller) logEvent(s *service, what, cause string, v *analysis, age time.Duration) {
+// logEvent queues an event of a service for unlock.
+func (r *Controller) logEvent(s *service, what, cause string, a *analysis, age time.Duration) {
 	r.events = append(r.events, Event{
-		Service: s.Name, What: what, Cause: cause, Target: v.all.total.target, Base: v.all.total.base, Age: age, SchedulingDelay: r.schedulingDelay(),
+		Service: s.Name, What: what, Cause: cause, Target: a.all.total.target, Base: a.all.total.base, Age: age, SchedulingDelay: r.schedulingDelay(),
 	})
 }
--- a/process/rollout/trial.go
+++ b/process/rollout/stats.go
@@ -2,18 +2,19 @@
 
 package rollout
 
-// trial is what this instance knows of a target. It outlasts an order that is written
-// again while the roll-out runs.
+// localStats is what this instance has measured of a rollout. It is kept if the order is written
+// again while the rollout runs.
 type localStats struct {
-	rolloutStartedAt int64 // Record.Began; zero: not known yet
+	rolloutStartedAt int64 // Record.StartedAt; zero: not known yet
 	routes           map[string]*routeStats
-	otherRoutes      *routeStats // beyond mostRoutes
+	otherRoutes      *routeStats // all routes beyond maxRoutes
 	analysis         analysis
-	// Of all routes together: a target's doubtful answers have to be told early.
+	// These cover all routes together, since ambiguous responses of a target have to be resolved
+	// early.
 	baseAmbiguous, targetAmbiguous ambiguityFilter
 }
 
-// routeTrial is a route of a trial.
+// routeStats is what this instance has measured on a route.
 type routeStats struct {
 	hash routeHash
 	versionCounts
@@ -35,7 +36,7 @@
 	return t.otherRoutes
 }
 
-// part is the part of the requests that come on a route.
+// trafficFraction returns the estimated fraction of all requests that come on a route.
 func (t *localStats) trafficFraction(x *routeStats) float64 {
 	all := t.analysis.all.total.base.Requests
 	return float64(x.base.Requests+1) / float64(all+assumedRoutes)
--- a/process/rollout/step.go
+++ b/process/rollout/step.go
@@ -9,34 +9,34 @@
 	"shalewick/version"
 )
 
-// Proposals returns the steps that this instance, as the owner, wants written. Now is
-// the store's steady clock.
+// Proposals returns the steps that this instance, as the owner, wants to write to the store. Now is
+// the store's monotonic clock.
 func (r *Controller) Proposals(now time.Duration) (out []Proposal) {
-	seen := r.collectServiceInfo()
+	infos := r.collectServiceInfo()
 	live := r.Live()
 	r.mu.Lock()
 	defer r.unlock()
-	own := r.Now()
-	r.setLive(live, own)
-	r.storeOffset = now - own
+	localNow := r.Now()
+	r.setLive(live, localNow)
+	r.storeOffset = now - localNow
 	r.storeKnown = true
-	for name, x := range seen {
+	for name, x := range infos {
 		s := r.services[name]
 		if s == nil {
 			continue
 		}
-		s.setOwner(x.owner, own)
+		s.setOwner(x.owner, localNow)
 		if !s.owner.here() {
 			continue
 		}
-		if p := r.propose(s, now, own); p != nil {
+		if p := r.propose(s, now, localNow); p != nil {
 			out = append(out, *p)
 		}
 	}
 	return out
 }
 
-// Written tells that a proposal is in the store, and the revision of its row.
+// Confirm records that a proposal has been written to the store, and the revision of its row.
 func (r *Controller) Confirm(p Proposal, revision int64) {
 	r.mu.Lock()
 	defer r.unlock()
@@ -52,26 +52,26 @@
 	}
 }
 
-// propose returns the step that is due, unless it was proposed just now.
+// propose returns the step that is due, unless it was proposed less than proposeInterval ago.
 func (r *Controller) propose(s *service, store, now time.Duration) *Proposal {
 	record := r.nextRecord(s, store, now)
 	if record == nil {
 		return nil
 	}
-	d := &s.ownerState
+	o := &s.ownerState
 	p := &Proposal{Record: *record, Revision: s.Revision}
-	if old := d.proposed; old != nil && old.Revision == p.Revision && old.Record.Phase == p.Record.Phase && old.Record.Order == p.Record.Order {
-		if now-d.proposedAt < proposeInterval {
+	if old := o.proposed; old != nil && old.Revision == p.Revision && old.Record.Phase == p.Record.Phase && old.Record.Order == p.Record.Order {
+		if now-o.proposedAt < proposeInterval {
 			return nil
 		}
 	} else if s.stats != nil {
-		r.logEvent(s, "step-"+string(record.Phase), record.Cause, &d.analysis, now-d.lastReportAt)
+		r.logEvent(s, "step-"+string(record.Phase), record.Cause, &o.analysis, now-o.lastReportAt)
 	}
-	d.proposed, d.proposedAt = p, now
+	o.proposed, o.proposedAt = p, now
 	return p
 }
 
-// step returns the record as it should be, or nil if it should be as it is.
+// nextRecord returns the record that should replace the present one, or nil if none should.
 func (r *Controller) nextRecord(s *service, store, now time.Duration) *Record {
 	switch order, record := s.Order, s.Record; {
 	case s.needsRestore():
@@ -94,8 +94,8 @@
 	return s.firstRecord(store, now)
 }
 
-// lost reports whether the store lacks the record as it is known here, or has it under an order
-// that the operator has written again since.
+// needsRestore reports whether the store has lost the record that this instance knows, or has it
+// under an order that the operator has written again since.
 func (s *service) needsRestore() bool {
 	if s.Record == nil {
 		return false
@@ -103,7 +103,7 @@
 	return s.RecordLost || s.Record.isFor(s.Order) && s.Record.Epoch < s.Order.Epoch
 }
 
-// restored returns the record as it has to be written again.
+// restoredRecord returns the record to write to the store again.
 func (s *service) restoredRecord() *Record {
 	x := *s.Record
 	if s.Record.isFor(s.Order) && s.Record.Epoch < s.Order.Epoch {
@@ -112,7 +112,7 @@
 	return &x
 }
 
-// revert returns the record with the roll-out given up.
+// revertedRecord returns the record of a reverted rollout.
 func (s *service) revertedRecord(cause string) *Record {
 	x := *s.Record
 	x.Phase = Reverted
@@ -121,19 +121,19 @@
 	return &x
 }
 
-// evidence is what is known, in words.
-func (d *ownerState) evidence() string {
-	total := d.analysis.all.total
+// evidence returns the counts of both versions as text.
+func (o *ownerState) evidence() string {
+	total := o.analysis.all.total
 	return fmt.Sprintf("target: %s; before: %s", total.target, total.base)
 }
 
-// firstStep returns the first record of an order.
+// firstRecord returns the first record of an order.
 func (s *service) firstRecord(store, now time.Duration) *Record {
-	began := s.orderedAt(store, now)
+	startedAt := s.orderedAt(store, now)
 	x := &Record{
 		Service: s.Name, Order: s.Order.ID, Epoch: s.Order.Epoch, Target: s.Order.Target, Within: version.Duration(s.Order.Within),
 		Previous: s.InForce, Phase: Canary,
-		StartedAt: version.Duration(began), Deadline: version.Duration(s.deadline(began)),
+		StartedAt: version.Duration(startedAt), Deadline: version.Duration(s.deadline(startedAt)),
 	}
 	if s.Record != nil {
 		x.Previous = s.Record.InForce()
@@ -152,8 +152,8 @@
 	return x
 }
 
-// orderedAt is when this instance saw the present order, by the store's clock. It is a
-// little later than when the order was given.
+// orderedAt returns when this instance first saw the present order, by the store's clock. That is
+// slightly later than the order was written.
 func (s *service) orderedAt(store, now time.Duration) time.Duration {
 	if s.orderSeenAt == 0 {
 		return store
@@ -161,12 +161,12 @@
 	return store - (now - s.orderSeenAt)
 }
 
-// deadline is when the present order must be through if it was seen at a time.
+// deadline returns when the present order has to be complete if it was seen at a time.
 func (s *service) deadline(seen time.Duration) time.Duration {
 	return seen + max(0, s.Order.Within-maxOrderDelay)
 }
 
-// nonsense says what is wrong with an order, if anything is.
+// invalidReason returns why an order is invalid, or "".
 func (o *Order) invalidReason() string {
 	switch {
 	case o.Target == "":
@@ -179,7 +179,7 @@
 	return ""
 }
 
-// reorder returns the record for an order that asks again for what runs.
+// reorderedRecord returns the record for an order that repeats the order of the running rollout.
 func (s *service) reorderedRecord(store, now time.Duration) *Record {
 	x := *s.Record
 	x.Order, x.Epoch, x.Within = s.Order.ID, s.Order.Epoch, version.Duration(s.Order.Within)
@@ -194,52 +194,53 @@
 	return &x
 }
 
-// promoteAt is when the promotion is due, by the store's clock: so long before the share
-// is no longer bounded that the rest of it lasts until then. An earlier one would run
-// out of it, and send requests to the version before again.
+// promoteAt returns when the promotion is due, by the store's clock. It is chosen so that the
+// unused part of the share lasts until the limit on the share ends. An earlier promotion would use
+// it up and then send requests to the previous version again.
 func (s *service) promoteAt(share float64) time.Duration {
 	return s.boundEnd() - s.promotionTime(share)
 }
 
-// promotionLasts is for how long before the end of the bound all requests may go to the
+// promotionTime returns how long before the limit on the share ends all requests may go to the
 // target.
 func (s *service) promotionTime(share float64) time.Duration {
 	return time.Duration(promotionFraction * (promoteFraction - canaryFraction) * share * float64(s.Order.Within))
 }
 
-// unbounded is when the share is no longer bounded, by the store's clock: the order's
-// deadline if it travelled as long as is allowed for.
+// boundEnd returns when the limit on the share ends, by the store's clock: the order's deadline if
+// the order took maxOrderDelay to arrive.
 func (s *service) boundEnd() time.Duration { return time.Duration(s.Record.Deadline) + maxOrderDelay }
 
-// endCanary promotes the target when it is time, and gives it up when it is too late.
+// canaryStep promotes the target once that is due, and reverts the rollout if evidence is still
+// lacking shortly before the deadline.
 func (r *Controller) canaryStep(s *service, store, now time.Duration) *Record {
 	if store < s.promoteAt(r.Bounds.Share) {
 		return nil
 	}
-	lack := r.missingForPromotion(s)
-	if lack == "" && r.enoughLive() {
+	missing := r.missingForPromotion(s)
+	if missing == "" && r.enoughLive() {
 		x := *s.Record
 		x.Phase = Promote
 		x.Evidence = s.ownerState.evidence()
 		return &x
 	}
-	late := store - (time.Duration(s.Record.Deadline) - revertMargin)
-	if late < 0 || late < maxTakeoverDelay && s.takingOver(now) {
+	overdue := store - (time.Duration(s.Record.Deadline) - revertMargin)
+	if overdue < 0 || overdue < maxTakeoverDelay && s.takingOver(now) {
 		return nil
 	}
-	if lack == "" {
-		lack = "most instances do not answer"
+	if missing == "" {
+		missing = "most instances do not answer"
 	}
-	return s.revertedRecord(lack)
+	return s.revertedRecord(missing)
 }
 
-// lack says what is lacking for a promotion, if anything is.
+// missingForPromotion returns why the target can't be promoted, or "".
 func (r *Controller) missingForPromotion(s *service) string {
 	total := s.ownerState.analysis.all.total
-	given := minShareUsed * canaryFraction * r.Bounds.Share * float64(total.base.Requests+total.target.Requests)
+	minUsed := minShareUsed * canaryFraction * r.Bounds.Share * float64(total.base.Requests+total.target.Requests)
 	n := total.target.Requests
 	switch {
-	case n < enoughResponses && (n < minResponses || float64(n) < given):
+	case n < enoughResponses && (n < minResponses || float64(n) < minUsed):
 		return fmt.Sprintf("too little evidence: %d answers of the target", n)
 	case s.ownerState.analysis.inDoubt():
 		return "target is in doubt"
@@ -254,41 +255,41 @@
 	return ""
 }
 
-// endPromotion completes the roll-out once no instance has anything at the version
-// before, and none will send anything there.
+// promotionStep completes the rollout once no instance has a request at the previous version and
+// none will send one there. It reverts the rollout if the target is gone.
 func (r *Controller) promotionStep(s *service, store, now time.Duration) *Record {
-	d := &s.ownerState
+	o := &s.ownerState
 	if s.rotation.slots > 0 || s.InForceSlots == 0 {
-		d.targetGoneSince = 0
-	} else if d.targetGoneSince == 0 {
-		d.targetGoneSince = now
+		o.targetGoneSince = 0
+	} else if o.targetGoneSince == 0 {
+		o.targetGoneSince = now
 	}
-	if d.targetGoneSince > 0 && now-d.targetGoneSince >= maxTargetGone {
+	if o.targetGoneSince > 0 && now-o.targetGoneSince >= maxTargetGone {
 		return s.revertedRecord("target is gone")
 	}
-	if s.canKeepWatching(r.Bounds.Share, store, now) || !d.confirmed(now) || !r.allDrained(s, now) {
+	if s.canKeepWatching(r.Bounds.Share, store, now) || !o.confirmed(now) || !r.allDrained(s, now) {
 		return nil
 	}
 	x := *s.Record
 	x.Phase = Completed
-	x.Evidence = d.evidence()
+	x.Evidence = o.evidence()
 	return &x
 }
 
-// mayWait reports whether there is time to watch the target under all requests, where a
-// fault may show that a small share did not bring about.
+// canKeepWatching reports whether there is time to observe the target under all requests. That may
+// show faults that don't occur with a small share.
 func (s *service) canKeepWatching(share float64, store, now time.Duration) bool {
-	before := min(max(minCompletionMargin, s.promotionTime(share)/2), maxCompletionMargin)
-	return store < s.boundEnd()-before && now-s.ownerState.promotedAt < maxWatchTime
+	margin := min(max(minCompletionMargin, s.promotionTime(share)/2), maxCompletionMargin)
+	return store < s.boundEnd()-margin && now-s.ownerState.promotedAt < maxWatchTime
 }
 
-// confirmed reports whether the target has held under all requests.
-func (d *ownerState) confirmed(now time.Duration) bool {
-	return d.promotedAt != 0 && !d.analysis.inDoubt() && d.pendingLooksGood() && (d.goodResponses()-d.goodAtPromotion >= confirmingResponses || now-d.promotedAt >= quietTime)
+// confirmed reports whether the target has performed well under all requests.
+func (o *ownerState) confirmed(now time.Duration) bool {
+	return o.promotedAt != 0 && !o.analysis.inDoubt() && o.pendingLooksGood() && (o.goodResponses()-o.goodAtPromotion >= confirmingResponses || now-o.promotedAt >= quietTime)
 }
 
-// allDrained reports whether each live instance has said lately that nothing is at the
-// version before, and that nothing goes there.
+// allDrained reports whether each live instance has recently reported that it has nothing in flight
+// at the previous version and will send nothing there.
 func (r *Controller) allDrained(s *service, now time.Duration) bool {
 	if !r.enoughLive() {
 		return false
@@ -304,7 +305,7 @@
 	return true
 }
 
-func (d *ownerState) isDrained(address string, now time.Duration) bool {
-	p := d.byAddress[address]
+func (o *ownerState) isDrained(address string, now time.Duration) bool {
+	p := o.byAddress[address]
 	return p != nil && p.inPromotion && p.drained && p.madeAfter > 0 && now-p.madeAfter <= maxReportAge
 }
--- a/process/rollout/wire.go
+++ b/process/rollout/wire.go
@@ -10,27 +10,27 @@
 	"github.com/juju/errors"
 )
 
-// The first byte of a message says what it is. 1 and 2 are those of quotas.
+// The first byte of a message is its kind. Kinds 1 and 2 belong to quotas.
 const (
 	kindReport = 3
 	kindReply  = 4
 )
 
-// mostRoutes bounds the routes of a message, so that it fits in a datagram.
+// maxRoutes limits the routes in a message, so that it fits in a datagram.
 const maxRoutes = 32
 
-// Flags of reports and answers. The lowest three bits are the phase.
+// Flags of reports and replies. The lowest three bits are the phase.
 const (
 	phaseBits        = 7
-	flagHalted       = 1 << 3 // of both
-	flagDrained      = 1 << 4 // of a report
-	flagHasEcho      = 1 << 5 // of a report
-	flagStepDueSoon  = 1 << 4 // of an answer
-	flagLacking      = 1 << 5 // of an answer
-	flagHasRemaining = 1 << 6 // of an answer
+	flagHalted       = 1 << 3 // both
+	flagDrained      = 1 << 4 // report
+	flagHasEcho      = 1 << 5 // report
+	flagStepDueSoon  = 1 << 4 // reply
+	flagLacking      = 1 << 5 // reply
+	flagHasRemaining = 1 << 6 // reply
 )
 
-// phases are the phases by number, which is their order.
+// phases lists the phases by number, which is also their order.
 var phases = [...]Phase{"", Canary, Promote, Completed, Reverted}
 
 func phaseNumber(p Phase) byte {
@@ -42,21 +42,21 @@
 	return 0
 }
 
-// report is what an instance tells the owner of a service.
+// report is a message from an instance to the owner of a service.
 type report struct {
 	service     uint64
 	order       int64
 	incarnation int64
 	seq         byte
 	phase       Phase
-	// halted: this instance has stopped, or was told to.
+	// halted: this instance has halted the target, on its own or because it was told to.
 	halted bool
-	// drained: nothing is at the version before, and nothing will go there for
-	// promiseTime.
+	// drained: nothing is in flight at the previous version, and nothing will go there for
+	// drainPromiseTime.
 	drained  bool
 	inFlight uint64
-	// echo is the stamp of the owner's last answer, if echoes is set: the report was made
-	// after it.
+	// echoClock is the owner's clock in its last reply, if hasEcho is set. The report was made
+	// after that time.
 	echoClock uint32
 	hasEcho   bool
 	routes    []routeCounts
@@ -68,22 +68,23 @@
 	versionCounts
 }
 
-// answer is what the owner says.
+// reply is a message from the owner to an instance.
 type reply struct {
 	service uint64
 	order   int64
-	// seq is that of the report. Zero: the answer is to none, and gives no lease.
+	// seq is the sequence number of the report. Zero: the message replies to none and grants no
+	// lease.
 	seq    byte
 	phase  Phase
 	halted bool
-	// soon: the phase is about to change.
+	// stepDueSoon: the phase is about to change.
 	stepDueSoon bool
-	// stamp is the owner's clock in milliseconds. Turns follow from it.
+	// ownerClock is the owner's clock in milliseconds, which determines the rounds.
 	ownerClock uint32
-	// left is the time for which the bound on the share holds, if timed is set.
+	// remaining is how long the limit on the share still holds, if hasRemaining is set.
 	remaining    time.Duration
 	hasRemaining bool
-	// lacking are the routes that lack evidence; allLacking: each one does.
+	// lackingRoutes are the routes that lack evidence. allLacking: the service as a whole does.
 	lackingRoutes []routeHash
 	allLacking    bool
 }
@@ -114,8 +115,8 @@
 	return out
 }
 
-// append appends counts, with the answers that are not timed in place of those that are:
-// at the version before they are few.
+// appendTo appends the encoded counts. It writes the number of responses that are not timed instead
+// of those that are, since it is small for the previous version.
 func (c Counts) appendTo(out []byte) []byte {
 	out = binary.AppendUvarint(out, uint64(c.Requests))
 	out = binary.AppendUvarint(out, uint64(c.Failed))
@@ -140,7 +141,7 @@
 	return out
 }
 
-// reader reads a message. After the first mistake it returns zeros.
+// reader decodes a message. After the first error it returns zeros.
 type reader struct {
 	rest   []byte
 	failed bool
@@ -160,7 +161,7 @@
 func (r *reader) uint32() uint32 { return binary.LittleEndian.Uint32(r.take(4)) }
 func (r *reader) uint64() uint64 { return binary.LittleEndian.Uint64(r.take(8)) }
 
-// count reads a number that is not below zero.
+// count reads an unsigned number.
 func (r *reader) count() int64 {
 	x, n := binary.Uvarint(r.rest)
 	if n <= 0 || x > math.MaxInt64 {
@@ -181,7 +182,7 @@
 	return x
 }
 
-// phase reads the phase out of flags.
+// phase extracts the phase from the flags.
 func (r *reader) phase(flags byte) Phase {
 	n := flags & phaseBits
 	if int(n) >= len(phases) {
@@ -191,7 +192,7 @@
 	return phases[n]
 }
 
-// counts reads counts. A count that makes no sense beside the others is a mistake.
+// counts reads counts. Counts that contradict each other are an error.
 func (r *reader) counts() Counts {
 	c := Counts{Requests: r.count(), Failed: r.count()}
 	c.Timed = c.Requests - r.count()
@@ -202,21 +203,21 @@
 	return c
 }
 
-// mostCount bounds a count, so that sums of them do not overflow.
+// maxCount limits a count, so that sums of counts do not overflow.
 const maxCount = 1 << 48
 
-// err returns whether the message was one.
+// err returns an error if the message was malformed.
 func (r *reader) err() error {
 	if r.failed || len(r.rest) > 0 {
-		return errors.New("not a message of roll-outs")
+		return errors.New("malformed rollout message")
 	}
 	return nil
 }
 
-func decodeReport(text []byte) (*report, error) {
-	r := reader{rest: text}
+func decodeReport(payload []byte) (*report, error) {
+	r := reader{rest: payload}
 	if r.byte() != kindReport {
-		return nil, errors.New("not a report")
+		return nil, errors.New("not a rollout report")
 	}
 	x := &report{service: r.uint64(), order: r.signed(), incarnation: int64(r.uint64()), seq: r.byte()}
 	flags := r.byte()
@@ -235,10 +236,10 @@
 	return x, r.err()
 }
 
-func decodeReply(text []byte) (*reply, error) {
-	r := reader{rest: text}
+func decodeReply(payload []byte) (*reply, error) {
+	r := reader{rest: payload}
 	if r.byte() != kindReply {
-		return nil, errors.New("not an answer")
+		return nil, errors.New("not a rollout reply")
 	}
 	x := &reply{service: r.uint64(), order: r.signed(), seq: r.byte()}
 	flags := r.byte()
@@ -258,5 +259,5 @@
 	return x, r.err()
 }
 
-// mostLeft bounds the time that an answer tells.
+// maxRemaining limits the time in a reply.
 const maxRemaining = 48 * time.Hour
--- a/process/rolloutview/view_test.go
+++ b/process/rolloutview/view_test.go
@@ -14,7 +14,7 @@
 	"shalewick/request"
 )
 
-// TestState checks where a roll-out is said to stand.
+// TestState checks the state for combinations of order and record.
 func TestState(t *testing.T) {
 	record := func(order int64, phase rollout.Phase) *rollout.Record {
 		return &rollout.Record{Order: order, Phase: phase}
@@ -38,7 +38,7 @@
 	}
 }
 
-// TestHandler serves the call as an instance does beside its metrics.
+// TestHandler checks the call as an instance serves it.
 func TestHandler(t *testing.T) {
 	call := func(find Find, service string) *httptest.ResponseRecorder {
 		mux := http.NewServeMux()
