--- a/process/rollout/attempt.go
+++ b/process/rollout/attempt.go
@@ -59,8 +59,8 @@
 	}
 	now := r.Now()
 	a := &Attempt{controller: r, service: s, stats: s.stats, route: s.stats.route(route), orderID: s.Order.ID}
-	s.reporting.lastRequestAt = now
-	s.reporting.hadRequest = true
+	s.reportState.lastRequestAt = now
+	s.reportState.hadRequest = true
 	s.gate.addAttempt(r.Bounds.Share, r.creditPeriod(s), now)
 	dest := r.destination(a, first, now)
 	if dest != ifActive {
@@ -169,7 +169,7 @@
 	}
 	s.stats.analysis.addTarget(a.route.hash, c, now, now)
 	if c.bad() > 0 {
-		s.reporting.urgent = true
+		s.reportState.urgent = true
 	}
 	if s.stats.analysis.cause != "" && !s.gate.halted {
 		s.gate.halted = true // a drain promise stays valid until it ends
--- a/process/rollout/compare_test.go
+++ b/process/rollout/compare_test.go
@@ -12,23 +12,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// sample is an answer as a verdict sees it.
+// sample is a response as a detector sees it.
 type sample struct {
-	failed bool
-	timed  bool
-	slow   bool
-	took   float64 // seconds
+	failed  bool
+	timed   bool
+	slow    bool
+	latency float64 // seconds
 }
 
-// judging is a way to come to a verdict.
+// detector decides whether the target is bad.
 type detector interface {
 	base(x sample, now time.Duration)
 	target(x sample, now time.Duration)
-	// bad is asked each 500 ms.
+	// isBad is called every 500 ms.
 	isBad(now time.Duration) bool
 }
 
-// counting is the way in use: sums over counts of failed and slow answers.
+// cusumDetector is the detector in use: sums over counts of failed and slow responses.
 type cusumDetector struct{ analysis analysis }
 
 func (c *cusumDetector) counts(x sample) Counts {
@@ -51,48 +51,50 @@
 }
 func (c *cusumDetector) isBad(time.Duration) bool { return c.analysis.cause != "" }
 
-// ranking compares the ranks of times in two windows (Mann and Whitney 1947), a failure
-// being slower than all answers. It needs the times themselves at the owner.
+// rankDetector compares the ranks of latencies in two windows (Mann and Whitney 1947). A failure
+// ranks slower than all responses. It would require sending the latencies themselves to the owner.
 type rankDetector struct {
-	baseTimes, targetTimes []float64
-	windowSize             int // answers of a version that it looks back on
-	threshold              float64
+	baseLatencies, targetLatencies []float64
+	windowSize                     int // responses of each version
+	threshold                      float64
 }
 
 func (r *rankDetector) add(list []float64, x sample) []float64 {
-	took := x.took
+	latency := x.latency
 	if x.failed {
-		took = math.Inf(1)
+		latency = math.Inf(1)
 	}
-	list = append(list, took)
+	list = append(list, latency)
 	return list[max(0, len(list)-r.windowSize):]
 }
 
-func (r *rankDetector) base(x sample, _ time.Duration)   { r.baseTimes = r.add(r.baseTimes, x) }
-func (r *rankDetector) target(x sample, _ time.Duration) { r.targetTimes = r.add(r.targetTimes, x) }
+func (r *rankDetector) base(x sample, _ time.Duration) { r.baseLatencies = r.add(r.baseLatencies, x) }
+func (r *rankDetector) target(x sample, _ time.Duration) {
+	r.targetLatencies = r.add(r.targetLatencies, x)
+}
 
 func (r *rankDetector) isBad(time.Duration) bool {
-	const fewest = 8
-	n, m := float64(len(r.targetTimes)), float64(len(r.baseTimes))
-	if n < fewest || m < fewest {
+	const minSamples = 8
+	n, m := float64(len(r.targetLatencies)), float64(len(r.baseLatencies))
+	if n < minSamples || m < minSamples {
 		return false
 	}
-	before := slices.Clone(r.baseTimes)
-	slices.Sort(before)
-	u := 0.0
-	for _, x := range r.targetTimes {
-		at, _ := slices.BinarySearch(before, x)
+	baseline := slices.Clone(r.baseLatencies)
+	slices.Sort(baseline)
+	typical := 0.0
+	for _, x := range r.targetLatencies {
+		at, _ := slices.BinarySearch(baseline, x)
 		ties := 0
-		for at+ties < len(before) && before[at+ties] == x {
+		for at+ties < len(baseline) && baseline[at+ties] == x {
 			ties++
 		}
-		u += float64(at) + float64(ties)/2
+		typical += float64(at) + float64(ties)/2
 	}
-	z := (u - n*m/2) / math.Sqrt(n*m*(n+m+1)/12)
+	z := (typical - n*m/2) / math.Sqrt(n*m*(n+m+1)/12)
 	return z > r.threshold
 }
 
-// stream is a case for a verdict: how both versions answer, by the time.
+// scenario is a test case for detectors: the behaviour of both versions over time.
 type scenario struct {
 	name   string
 	bad    bool
@@ -133,35 +135,35 @@
 	{"8 times slower", true, onlyTarget(behaviour{factor: 8, failedFraction: goodBehaviour.failedFraction}, 0)},
 }
 
-// playStream plays a stream of a minute to a way of judging. It returns when that found
-// the target bad, and how many bad answers it had given.
-func playScenario(s scenario, w detector, seed uint64) (found bool, after time.Duration, answers int) {
+// playScenario runs a scenario of one minute with a detector. It returns when that found the target
+// bad, and how many bad responses the target had given.
+func runScenario(s scenario, w detector, seed uint64) (found bool, after time.Duration, responses int) {
 	const (
 		requests = 200
-		every    = 25 // one of so many goes to the target
+		every    = 25 // one of so many requests goes to the target
 	)
 	random := rand.New(rand.NewPCG(seed, 3))
-	var u typicalLatency
+	var typical typicalLatency
 	badSince := time.Duration(-1)
 	for i := range requests * 60 {
 		now := time.Duration(i) * time.Second / requests
 		target := i%every == every-1
 		b := s.behave(target, now)
 		if target && b != goodBehaviour {
-			answers++
+			responses++
 			if badSince < 0 {
 				badSince = now
 			}
 		}
 		o := Outcome{Failed: random.Float64() < b.failedFraction, Unseen: random.Float64() < b.unseenFraction}
-		took := meanLatency.Seconds() * b.factor * math.Exp(defaultSpread*random.NormFloat64())
+		latency := medianLatency.Seconds() * b.factor * math.Exp(defaultSpread*random.NormFloat64())
 		if o.Unseen {
-			took *= 2
+			latency *= 2
 		}
-		o.Latency = time.Duration(took * float64(time.Second))
-		x := sample{failed: o.Failed, took: took}
+		o.Latency = time.Duration(latency * float64(time.Second))
+		x := sample{failed: o.Failed, latency: latency}
 		if !o.Failed {
-			c := u.classify(o, 0)
+			c := typical.classify(o, 0)
 			x.timed, x.slow = c != latencyUnknown, c == latencySlow
 		}
 		if target {
@@ -169,20 +171,20 @@
 		} else {
 			w.base(x, now)
 			if !o.Failed && !o.Unseen {
-				u.add(o.Latency)
+				typical.add(o.Latency)
 			}
 		}
 		if i%(requests/2) == 0 && w.isBad(now) {
-			return true, now - badSince, answers
+			return true, now - badSince, responses
 		}
 	}
-	return false, 0, answers
+	return false, 0, responses
 }
 
-// TestCompareVerdicts compares ways to come to a verdict. The alarm of ranks is set so
-// that a good target is reverted as seldom as by counts.
+// TestCompareVerdicts compares detectors. The threshold of the rank detectors is set so that they
+// revert a good target as rarely as the one in use.
 func TestCompareVerdicts(t *testing.T) {
-	ways := []struct {
+	detectors := []struct {
 		name string
 		make func() detector
 	}{
@@ -192,43 +194,42 @@
 	}
 	runs := 10 * *seeds
 	for _, s := range scenarios {
-		for i, w := range ways {
-			right := 0
-			var times, answers []float64
+		for i, w := range detectors {
+			correct := 0
+			var times, responses []float64
 			for seed := range runs {
-				found, after, n := playScenario(s, w.make(), uint64(seed+1))
+				found, after, n := runScenario(s, w.make(), uint64(seed+1))
 				if found == s.bad {
-					right++
+					correct++
 				}
 				if found && s.bad {
 					times = append(times, after.Seconds())
-					answers = append(answers, float64(n))
+					responses = append(responses, float64(n))
 				}
 			}
 			if len(times) == 0 {
-				times, answers = []float64{0}, []float64{0}
+				times, responses = []float64{0}, []float64{0}
 			}
-			t.Logf("| %s | %s | %d of %d | %.1f | %.0f |", s.name, w.name, right, runs, median(times), median(answers))
+			t.Logf("| %s | %s | %d of %d | %.1f | %.0f |", s.name, w.name, correct, runs, median(times), median(responses))
 			if i == 0 {
-				assert.Assert(t, float64(right) >= 0.9*float64(runs), "%s", s.name)
+				assert.Assert(t, float64(correct) >= 0.9*float64(runs), "%s", s.name)
 			}
 		}
 	}
 }
 
-// choosing is a way to choose the requests of a canary.
+// canaryStrategy selects the requests that go to a canary.
 type canaryStrategy struct {
 	name   string
 	choose func(c *canaryModel, object int, home int, now time.Duration) bool
 }
 
-// canaryModel is one instance and the target's backend servers, each of which remembers
-// some objects.
+// canaryModel is one instance, and the target's backend servers, which remember recent objects.
 type canaryModel struct {
 	random   *rand.Rand
 	gate     gate
-	turns    rotation
-	lastSeen []map[int]time.Duration // by server, when it worked on an object last
+	rotation rotation
+	lastSeen []map[int]time.Duration // by server, when it last worked on an object
 }
 
 var canaryStrategies = []canaryStrategy{
@@ -239,43 +240,43 @@
 		const mix = 0x9e3779b97f4a7c15
 		return float64(uint64(object+1)*mix>>11)/(1<<53) < canaryFraction*testBounds.Share
 	}},
-	{"by home, in turns, each set once", byHomeInRounds(1)},
-	{"by home, in turns, each set 3 times", byHomeInRounds(defaultRoundsPerSet)},
-	{"by home, in turns, each set 6 times", byHomeInRounds(6)},
+	{"by home, in rounds, each set once", byHomeInRounds(1)},
+	{"by home, in rounds, each set 3 times", byHomeInRounds(defaultRoundsPerSet)},
+	{"by home, in rounds, each set 6 times", byHomeInRounds(6)},
 }
 
-func byHomeInRounds(stay int64) func(c *canaryModel, _, home int, now time.Duration) bool {
+func byHomeInRounds(rounds int64) func(c *canaryModel, _, home int, now time.Duration) bool {
 	return func(c *canaryModel, _, home int, now time.Duration) bool {
-		c.turns.roundsPerSet = stay
-		return c.turns.isActive(c.turns.homes[home].Hash, int64(now/roundTime), canaryFraction*testBounds.Share)
+		c.rotation.roundsPerSet = rounds
+		return c.rotation.isActive(c.rotation.homes[home].Hash, int64(now/roundTime), canaryFraction*testBounds.Share)
 	}
 }
 
-// canaryResult is what a canary has shown.
+// canaryResult is the outcome of a canary.
 type canaryResult struct {
 	requests, seenObjects, objects, underLoad int
-	load                                      []float64 // of a server in the second of each request, in relation to the usual
+	load                                      []float64 // of a server in the second of each request, relative to its normal load
 }
 
-// playCanary plays a canary of a minute where popular objects have many requests.
-func playCanary(w canaryStrategy, seed uint64) (out canaryResult) {
+// playCanary runs a canary of one minute in which popular objects get many requests.
+func runCanary(w canaryStrategy, seed uint64) (out canaryResult) {
 	const (
-		requests = 400
-		servers  = 6
-		objects  = 3000
-		memory   = 20 * time.Second
+		requests   = 400
+		servers    = 6
+		objects    = 3000
+		memoryTime = 20 * time.Second
 	)
 	random := rand.New(rand.NewPCG(seed, 5))
 	zipf := rand.NewZipf(random, 1.1, 8, objects-1)
 	c := &canaryModel{random: random}
-	came := make(map[[2]int]int) // by server and second
+	perSecond := make(map[[2]int]int) // by server and second
 	var homes []Home
 	for i := range servers {
 		homes = append(homes, Home{Hash: uint64(i + 1), Slots: 8})
 		c.lastSeen = append(c.lastSeen, make(map[int]time.Duration))
 	}
-	c.turns.set(homes)
-	period := time.Duration(c.turns.roundInterval(canaryFraction*testBounds.Share)) * roundTime
+	c.rotation.set(homes)
+	period := time.Duration(c.rotation.roundInterval(canaryFraction*testBounds.Share)) * roundTime
 	exposed := make(map[int]bool)
 	for i := range requests * 60 {
 		now := time.Duration(i) * time.Second / requests
@@ -286,16 +287,16 @@
 			continue
 		}
 		c.gate.addTargetAttempt(testBounds.Share, now)
-		came[[2]int{home, int(now / time.Second)}]++
+		perSecond[[2]int{home, int(now / time.Second)}]++
 		out.requests++
-		if at, known := c.lastSeen[home][object]; known && now-at < memory {
+		if at, known := c.lastSeen[home][object]; known && now-at < memoryTime {
 			out.seenObjects++
 		}
 		c.lastSeen[home][object] = now
 		exposed[object] = true
 	}
 	out.objects = len(exposed)
-	for _, n := range came {
+	for _, n := range perSecond {
 		load := float64(n) / (requests / servers)
 		for range n {
 			out.load = append(out.load, load)
@@ -307,16 +308,16 @@
 	return out
 }
 
-// halfLoad is the part of its usual load from which a server counts as loaded.
+// halfLoad is the fraction of its normal load from which a server counts as loaded.
 const halfLoad = 0.5
 
-// TestCompareCanaries compares ways to choose the requests of a canary.
+// TestCompareCanaries compares strategies for selecting the requests of a canary.
 func TestCompareCanaries(t *testing.T) {
 	runs := 5 * *seeds
 	for _, w := range canaryStrategies {
 		var requests, seen, objects, load, underLoad []float64
 		for seed := range runs {
-			r := playCanary(w, uint64(seed+1))
+			r := runCanary(w, uint64(seed+1))
 			requests = append(requests, float64(r.requests))
 			seen = append(seen, float64(r.seenObjects)/float64(max(1, r.requests)))
 			objects = append(objects, float64(r.objects))
--- a/process/rollout/exchange.go
+++ b/process/rollout/exchange.go
@@ -155,11 +155,11 @@
 	if s.owner.here() {
 		return r.tickOwner(s, inFlight, now)
 	}
-	if s.owner.Name == "" || !s.reporting.due(s.gate.phase, now) {
+	if s.owner.Name == "" || !s.reportState.due(s.gate.phase, now) {
 		return nil
 	}
 	x := r.report(s, inFlight, now)
-	s.reporting.unanswered++
+	s.reportState.unanswered++
 	return []message{{s.owner.Address, x.encode()}}
 }
 
@@ -178,12 +178,12 @@
 // report makes a report on a service. The caller holds the lock.
 func (r *Controller) report(s *service, inFlight int, now time.Duration) *report {
 	x := &report{
-		service: s.hash, order: s.Order.ID, incarnation: r.Incarnation, seq: s.reporting.next(now),
+		service: s.hash, order: s.Order.ID, incarnation: r.Incarnation, seq: s.reportState.next(now),
 		phase: s.gate.phase, halted: s.gate.halted, inFlight: uint64(max(0, inFlight, s.inFlightToPrevious)),
 	}
 	x.drained = x.inFlight == 0 && s.gate.promiseDrain(r.Bounds.Share, now)
-	if s.reporting.echoOwner == s.owner.Name {
-		x.echoClock, x.hasEcho = s.reporting.echoClock, true
+	if s.reportState.echoOwner == s.owner.Name {
+		x.echoClock, x.hasEcho = s.reportState.echoClock, true
 	}
 	for _, route := range s.stats.routes {
 		x.add(route)
@@ -204,13 +204,13 @@
 func (r *Controller) logLeaseExpiry(s *service, now time.Duration) {
 	g := &s.gate
 	if g.leaseUntil == 0 || now < g.leaseUntil || g.halted {
-		s.reporting.expiryLogged = false
+		s.reportState.expiryLogged = false
 		return
 	}
-	if s.reporting.expiryLogged || s.reporting.unanswered < 2 {
+	if s.reportState.expiryLogged || s.reportState.unanswered < 2 {
 		return
 	}
-	s.reporting.expiryLogged = true
+	s.reportState.expiryLogged = true
 	r.logEvent(s, "lease-lapsed", "owner "+s.owner.Name+" does not reply", &s.stats.analysis, now-g.ownerClockAt)
 }
 
@@ -324,16 +324,16 @@
 
 // applyReply applies a reply of the owner, which may be this instance. The caller holds the lock.
 func (r *Controller) applyReply(s *service, x *reply, now time.Duration) {
-	sentAt, known := s.reporting.sentTime(x.seq)
+	sentAt, known := s.reportState.sentTime(x.seq)
 	lease := time.Duration(0)
 	if known {
 		lease = r.Bounds.lease()
-		s.reporting.newOwnerSince = 0
+		s.reportState.newOwnerSince = 0
 	}
 	s.gate.apply(x, lease, sentAt, now)
-	s.reporting.echoClock, s.reporting.echoOwner = x.ownerClock, s.owner.Name
-	s.reporting.stepDueSoon = x.stepDueSoon
-	s.reporting.unanswered = 0
+	s.reportState.echoClock, s.reportState.echoOwner = x.ownerClock, s.owner.Name
+	s.reportState.stepDueSoon = x.stepDueSoon
+	s.reportState.unanswered = 0
 }
 
 // clockStamp returns this instance's clock for use in replies. Its origin differs between
--- a/process/rollout/fleet_test.go
+++ b/process/rollout/fleet_test.go
@@ -10,120 +10,120 @@
 	"pgregory.net/rapid"
 )
 
-// trouble is something that goes wrong in a fleet, and for how long.
+// injectedFault is a fault of an instance, a link, the store or the traffic, with its duration.
 type injectedFault struct {
 	name   string
-	inject func(f *fleet, x *node, lasts time.Duration)
+	inject func(f *fleet, x *node, duration time.Duration)
 }
 
 var injectedFaults = []injectedFault{
-	{"cut out", func(f *fleet, x *node, lasts time.Duration) {
-		x.cutOut = true
-		f.after(lasts, func() { x.cutOut = false })
+	{"outgoing messages lost", func(f *fleet, x *node, duration time.Duration) {
+		x.outgoingCut = true
+		f.after(duration, func() { x.outgoingCut = false })
 	}},
-	{"cut in", func(f *fleet, x *node, lasts time.Duration) {
-		x.cutIn = true
-		f.after(lasts, func() { x.cutIn = false })
+	{"incoming messages lost", func(f *fleet, x *node, duration time.Duration) {
+		x.incomingCut = true
+		f.after(duration, func() { x.incomingCut = false })
 	}},
-	{"cut off", func(f *fleet, x *node, lasts time.Duration) {
-		x.cutIn, x.cutOut, x.cutFromStore = true, true, true
-		f.after(lasts, func() { x.cutIn, x.cutOut, x.cutFromStore = false, false, false })
+	{"cut off", func(f *fleet, x *node, duration time.Duration) {
+		x.incomingCut, x.outgoingCut, x.cutFromStore = true, true, true
+		f.after(duration, func() { x.incomingCut, x.outgoingCut, x.cutFromStore = false, false, false })
 	}},
-	{"without the store", func(f *fleet, x *node, lasts time.Duration) {
+	{"without the store", func(f *fleet, x *node, duration time.Duration) {
 		x.cutFromStore = true
-		f.after(lasts, func() { x.cutFromStore = false })
+		f.after(duration, func() { x.cutFromStore = false })
 	}},
-	{"frozen", func(f *fleet, x *node, lasts time.Duration) {
+	{"frozen", func(f *fleet, x *node, duration time.Duration) {
 		x.frozen = true
-		life := x.incarnation
-		f.after(lasts, func() {
-			if x.incarnation == life {
+		incarnation := x.incarnation
+		f.after(duration, func() {
+			if x.incarnation == incarnation {
 				x.thaw()
 			}
 		})
 	}},
-	{"killed", func(f *fleet, x *node, lasts time.Duration) {
+	{"killed", func(f *fleet, x *node, duration time.Duration) {
 		x.kill()
-		f.after(lasts, x.start)
+		f.after(duration, x.start)
 	}},
-	{"owner killed", func(f *fleet, x *node, lasts time.Duration) {
+	{"owner killed", func(f *fleet, x *node, duration time.Duration) {
 		o := f.owner(x)
 		o.kill()
-		f.after(lasts, o.start)
+		f.after(duration, o.start)
 	}},
-	{"owner frozen", func(f *fleet, x *node, lasts time.Duration) {
+	{"owner frozen", func(f *fleet, x *node, duration time.Duration) {
 		o := f.owner(x)
 		o.frozen = true
-		life := o.incarnation
-		f.after(lasts, func() {
-			if o.incarnation == life {
+		incarnation := o.incarnation
+		f.after(duration, func() {
+			if o.incarnation == incarnation {
 				o.thaw()
 			}
 		})
 	}},
-	{"owner killed before its next write", func(f *fleet, x *node, lasts time.Duration) {
+	{"owner killed before its next write", func(f *fleet, x *node, duration time.Duration) {
 		f.onWrite = func(o *node) bool {
 			o.kill()
-			f.after(lasts, o.start)
+			f.after(duration, o.start)
 			return false
 		}
 	}},
-	{"owner killed after its next write", func(f *fleet, x *node, lasts time.Duration) {
+	{"owner killed after its next write", func(f *fleet, x *node, duration time.Duration) {
 		f.onWrite = func(o *node) bool {
 			o.kill()
-			f.after(lasts, o.start)
+			f.after(duration, o.start)
 			return true
 		}
 	}},
-	{"store away", func(f *fleet, x *node, lasts time.Duration) {
+	{"store unavailable", func(f *fleet, x *node, duration time.Duration) {
 		f.store.unavailable = true
-		f.after(lasts, func() {
+		f.after(duration, func() {
 			f.store.unavailable = false
 			f.storeBackAt = f.now
 		})
 	}},
-	{"all restarted", func(f *fleet, x *node, lasts time.Duration) {
+	{"all restarted", func(f *fleet, x *node, duration time.Duration) {
 		for _, o := range f.nodes {
 			o.kill()
-			f.after(time.Duration(f.random.Int64N(int64(lasts)+1)), o.start)
+			f.after(time.Duration(f.random.Int64N(int64(duration)+1)), o.start)
 		}
 	}},
-	{"burst", func(f *fleet, x *node, lasts time.Duration) {
-		before := f.rate
-		from, to := f.now, f.now+lasts
+	{"burst", func(f *fleet, x *node, duration time.Duration) {
+		normal := f.rate
+		from, to := f.now, f.now+duration
 		f.rate = func(now time.Duration) float64 {
 			if now >= from && now < to {
-				return 6 * before(now)
+				return 6 * normal(now)
 			}
-			return before(now)
+			return normal(now)
 		}
 	}},
-	{"no requests", func(f *fleet, x *node, lasts time.Duration) {
-		before := f.rate
-		from, to := f.now, f.now+lasts
+	{"no requests", func(f *fleet, x *node, duration time.Duration) {
+		normal := f.rate
+		from, to := f.now, f.now+duration
 		f.rate = func(now time.Duration) float64 {
 			if now >= from && now < to {
 				return 0
 			}
-			return before(now)
+			return normal(now)
 		}
 	}},
-	{"target away", func(f *fleet, x *node, lasts time.Duration) {
+	{"target unavailable", func(f *fleet, x *node, duration time.Duration) {
 		homes := f.homes
 		f.homes = nil
 		f.store.version++
-		f.after(lasts, func() {
+		f.after(duration, func() {
 			f.homes = homes
 			f.store.version++
 		})
 	}},
-	{"ordered again", func(f *fleet, x *node, lasts time.Duration) { f.order("v2", lasts+20*time.Second) }},
-	{"another ordered", func(f *fleet, x *node, lasts time.Duration) { f.order("v3", lasts+20*time.Second) }},
-	{"withdrawn", func(f *fleet, x *node, lasts time.Duration) { f.withdraw() }},
+	{"ordered again", func(f *fleet, x *node, duration time.Duration) { f.order("v2", duration+20*time.Second) }},
+	{"another ordered", func(f *fleet, x *node, duration time.Duration) { f.order("v3", duration+20*time.Second) }},
+	{"withdrawn", func(f *fleet, x *node, duration time.Duration) { f.withdraw() }},
 }
 
-// play plays a roll-out with troubles and returns the fleet.
-func playWithFaults(t *rapid.T, size int, most int) *fleet {
+// playWithFaults runs a rollout with random faults and returns the fleet.
+func runWithFaults(t *rapid.T, size int, maxFaults int) *fleet {
 	f := newFleet(rapid.Uint64().Draw(t, "seed"), size, float64(rapid.SampledFrom([]int{5, 50, 300}).Draw(t, "requests")))
 	f.loss = rapid.SampledFrom([]float64{0, 0, 0.05, 0.3}).Draw(t, "loss")
 	failed := rapid.SampledFrom([]float64{0, 0, 0.1, 0.5, 1}).Draw(t, "failed")
@@ -136,50 +136,50 @@
 	}
 	f.run(minUptimeForSlack + time.Second)
 	f.order("v2", 30*time.Second)
-	for range rapid.IntRange(0, most).Draw(t, "troubles") {
+	for range rapid.IntRange(0, maxFaults).Draw(t, "faults") {
 		f.run(time.Duration(rapid.IntRange(0, 12_000).Draw(t, "pause")) * time.Millisecond)
 		x := f.nodes[rapid.IntRange(0, size-1).Draw(t, "instance")]
-		trouble := rapid.SampledFrom(injectedFaults).Draw(t, "trouble")
-		lasts := time.Duration(rapid.IntRange(100, 12_000).Draw(t, "lasts")) * time.Millisecond
-		t.Logf("%s: %s at %s for %s", f.now-f.startedAt, trouble.name, x.name, lasts)
-		trouble.inject(f, x, lasts)
+		fault := rapid.SampledFrom(injectedFaults).Draw(t, "fault")
+		duration := time.Duration(rapid.IntRange(100, 12_000).Draw(t, "duration")) * time.Millisecond
+		t.Logf("%s: %s at %s for %s", f.now-f.startedAt, fault.name, x.name, duration)
+		fault.inject(f, x, duration)
 	}
 	f.run(45 * time.Second)
 	return f
 }
 
-// fleetTime is how long roll-outs are played.
+// fleetTestTime limits how long rollouts are run for each fleet size.
 const fleetTestTime = 4 * time.Second
 
-// TestFleetKeepsTheRules plays roll-outs with faults of instances, links and the store,
-// and checks in each step what must hold: the share, the stop, that states go forward,
-// that nothing is at the version before at the end, and that no version serves that
-// nobody ordered.
+// TestFleetInvariants runs rollouts with faults of instances, links and the store. At each step it
+// checks that the target stays within its share and stops in time, that phases only move forward,
+// that nothing is left at the previous version at the end, and that only ordered versions get
+// requests.
 func TestFleetInvariants(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		size, most int
+		name            string
+		size, maxFaults int
 	}{{"one", 1, 6}, {"twelve", 12, 6}, {"many", 77, 6}} {
 		t.Run(c.name, func(t *testing.T) {
-			began, found, played := time.Now(), false, 0
+			startedAt, failing, runs := time.Now(), false, 0
 			rapid.Check(t, func(t *rapid.T) {
-				if time.Since(began) > fleetTestTime && !found {
+				if time.Since(startedAt) > fleetTestTime && !failing {
 					return
 				}
-				f := playWithFaults(t, c.size, c.most)
-				found = found || len(f.violations) > 0
-				played++
+				f := runWithFaults(t, c.size, c.maxFaults)
+				failing = failing || len(f.violations) > 0
+				runs++
 				if len(f.violations) > 3 {
 					f.violations = f.violations[:3]
 				}
 				assert.Equal(t, len(f.violations), 0, "%v\n%v", f.violations, f.store.history)
 			})
-			t.Logf("%d roll-outs", played)
+			t.Logf("%d rollouts", runs)
 		})
 	}
 }
 
-// TestLargeFleetKeepsTheRules plays one roll-out where the owner dies in the promotion.
+// TestLargeFleetInvariants runs one rollout whose owner is killed during the promotion.
 func TestLargeFleetInvariants(t *testing.T) {
 	f := newFleet(3, 620, 600)
 	f.loss = 0.02
@@ -198,8 +198,9 @@
 	assert.Equal(t, f.phase(), Completed)
 }
 
-// TestRestartAtTheOrderGivesNoSlack restarts all instances while the order is written and
-// the tables are away, so that none finds the order there when it starts.
+// TestRestartDuringOrderGivesNoSlack restarts all instances while the order is written and the
+// tables are unavailable. The order then arrives after the start of each instance, but none may use
+// slack, since it may have used it before the restart.
 func TestRestartDuringOrderGivesNoSlack(t *testing.T) {
 	for seed := range uint64(20) {
 		f := newFleet(seed, 12, 5)
--- a/process/rollout/gate_test.go
+++ b/process/rollout/gate_test.go
@@ -15,8 +15,8 @@
 
 var cmpAll = cmp.AllowUnexported(report{}, reply{}, routeCounts{}, versionCounts{})
 
-// canaryOf is what the tables say of a service whose canary runs.
-func canaryOf(phase Phase) []Service {
+// canaryOf is the tables' state of a service with a rollout in the given phase.
+func serviceInPhase(phase Phase) []Service {
 	return []Service{{
 		Name: "s", Order: &Order{ID: 1, Target: "v2", Within: time.Minute}, Revision: 1, InForce: "v1", InForceSlots: 10,
 		Record: &Record{Service: "s", Order: 1, Target: "v2", Previous: "v1", Phase: phase, StartedAt: 1, Deadline: version.Duration(2 * time.Hour)},
@@ -24,7 +24,7 @@
 	}}
 }
 
-// alone returns the roll-outs of an instance that was there before the order.
+// singleInstance returns the Controller of a single instance that was started before the order.
 func singleInstance(owner Owner) (*Controller, *time.Duration) {
 	now := time.Hour
 	r := &Controller{
@@ -34,14 +34,14 @@
 	}
 	r.Install(nil)
 	now += minUptimeForSlack
-	r.Install(canaryOf(Canary))
+	r.Install(serviceInPhase(Canary))
 	r.Tick()
 	return r, &now
 }
 
 func anyHome() (uint64, bool) { return 1, true }
 
-// send sends n requests that succeed, and returns how many went to the target.
+// sendRequests sends n requests that succeed, and returns how many went to the target.
 func sendRequests(r *Controller, n int) (target int) {
 	for range n {
 		a := r.Begin("s", "r", true, anyHome)
@@ -53,7 +53,7 @@
 	return target
 }
 
-// TestShareIsKeptBeforeAnyEvidence checks the bound at one instance, request by request.
+// TestShareHoldsFromFirstRequest checks the limit on the share at one instance after each request.
 func TestShareHoldsFromFirstRequest(t *testing.T) {
 	r, now := singleInstance(Owner{Name: "here"})
 	all, target := 0, 0
@@ -67,7 +67,7 @@
 	assert.Assert(t, float64(target) > 0.6*canaryFraction*testBounds.Share*float64(all), "%d of %d", target, all)
 }
 
-// TestInstanceThatStartsHasNoSlack checks that a restart gives nothing.
+// TestStartingInstanceHasNoSlack checks that a restart grants no slack.
 func TestStartingInstanceHasNoSlack(t *testing.T) {
 	now := time.Hour
 	r := &Controller{
@@ -75,50 +75,50 @@
 		Owner: func(string) Owner { return Owner{Name: "here"} }, Live: func() []string { return []string{""} },
 		InFlight: func(string) int { return 0 }, Send: func(string, []byte) {},
 	}
-	r.Install(canaryOf(Canary))
+	r.Install(serviceInPhase(Canary))
 	r.Tick()
-	least := int(1 / (scarceFraction * testBounds.Share))
-	assert.Equal(t, sendRequests(r, least), 0)
+	requests := int(1 / (scarceFraction * testBounds.Share))
+	assert.Equal(t, sendRequests(r, requests), 0)
 
 	r.Install(nil)
 	now += minUptimeForSlack / 2
-	again := canaryOf(Canary)
+	again := serviceInPhase(Canary)
 	again[0].Order.ID, again[0].Record.Order = 2, 2
 	r.Install(again)
 	r.Tick()
-	assert.Equal(t, sendRequests(r, least), 0, "it has started a moment ago")
+	assert.Equal(t, sendRequests(r, requests), 0, "it has just started")
 }
 
-// TestLeaseLapses checks that nothing goes to the target without answers of the owner,
-// and that an answer to a report of long ago gives no lease.
+// TestLeaseExpires checks that nothing goes to the target without replies of the owner, and that a
+// reply to an old report grants no lease.
 func TestLeaseExpires(t *testing.T) {
 	r, now := singleInstance(Owner{Name: "x", Address: "x"})
 	var reports [][]byte
-	r.Send = func(_ string, text []byte) { reports = append(reports, text) }
+	r.Send = func(_ string, payload []byte) { reports = append(reports, payload) }
 	sendRequests(r, 100)
 	*now += reportInterval
 	r.Tick()
 	assert.Equal(t, len(reports), 1)
 	x, err := decodeReport(reports[0])
 	assert.NilError(t, err)
-	answer := &reply{service: x.service, order: x.order, seq: x.seq, phase: Canary, ownerClock: 0, allLacking: true}
+	msg := &reply{service: x.service, order: x.order, seq: x.seq, phase: Canary, ownerClock: 0, allLacking: true}
 	assert.Equal(t, sendRequests(r, 50), 0, "no lease yet")
 	*now += maxLeaseTime
-	r.Receive("x", answer.encode())
-	assert.Equal(t, sendRequests(r, 50), 0, "the answer is to a report that is too old")
+	r.Receive("x", msg.encode())
+	assert.Equal(t, sendRequests(r, 50), 0, "the report is too old")
 	r.Tick()
 	x, err = decodeReport(reports[1])
 	assert.NilError(t, err)
-	answer.seq = x.seq
-	r.Receive("y", answer.encode())
-	assert.Equal(t, sendRequests(r, 50), 0, "not an answer of the owner")
-	r.Receive("x", answer.encode())
+	msg.seq = x.seq
+	r.Receive("y", msg.encode())
+	assert.Equal(t, sendRequests(r, 50), 0, "not a reply of the owner")
+	r.Receive("x", msg.encode())
 	assert.Assert(t, sendRequests(r, 50) > 0)
 	*now += maxLeaseTime
-	assert.Equal(t, sendRequests(r, 500), 0, "lapsed")
+	assert.Equal(t, sendRequests(r, 500), 0, "expired")
 }
 
-// TestLeaseFollowsTheTimeToStop checks that a short time to stop makes leases short.
+// TestLeaseFollowsStopWithin checks that a short StopWithin shortens leases.
 func TestLeaseFollowsStopWithin(t *testing.T) {
 	for _, c := range []struct{ stop, lease time.Duration }{
 		{0, maxLeaseTime}, {time.Second, 300 * time.Millisecond}, {5 * time.Second, maxLeaseTime}, {time.Minute, maxLeaseTime},
@@ -128,8 +128,8 @@
 	}
 }
 
-// TestOrderForAnUnknownServiceIsReverted checks that nobody waits for such an order's
-// deadline.
+// TestOrderForAnUnknownServiceIsReverted checks that such an order is reverted at once, and not at
+// its deadline.
 func TestOrderForAnUnknownServiceIsReverted(t *testing.T) {
 	r, _ := singleInstance(Owner{Name: "here"})
 	r.Install([]Service{{Name: "none", Order: &Order{ID: 9, Target: "v2", Within: time.Minute}, Unknown: true}})
@@ -139,7 +139,7 @@
 	assert.Equal(t, steps[0].Record.Cause, "order for a service that is not there")
 }
 
-// TestHaltHoldsForTheOrder checks that no later answer takes a halt back.
+// TestHaltIsPermanentForOrder checks that no later reply revokes a halt.
 func TestHaltIsPermanentForOrder(t *testing.T) {
 	r, now := singleInstance(Owner{Name: "here"})
 	*now += TickInterval
@@ -160,16 +160,17 @@
 	assert.Equal(t, len(r.Proposals(time.Hour)), 1, "it was not confirmed")
 }
 
-// TestInstanceStopsByItself checks an instance whose owner does not judge.
+// TestInstanceHaltsWithoutOwner checks that an instance halts a bad target on its own if the owner
+// does not.
 func TestInstanceHaltsWithoutOwner(t *testing.T) {
 	r, now := singleInstance(Owner{Name: "x", Address: "x"})
 	var seq byte
-	r.Send = func(_ string, text []byte) { seq = text[10] }
+	r.Send = func(_ string, payload []byte) { seq = payload[10] }
 	target := 0
 	for range 600 {
 		*now += TickInterval
 		r.Tick()
-		x := &reply{service: hashOfService("s"), order: 1, seq: r.services["s"].reporting.seq, phase: Canary, allLacking: true}
+		x := &reply{service: hashOfService("s"), order: 1, seq: r.services["s"].reportState.seq, phase: Canary, allLacking: true}
 		r.Receive("x", x.encode())
 		for range 20 {
 			a := r.Begin("s", "r", true, anyHome)
@@ -183,7 +184,7 @@
 	assert.Assert(t, target >= 4 && target <= 12, "%d", target)
 }
 
-// TestFurtherAttemptsGoToTheVersionInForce checks retries.
+// TestRetriesGoToVersionInForce checks that retries don't go to the target.
 func TestRetriesGoToVersionInForce(t *testing.T) {
 	r, now := singleInstance(Owner{Name: "here"})
 	*now += TickInterval
@@ -193,12 +194,12 @@
 	}
 }
 
-// TestClockThatBeginsAtZero checks an instance whose clock is the time since its start.
+// TestClockStartingAtZero checks an instance whose clock counts from its start.
 func TestClockStartingAtZero(t *testing.T) {
 	r, now := singleInstance(Owner{Name: "here"})
 	*now = 0
 	r.Install(nil)
-	r.Install(canaryOf(Canary))
+	r.Install(serviceInPhase(Canary))
 	target := 0
 	for range 100 {
 		r.Tick()
@@ -209,7 +210,7 @@
 	assert.Assert(t, target > 0)
 }
 
-// TestNothingRuns checks attempts of services without a roll-out.
+// TestNoRollout checks attempts of services without a rollout.
 func TestNoRollout(t *testing.T) {
 	r, _ := singleInstance(Owner{Name: "here"})
 	a := r.Begin("other", "r", true, anyHome)
@@ -217,7 +218,7 @@
 	assert.Assert(t, a.Target() == "")
 	assert.Assert(t, a.Decline(false))
 	a.Done(Outcome{})
-	r.Install(canaryOf(Reverted))
+	r.Install(serviceInPhase(Reverted))
 	assert.Assert(t, r.Begin("s", "r", true, anyHome) == nil)
 	r.Install(nil)
 	assert.Assert(t, r.Begin("s", "r", true, anyHome) == nil)
@@ -226,23 +227,23 @@
 	assert.Assert(t, !r.Receive("x", nil))
 }
 
-// TestDeclineIsRefusedAfterThePromise checks that an instance that has said that it
-// sends nothing to the version before keeps to that.
+// TestDeclineIsRefusedAfterDrainPromise checks that an instance keeps its promise to send nothing
+// to the previous version.
 func TestDeclineIsRefusedAfterDrainPromise(t *testing.T) {
 	r, now := singleInstance(Owner{Name: "here"})
-	r.Install(canaryOf(Promote))
-	r.Proposals(3 * time.Hour) // the deadline is over
+	r.Install(serviceInPhase(Promote))
+	r.Proposals(3 * time.Hour) // the deadline has passed
 	for range 3 {
 		*now += TickInterval
 		r.Tick()
 	}
 	a := r.Begin("s", "r", false, anyHome)
-	assert.Assert(t, a.Target() != "", "a further attempt, too")
+	assert.Assert(t, a.Target() != "", "a retry too")
 	assert.Assert(t, !a.Decline(false))
 	a.Done(Outcome{Inconclusive: true})
 }
 
-// TestUseFromManyGoroutines is for the race detector.
+// TestConcurrentUse is for the race detector.
 func TestConcurrentUse(t *testing.T) {
 	r, _ := singleInstance(Owner{Name: "here"})
 	began := time.Now()
@@ -253,7 +254,7 @@
 			for k := range 500 {
 				switch {
 				case i == 0 && k%50 == 0:
-					r.Install(canaryOf(Canary))
+					r.Install(serviceInPhase(Canary))
 				case i == 1:
 					r.Tick()
 				case i == 2:
@@ -269,8 +270,8 @@
 	wait.Wait()
 }
 
-// BenchmarkBegin is the cost of an attempt: without a roll-out, with one of another
-// service, and in a canary with the home of the object at hand.
+// BenchmarkBegin measures the cost of an attempt: without a rollout, with a rollout of another
+// service, and during a canary.
 func BenchmarkBegin(b *testing.B) {
 	began := time.Now()
 	clock := func() time.Duration { return time.Hour + time.Since(began) }
--- a/process/rollout/kinds_test.go
+++ b/process/rollout/kinds_test.go
@@ -15,26 +15,26 @@
 	"gotest.tools/v3/assert"
 )
 
-// seeds is how often each kind is played. The figures in docs/design/rollout.md are of
-// more than the tests play.
-var seeds = flag.Int("seeds", 1, "how often TestKinds and TestCompare play each kind")
+// seeds is how many times each kind is run. The figures in docs/design/rollout.md are from more
+// runs than the default.
+var seeds = flag.Int("seeds", 1, "how many times TestKinds and TestCompare run each kind")
 
-var highRate = flag.Float64("requests", 200, "requests a second in TestKinds")
+var highRate = flag.Float64("requests", 200, "requests per second in TestKinds")
 
-var only = flag.String("only", "", "the part of the names of kinds that TestKinds plays")
+var only = flag.String("only", "", "run only the kinds whose name contains this in TestKinds")
 
-// performance is that of both versions at a time since the order, for a part of the
-// usual load of a version.
+// behaviourAt returns the behaviour of a version on a route, at a time since the order and under a
+// load relative to all requests.
 type behaviourAt func(software string, route int, at time.Duration, load float64) behaviour
 
-// kind is a kind of target, or of trouble that is not the target's.
+// targetKind is a kind of target, or a fault of both versions or of the environment.
 type targetKind struct {
 	name    string
 	bad     bool
-	tooRare bool // the fault is too rare to be seen in a minute
+	tooRare bool // the fault is too rare to be detected in a minute
 	behave  behaviourAt
 	burst   bool    // six times the requests from 20 s to 30 s
-	spread  float64 // of the times. Zero: the usual one
+	spread  float64 // of the latencies; zero: defaultSpread
 }
 
 const (
@@ -43,10 +43,10 @@
 	wideSpread = 0.8
 )
 
-// usually is how a good version behaves.
+// goodBehaviour is the behaviour of a good version.
 var goodBehaviour = behaviour{factor: 1, failedFraction: 0.002}
 
-// whenBad makes a performance of a target that behaves badly at times.
+// whenBad returns the behaviour of a target that is bad at times.
 func whenBad(bad behaviour, when func(route int, at time.Duration, load float64) bool) behaviourAt {
 	return func(software string, route int, at time.Duration, load float64) behaviour {
 		if software == "v2" && when(route, at, load) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// bothWhen makes a performance of two versions that suffer alike.
+// bothDuring returns the behaviour of two versions that are both bad for a while.
 func bothDuring(bad behaviour, from, to time.Duration) behaviourAt {
 	return func(_ string, _ int, at time.Duration, _ float64) behaviour {
 		if at >= from && at < to {
@@ -72,7 +72,7 @@
 func onRoute1(route int, _ time.Duration, _ float64) bool { return route == 1 }
 func onRoute3(route int, _ time.Duration, _ float64) bool { return route == 3 }
 
-// kinds are the kinds that are played.
+// targetKinds returns the kinds that TestKinds runs.
 func targetKinds() (out []targetKind) {
 	whens := []struct {
 		name string
@@ -122,18 +122,18 @@
 	)
 }
 
-// played is what came of a roll-out.
+// result is the outcome of a rollout.
 type result struct {
 	phase        Phase
 	stoppedAfter time.Duration // from the first bad behaviour until nothing went to the target
-	endedAfter   time.Duration // when it was stopped or had ended, since the order
-	exposed      int           // requests at the target while it behaved badly, until it was stopped
+	endedAfter   time.Duration // from the order until the rollout ended
+	exposed      int           // requests at the target while it was bad
 	cause        string
 	violations   []string
 }
 
-// playKind plays a roll-out of a kind.
-func playKind(k targetKind, size int, requests float64, seed uint64) result {
+// playKind runs a rollout of a kind.
+func runKind(k targetKind, size int, requests float64, seed uint64) result {
 	f := newFleet(seed, size, requests)
 	f.good = !k.bad
 	f.spread = cmp.Or(k.spread, defaultSpread)
@@ -146,7 +146,7 @@
 		}
 		b := k.behave(software, route, now-order.orderedAt, f.load(software))
 		own := b
-		own.stall = stall{} // that is not the target's
+		own.stall = stall{} // stalls are not a fault of the target
 		if k.bad && software == "v2" && own != goodBehaviour {
 			out.exposed++
 			if badSince == 0 {
@@ -163,7 +163,7 @@
 			return requests
 		}
 	}
-	f.run(minUptimeForSlack + time.Duration(seed*370%9000)*time.Millisecond) // turns begin anywhere
+	f.run(minUptimeForSlack + time.Duration(seed*370%9000)*time.Millisecond) // so that rounds begin at different times
 	order = f.order("v2", kindWithin)
 	f.run(kindWithin + 6*time.Second)
 	out.phase = f.phase()
@@ -176,13 +176,13 @@
 	return out
 }
 
-// right reports whether the roll-out ended as it should.
-func (p result) asExpected(k targetKind) bool { return p.phase == Completed != k.bad }
+// asExpected reports whether the rollout ended as it should.
+func (r result) asExpected(k targetKind) bool { return r.phase == Completed != k.bad }
 
-// TestKinds plays targets that are bad in many ways, and good ones beside a baseline in
-// trouble, and prints what came of them. At the higher rate each ends as it should,
-// but for faults that are too rare to be seen; at the lower one, where there are some 20
-// answers of the target, most good ones do.
+// TestKinds runs rollouts of bad targets, and of good targets whose baseline has faults, and prints
+// the outcomes. At the higher rate each must end as expected, except for faults that are too rare
+// to be detected. At the lower rate, where the target gives some 20 responses, most of the good
+// ones must.
 func TestKinds(t *testing.T) {
 	for _, requests := range []float64{lowRate, *highRate} {
 		t.Run(fmt.Sprintf("%g requests a second", requests), func(t *testing.T) {
@@ -197,7 +197,7 @@
 			if requests == lowRate {
 				n *= lowRateRepeats
 			}
-			for i, all := range playAll(chosen, 12, requests, n) {
+			for i, all := range runAll(chosen, 12, requests, n) {
 				wrong := checkKind(t, chosen[i], requests, all)
 				if !chosen[i].bad {
 					reverted += wrong
@@ -209,19 +209,18 @@
 	}
 }
 
-// checkKind checks what came of the roll-outs of a kind, and prints it as a row of a
-// table.
+// checkKind checks the outcomes of a kind and prints them as a table row.
 func checkKind(t *testing.T, k targetKind, requests float64, all []result) (wrong int) {
 	var stops, exposed []float64
 	causes := make(map[string]int)
-	for _, p := range all {
-		assert.Equal(t, len(p.violations), 0, "%s: %v", k.name, p.violations)
-		if !p.asExpected(k) {
+	for _, r := range all {
+		assert.Equal(t, len(r.violations), 0, "%s: %v", k.name, r.violations)
+		if !r.asExpected(k) {
 			wrong++
 		}
-		causes[strings.Split(p.cause, ":")[0]]++
-		stops = append(stops, p.stoppedAfter.Seconds())
-		exposed = append(exposed, float64(p.exposed))
+		causes[strings.Split(r.cause, ":")[0]]++
+		stops = append(stops, r.stoppedAfter.Seconds())
+		exposed = append(exposed, float64(r.exposed))
 	}
 	t.Logf("| %s | %d of %d | %.1f | %.0f | %v", k.name, wrong, len(all), median(stops), median(exposed), causes)
 	if requests != lowRate && !k.tooRare {
@@ -232,32 +231,31 @@
 
 const (
 	lowRate = 5
-	// lowTimes is how many times as often kinds are played at the lower rate, where chance
-	// decides more.
+	// lowRateRepeats multiplies the runs at the lower rate, where chance has more influence.
 	lowRateRepeats = 4
-	// mostReverted is the part of the good targets that may be reverted: at the lower rate
-	// some lack evidence.
+	// maxRevertedGood is the fraction of good targets that may be reverted: at the lower rate some
+	// lack evidence.
 	maxRevertedGood = 0.25
-	// mostWrong is the part of the roll-outs of a kind that may end wrongly.
+	// maxWrong is the fraction of the rollouts of a kind that may end wrongly.
 	maxWrong = 0.1
 )
 
-// playAll plays kinds with all seeds, some at the same time.
-func playAll(chosen []targetKind, size int, requests float64, runs int) [][]result {
+// playAll runs all kinds with all seeds, several at a time.
+func runAll(chosen []targetKind, size int, requests float64, runs int) [][]result {
 	out := make([][]result, len(chosen))
-	var wait sync.WaitGroup
+	var group sync.WaitGroup
 	slots := make(chan bool, 6)
 	for i, k := range chosen {
 		out[i] = make([]result, runs)
 		for seed := range out[i] {
 			slots <- true
-			wait.Go(func() {
-				out[i][seed] = playKind(k, size, requests, uint64(seed+1))
+			group.Go(func() {
+				out[i][seed] = runKind(k, size, requests, uint64(seed+1))
 				<-slots
 			})
 		}
 	}
-	wait.Wait()
+	group.Wait()
 	return out
 }
 
--- a/process/rollout/model_checks_test.go
+++ b/process/rollout/model_checks_test.go
@@ -14,7 +14,7 @@
 	f.violations = append(f.violations, fmt.Sprintf("%s: ", f.now-f.startedAt)+fmt.Sprintf(format, args...))
 }
 
-// put writes the record and checks what must hold of it.
+// put writes the record and checks its invariants.
 func (f *fleet) put(record Record) {
 	s := &f.store
 	if old := s.record; old != nil && old.Order == record.Order {
@@ -39,25 +39,25 @@
 	}
 }
 
-func (f *fleet) checkDrained(before string) {
+func (f *fleet) checkDrained(previous string) {
 	for _, x := range f.nodes {
-		if x.down || x.frozen || x.cutIn || x.cutOut || f.now-x.startedAt < unresponsiveAfter {
+		if x.down || x.frozen || x.incomingCut || x.outgoingCut || f.now-x.startedAt < unresponsiveAfter {
 			continue
 		}
 		if x.disconnectedTo-x.disconnectedFrom > unresponsiveAfter-heartbeatInterval && f.now-x.disconnectedTo < 2*heartbeatInterval {
-			continue // the others don't know yet that it is back
+			continue // the others have not noticed yet that it is back
 		}
-		if x.inFlight[before] > 0 {
-			f.violate("completed while %s has %d requests at %s", x.name, x.inFlight[before], before)
+		if x.inFlight[previous] > 0 {
+			f.violate("completed while %s has %d requests at %s", x.name, x.inFlight[previous], previous)
 		}
 	}
 }
 
-// count counts a request that is sent, and checks what must hold.
+// count counts a request and checks the invariants that concern it.
 func (f *fleet) count(x *node, software string) {
 	x.lastSentTo[software] = f.now
 	if software != "v1" && !f.ordered(software) {
-		f.violate("%s got a request and nobody ordered it", software)
+		f.violate("%s got a request without an order", software)
 	}
 	for _, o := range f.orderHistory {
 		if o.alreadyInForce || f.now > o.orderedAt+o.order.Within || o.endedAt > 0 && o.phase == Completed {
@@ -67,10 +67,10 @@
 			f.checkReplaced(x, o, software)
 		}
 		if (o.replacedAt > 0 || o.repeated) && x.order != o.order {
-			continue // the instance keeps the bound of the one that it knows
+			continue // the instance applies the limit of the order that it knows
 		}
 		if o.duringPromotion && f.now < o.orderedAt+maxPromiseTime {
-			continue // what it has said of the one before holds until then
+			continue // a drain promise under the previous order is still valid
 		}
 		o.all++
 		if software == o.order.Target && software != "v1" {
@@ -84,24 +84,23 @@
 		f.targetAll++
 		f.lastTarget = f.now
 		if r := f.store.record; (r == nil || r.Phase != Completed) && len(f.badResponses) >= 50 && f.now > f.badResponses[49]+f.bounds.StopWithin {
-			f.violate("%s sent to the target %s after its 50th bad answer", x.name, f.now-f.badResponses[49])
+			f.violate("%s sent to the target %s after its 50th bad response", x.name, f.now-f.badResponses[49])
 		}
 	}
 	if r := f.store.record; r != nil && r.Phase == Completed && software != r.Target && f.connected(x) && f.store.order != nil && f.store.order.ID == r.Order {
-		f.violate("%s sent to %s after completed", x.name, software)
+		f.violate("%s sent to %s after completion", x.name, software)
 	}
 }
 
-// promisedFor is for how long instances may have promised under an order to send nothing
-// to the version before when another one for the same target replaces it: the last step
-// of the first may be in the store by then, so the promise holds.
+// maxPromiseTime is how long drain promises made under an order may be valid after another order
+// for the same target replaces it. The last step of the first order may be in the store by then.
 const maxPromiseTime = drainPromiseTime + time.Second
 
-// replacedWithin is after how long nothing goes to the target of an order that was
-// withdrawn or replaced: the tables have come by then, or leases have lapsed.
+// replacementTime is after how long nothing may go to the target of an order that was withdrawn or
+// replaced: by then the tables have arrived or the leases have expired.
 const replacementTime = 2 * time.Second
 
-// lastOf is the last order for a version.
+// lastOf returns the last order for a version.
 func (f *fleet) lastOf(software string) (last *trackedOrder) {
 	for _, o := range f.orderHistory {
 		if o.order.Target == software {
@@ -117,23 +116,23 @@
 	}
 	now := f.store.order
 	if (now == nil || now.Target != software) && (f.store.record == nil || f.store.record.InForce() != software) {
-		f.violate("%s sent to %s, which is not ordered any more", x.name, software)
+		f.violate("%s sent to %s, which is no longer ordered", x.name, software)
 	}
 }
 
-// soundAfter is after how long a node that was frozen or cut off has read the tables.
+// reconnectTime is how long a node that was frozen or cut off takes to read the tables.
 const reconnectTime = time.Second
 
-// sound reports whether a node is connected and has been so for a while.
+// connected reports whether a node is connected and has been for a while.
 func (f *fleet) connected(x *node) bool {
 	return !x.isDisconnected() && f.now-x.disconnectedTo > reconnectTime && f.now-x.startedAt > unresponsiveAfter
 }
 
 func (x *node) isDisconnected() bool {
-	return x.down || x.frozen || x.cutIn || x.cutOut || x.cutFromStore || x.f.store.unavailable
+	return x.down || x.frozen || x.incomingCut || x.outgoingCut || x.cutFromStore || x.f.store.unavailable
 }
 
-// noteSound notes when the node was not sound last.
+// trackConnection records since when and until when the node was last disconnected.
 func (x *node) trackConnection() {
 	if !x.isDisconnected() {
 		return
--- a/process/rollout/model_node_test.go
+++ b/process/rollout/model_node_test.go
@@ -4,8 +4,6 @@
 
 import "time"
 
-// start starts the process of a node.
-
 func (x *node) start() {
 	f := x.f
 	x.incarnation++
@@ -26,7 +24,7 @@
 	x.readTables()
 }
 
-// ownerNow is who owns the roll-out as x knows now: by the rank that is looked up each beat only,
+// ownerOf returns the owner as the node knows it. By default it is computed only at each heartbeat,
 // to save time.
 func (x *node) ownerOf(string) Owner {
 	if x.f.ownerFor != nil {
@@ -35,10 +33,10 @@
 	return x.currentOwner
 }
 
-// noteHoldUp notes by how much the machine of x is late with turns, as x itself sees it.
-func (x *node) noteStall(h stall) { x.delay, x.delayedAt = h.maxDelay, x.f.now }
+// noteStall records the scheduling delay that the node itself would measure.
+func (x *node) noteStall(s stall) { x.delay, x.delayedAt = s.maxDelay, x.f.now }
 
-// lateness is by how much x was given its turns late within the last second, at most.
+// schedulingDelay returns the largest scheduling delay of the node within the last second.
 func (x *node) schedulingDelay() time.Duration {
 	if x.delayedAt == 0 || x.f.now-x.delayedAt > time.Second {
 		return 0
@@ -46,7 +44,7 @@
 	return x.delay
 }
 
-// live returns the instances that x takes for alive.
+// findLive returns the addresses of the instances that the node considers live.
 func (x *node) findLive() []string {
 	out := []string{""}
 	for _, o := range x.f.nodes {
@@ -57,21 +55,21 @@
 	return out
 }
 
-// lookAround notes who lives and who owns the roll-out.
+// refreshLive updates which nodes are live and which owns the rollout.
 func (x *node) refreshLive() {
 	x.liveNodes = x.findLive()
 	x.currentOwner = x.owner()
 }
 
-// takesForAlive: heartbeats come twice a second, so an instance counts as dead a while
-// after the last one.
+// considersLive reports whether the node received a heartbeat of another one within
+// unresponsiveAfter.
 func (x *node) considersLive(o *node) bool {
 	return x.lastHeartbeat[o.index] > 0 && x.f.now-x.lastHeartbeat[o.index] < unresponsiveAfter
 }
 
 func (x *node) sendHeartbeats() {
 	for _, o := range x.f.nodes {
-		if o != x && !o.down && !x.cutOut && !o.cutIn {
+		if o != x && !o.down && !x.outgoingCut && !o.incomingCut {
 			o.lastHeartbeat[x.index] = x.f.now
 		}
 	}
@@ -100,42 +98,42 @@
 	return Owner{Name: best.name, Address: best.name}
 }
 
-func (x *node) send(address string, text []byte) {
+func (x *node) send(address string, payload []byte) {
 	f := x.f
-	f.sentBytes[x.name] += len(text) + datagramHeaderBytes
-	f.received[address] += len(text) + datagramHeaderBytes
-	if x.cutOut || f.random.Float64() < f.loss {
+	f.sentBytes[x.name] += len(payload) + datagramHeaderBytes
+	f.received[address] += len(payload) + datagramHeaderBytes
+	if x.outgoingCut || f.random.Float64() < f.loss {
 		return
 	}
 	o := f.byName[address]
-	life := o.incarnation
+	incarnation := o.incarnation
 	f.after(time.Millisecond+time.Duration(f.random.Int64N(int64(24*time.Millisecond))), func() {
-		if o.down || o.incarnation != life || o.cutIn {
+		if o.down || o.incarnation != incarnation || o.incomingCut {
 			return
 		}
-		o.run(func() { o.controller.Receive(x.name, text) })
+		o.run(func() { o.controller.Receive(x.name, payload) })
 	})
 }
 
-// introduce tells the node at an address who x is.
+// announce tells the node at an address who this one is.
 func (x *node) announce(address string) {
 	f := x.f
 	f.sentBytes[x.name] += announcementBytes + datagramHeaderBytes
-	if f.onAnnounce == nil || x.cutOut || f.random.Float64() < f.loss {
+	if f.onAnnounce == nil || x.outgoingCut || f.random.Float64() < f.loss {
 		return
 	}
 	o := f.byName[address]
 	f.after(time.Millisecond+time.Duration(f.random.Int64N(int64(24*time.Millisecond))), func() {
-		if !o.down && !o.cutIn {
+		if !o.down && !o.incomingCut {
 			o.run(func() { f.onAnnounce(x, o) })
 		}
 	})
 }
 
-// introductionBytes is the usual size of such a datagram.
+// announcementBytes is the usual size of such a datagram.
 const announcementBytes = 110
 
-// do runs something at the node, or once it is no longer frozen.
+// run runs a function at the node, or queues it while the node is frozen.
 func (x *node) run(f func()) {
 	if x.frozen {
 		x.frozenQueue = append(x.frozenQueue, f)
@@ -153,7 +151,7 @@
 	}
 }
 
-// owner is who owns the roll-out by what a node knows.
+// owner returns the owner of the rollout as a node knows it.
 func (f *fleet) owner(x *node) *node {
 	o := x.owner()
 	for _, y := range f.nodes {
@@ -171,10 +169,10 @@
 	}
 }
 
-// read follows the tables with some delay.
+// readTables installs changes of the tables after a delay.
 func (x *node) readTables() {
 	if x.cutFromStore || x.f.store.unavailable {
-		if x.version < 0 { // it starts without
+		if x.version < 0 { // it starts without the store
 			x.install(nil, nil, 0)
 		}
 		return
@@ -183,7 +181,7 @@
 	if x.version == s.version {
 		return
 	}
-	version, order, record, revision, life := s.version, s.order, s.record, s.revision, x.incarnation
+	version, order, record, revision, incarnation := s.version, s.order, s.record, s.revision, x.incarnation
 	if x.version < 0 {
 		x.version = version
 		x.install(order, record, revision)
@@ -192,7 +190,7 @@
 	x.version = version
 	x.f.after(s.delay(), func() {
 		x.run(func() {
-			if x.incarnation == life && !x.down && x.version == version {
+			if x.incarnation == incarnation && !x.down && x.version == version {
 				x.install(order, record, revision)
 			}
 		})
@@ -212,7 +210,7 @@
 	x.controller.Install(all)
 }
 
-// target is the version that may be tried at x.
+// target returns the target version as the node knows it.
 func (x *node) target() string {
 	return SelectVersions(x.order, x.record, x.f.running, x.inForce).Target
 }
@@ -228,23 +226,23 @@
 	}
 }
 
-// write writes a proposal, under the condition that the row is as it was read.
+// write writes a proposal if the row has not changed since it was read.
 func (x *node) write(p Proposal) {
-	f, life := x.f, x.incarnation
+	f, incarnation := x.f, x.incarnation
 	f.after(f.store.delay(), func() {
-		if f.store.unavailable || f.store.revision != p.Revision || x.incarnation != life || x.down {
+		if f.store.unavailable || f.store.revision != p.Revision || x.incarnation != incarnation || x.down {
 			return
 		}
-		if do := f.onWrite; do != nil {
+		if onWrite := f.onWrite; onWrite != nil {
 			f.onWrite = nil
-			if !do(x) {
+			if !onWrite(x) {
 				return
 			}
 		}
 		f.put(p.Record)
 		revision := f.store.revision
 		f.after(f.store.delay(), func() {
-			if x.incarnation == life && !x.down && f.random.Float64() >= f.loss {
+			if x.incarnation == incarnation && !x.down && f.random.Float64() >= f.loss {
 				x.run(func() { x.controller.Confirm(p, revision) })
 			}
 		})
--- a/process/rollout/model_requests_test.go
+++ b/process/rollout/model_requests_test.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// run moves the clock on.
+// run advances the simulated time.
 func (f *fleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += modelStep {
 		for len(f.queue) > 0 && f.queue[0].at <= f.now {
 			heap.Pop(&f.queue).(event).do()
 		}
-		beats := f.now%heartbeatInterval < modelStep
+		heartbeat := f.now%heartbeatInterval < modelStep
 		for _, x := range f.nodes {
 			x.trackConnection()
 			if x.down || x.frozen {
 				continue
 			}
-			if beats {
+			if heartbeat {
 				x.sendHeartbeats()
 				x.refreshLive()
 			}
@@ -33,7 +33,7 @@
 	}
 }
 
-// come lets requests come.
+// sendRequests sends the requests of one step.
 func (f *fleet) sendRequests() {
 	f.fractionDue += f.rate(f.now) * modelStep.Seconds()
 	n := int(f.fractionDue)
@@ -51,7 +51,7 @@
 	}
 }
 
-// homesOf are the backend servers of a version.
+// homesOf returns the backend servers of a version.
 func (f *fleet) homesOf(software string) []Home {
 	if !isRunning(software, f.running) {
 		return nil
@@ -59,14 +59,14 @@
 	return f.homes
 }
 
-// homeOf is the home of an object.
+// homeOf returns the home of an object.
 func (f *fleet) homeOf(object int) uint64 {
 	return f.homes[int(uint64(object)*0x9e3779b97f4a7c15>>33)%len(f.homes)].Hash
 }
 
 var routeNames = []string{"r0", "r1", "r2", "r3", "r4", "r5", "r6", "r7"}
 
-// request sends a request, and another one if it fails.
+// request sends a request, and retries it if it fails.
 func (x *node) request(route, object, attempt int) {
 	f := x.f
 	home := func() (uint64, bool) {
@@ -88,29 +88,29 @@
 		}
 	}
 	b := f.behave(software, route, f.now)
-	took := time.Duration(float64(meanLatency) * b.factor * math.Exp(f.spread*f.random.NormFloat64()))
+	latency := time.Duration(float64(medianLatency) * b.factor * math.Exp(f.spread*f.random.NormFloat64()))
 	unseen := f.random.Float64() < b.unseenFraction
 	if unseen {
-		took = took * 2
+		latency = latency * 2
 	}
 	if b.stall.fraction > 0 {
 		x.noteStall(b.stall)
 		if f.random.Float64() < b.stall.fraction {
-			took += time.Duration(f.random.Float64() * float64(b.stall.maxDelay))
+			latency += time.Duration(f.random.Float64() * float64(b.stall.maxDelay))
 		}
 	}
 	failed := f.random.Float64() < b.failedFraction
 	f.count(x, software)
 	f.sentTo(software).add(f.now)
 	x.inFlight[software]++
-	life := x.incarnation
-	f.after(took, func() {
+	incarnation := x.incarnation
+	f.after(latency, func() {
 		x.run(func() {
-			if x.incarnation != life || x.down {
+			if x.incarnation != incarnation || x.down {
 				return
 			}
 			x.inFlight[software]--
-			a.Done(Outcome{Failed: failed, Latency: took, Cold: b.cold, Unseen: unseen})
+			a.Done(Outcome{Failed: failed, Latency: latency, Cold: b.cold, Unseen: unseen})
 			if failed && software == "v2" && !f.good {
 				f.badResponses = append(f.badResponses, f.now)
 			}
@@ -122,15 +122,15 @@
 }
 
 func (f *fleet) sentTo(software string) *rateMeter {
-	w := f.sent[software]
-	if w == nil {
-		w = &rateMeter{}
-		f.sent[software] = w
+	m := f.sent[software]
+	if m == nil {
+		m = &rateMeter{}
+		f.sent[software] = m
 	}
-	return w
+	return m
 }
 
-// load is what a version gets, as a part of all requests.
+// load returns the requests that a version gets, as a fraction of all requests.
 func (f *fleet) load(software string) float64 {
 	return f.sentTo(software).perSecond(f.now) / f.rate(f.now)
 }
--- a/process/rollout/model_test.go
+++ b/process/rollout/model_test.go
@@ -12,8 +12,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// fleet is a model of instances on one clock that roll out one service, with a store
-// that accepts conditional writes.
+// fleet simulates instances with a common clock that roll out one service, and a store with
+// conditional writes.
 type fleet struct {
 	now         time.Duration
 	random      *rand.Rand
@@ -22,65 +22,65 @@
 	size        int
 	byName      map[string]*node
 	queue       events
-	events      int // so far
+	events      int // number of events so far
 	store       store
-	loss        float64                         // part of the messages that are lost
-	rate        func(now time.Duration) float64 // requests a second of all instances together
+	loss        float64                         // fraction of the messages that are lost
+	rate        func(now time.Duration) float64 // requests per second of all instances together
 	fractionDue float64
 	sent        map[string]*rateMeter // requests by version
-	spread      float64               // of the logarithm of times
-	routes      []float64             // part of the requests by route
+	spread      float64               // of the logarithm of latencies
+	routes      []float64             // fraction of the requests by route
 	behave      func(software string, route int, now time.Duration) behaviour
 	homes       []Home // of the target's backend servers
 	running     []RunningVersion
 	startedAt   time.Duration
 
 	orderHistory []*trackedOrder
-	violations   []string // rules that were broken
+	violations   []string // of the invariants
 	badResponses []time.Duration
-	// good is set if the target is no worse than the baseline: its bad answers are not its
-	// own, and there is nothing to stop.
+	// good is set if the target is no worse than the baseline. Bad responses are then not its own,
+	// and do not require a stop.
 	good bool
-	// lastTarget is when a request went to the target last.
+	// lastTarget is when a request last went to the target.
 	lastTarget          time.Duration
 	targetAll           int
-	sentBytes, received map[string]int // sent and got by an address
-	// onWrite, if set, sees the next write of an owner. It tells whether the write is
-	// done.
+	sentBytes, received map[string]int // by address
+	// onWrite, if set, is called before the next write of an owner. It returns whether to carry out
+	// the write.
 	onWrite func(x *node) bool
-	// ownerFor, if set, says which node a node takes for the owner, in place of the rank.
+	// ownerFor, if set, returns the node that a node considers the owner, instead of the one with
+	// the lowest rank.
 	ownerFor func(x *node) *node
-	// introduced, if set, is called when a node has told another one who it is.
+	// onAnnounce, if set, is called when a node has announced itself to another one.
 	onAnnounce func(x, to *node)
-	// soundSince is since when the store answers.
+	// storeBackAt is when the store last became available.
 	storeBackAt time.Duration
 }
 
-// behaviour is that of a version's backend servers.
+// behaviour is the behaviour of a version's backend servers.
 type behaviour struct {
-	failedFraction float64 // part of the requests that fail
-	factor         float64 // of the usual time
+	failedFraction float64 // fraction of the requests that fail
+	factor         float64 // of the mean latency
 	cold           bool
-	unseenFraction float64 // part of the requests on objects not seen
+	unseenFraction float64 // fraction of the requests for objects not seen before
 	stall          stall
 }
 
-// holdUp is what the machine of an instance adds to answers, whatever version they are of: it
-// gives its processes their turns late.
+// stall is the scheduling delay that an instance adds to responses of any version.
 type stall struct {
-	fraction float64       // of the answers that are held up
-	maxDelay time.Duration // by which they are, at most
+	fraction float64       // of the responses that are delayed
+	maxDelay time.Duration // of a delayed response
 }
 
-// orderSeen is what went on from an order to its deadline, for the bound on the share.
+// trackedOrder is what happened from an order to its deadline, for checking the limit on the share.
 type trackedOrder struct {
 	order           *Order
 	orderedAt       time.Duration
 	all, target     int
-	endedAt         time.Duration // when the record of it ended
-	repeated        bool          // there was one for the same target before
-	duringPromotion bool          // it came in the promotion of one before
-	alreadyInForce  bool          // its target was in force then
+	endedAt         time.Duration // when its record ended
+	repeated        bool          // there was an earlier one for the same target
+	duringPromotion bool          // it came during the promotion of an earlier one
+	alreadyInForce  bool          // its target was in force already
 	replacedAt      time.Duration // when it was replaced or withdrawn
 	phase           Phase
 }
@@ -95,28 +95,28 @@
 	down          bool
 	frozen        bool
 	frozenQueue   []func()
-	cutOut        bool // what it sends to other instances is lost
-	cutIn         bool // what others send to it is lost
+	outgoingCut   bool // its messages to other instances are lost
+	incomingCut   bool // messages of other instances to it are lost
 	cutFromStore  bool
 	nextTickAt    time.Duration
-	version       int // of the tables as installed
-	incarnation   int // restarts
+	version       int // of the installed tables
+	incarnation   int // number of restarts
 	startedAt     time.Duration
 	order         *Order
 	record        *Record
 	inForce       string
 	inFlight      map[string]int // requests in flight by version
 	lastSentTo    map[string]time.Duration
-	lastHeartbeat []time.Duration // when others were heard last
-	liveNodes     []string        // as of the last beat
+	lastHeartbeat []time.Duration // by node index, when the last heartbeat was received
+	liveNodes     []string        // as of the last heartbeat
 	currentOwner  Owner
 	delay         time.Duration
-	delayedAt     time.Duration // zero: it never was
-	// From unsoundFrom to unsoundTo it was frozen, dead or cut off last.
+	delayedAt     time.Duration // zero: never
+	// disconnectedFrom and disconnectedTo are when it was last frozen, down or cut off.
 	disconnectedFrom, disconnectedTo time.Duration
 }
 
-// store is the tables. Version counts its changes.
+// store holds the tables. Version counts their changes.
 type store struct {
 	version     int
 	unavailable bool
@@ -150,12 +150,12 @@
 
 const (
 	modelStep     = 10 * time.Millisecond
-	meanLatency   = 30 * time.Millisecond
+	medianLatency = 30 * time.Millisecond
 	defaultSpread = 0.35
-	// deadAfter is after how long a silent instance counts as dead.
+	// unresponsiveAfter is after how long without heartbeats an instance is considered down.
 	unresponsiveAfter   = 3 * time.Second
 	heartbeatInterval   = 500 * time.Millisecond
-	datagramHeaderBytes = 28 // bytes of a datagram by IP and UDP
+	datagramHeaderBytes = 28 // IP and UDP headers
 )
 
 func (f *fleet) after(d time.Duration, do func()) {
@@ -165,7 +165,7 @@
 
 var testBounds = Bounds{Share: 0.1, Slack: 20, StopWithin: 5 * time.Second}
 
-// newFleet returns a fleet where version v1 serves and v2 stands by.
+// newFleet returns a fleet with version v1 in force and v2 on standby.
 func newFleet(seed uint64, size int, requests float64) *fleet {
 	f := &fleet{
 		size: size, spread: defaultSpread, now: time.Hour, random: rand.New(rand.NewPCG(seed, 7)), bounds: testBounds,
@@ -204,7 +204,7 @@
 	return o
 }
 
-// endOrder notes that the present order is none any more.
+// endOrder records that the present order is no longer valid.
 func (f *fleet) endOrder() {
 	for _, o := range f.orderHistory {
 		if o.replacedAt == 0 {
@@ -223,7 +223,7 @@
 	return slices.ContainsFunc(f.orderHistory, func(o *trackedOrder) bool { return o.order.Target == software })
 }
 
-// phase is the phase in the store.
+// phase returns the phase in the store.
 func (f *fleet) phase() Phase {
 	if f.store.record == nil {
 		return ""
--- a/process/rollout/owner.go
+++ b/process/rollout/owner.go
@@ -193,7 +193,7 @@
 		s.lostOwnership = true
 	}
 	if o.Name != s.owner.Name {
-		s.reporting.newOwnerSince = now
+		s.reportState.newOwnerSince = now
 	}
 	s.owner = o
 }
--- a/process/rollout/rollout.go
+++ b/process/rollout/rollout.go
@@ -151,7 +151,7 @@
 	inFlightToPrevious int
 	stats              *localStats
 	gate               gate
-	reporting          reportState
+	reportState        reportState
 	ownerState         ownerState
 }
 
--- a/process/rollout/rollout_test.go
+++ b/process/rollout/rollout_test.go
@@ -11,7 +11,7 @@
 	"shalewick/version"
 )
 
-// TestGoodTargetIsCompleted moves fleets of several sizes to a good target.
+// TestGoodTargetIsCompleted runs a rollout to a good target in fleets of several sizes.
 func TestGoodTargetIsCompleted(t *testing.T) {
 	for _, c := range []struct {
 		size int
@@ -27,45 +27,45 @@
 	}
 }
 
-// TestBadTargetIsReverted has targets that fail.
+// TestBadTargetIsReverted runs rollouts to targets that fail.
 func TestBadTargetIsReverted(t *testing.T) {
-	for _, part := range []float64{0.05, 0.2, 1} {
+	for _, failed := range []float64{0.05, 0.2, 1} {
 		f := newFleet(1, 12, 200)
 		f.behave = func(software string, _ int, _ time.Duration) behaviour {
 			if software == "v2" {
-				return behaviour{factor: 1, failedFraction: part}
+				return behaviour{factor: 1, failedFraction: failed}
 			}
 			return behaviour{factor: 1}
 		}
 		f.run(minUptimeForSlack + time.Second)
 		o := f.order("v2", time.Minute)
 		f.run(70 * time.Second)
-		t.Logf("%g: %v, %d requests, stopped after %s", part, f.store.record, f.targetAll, f.lastTarget-o.orderedAt)
+		t.Logf("%g: %v, %d requests, stopped after %s", failed, f.store.record, f.targetAll, f.lastTarget-o.orderedAt)
 		assert.Equal(t, len(f.violations), 0, "%v", f.violations)
 		assert.Equal(t, f.phase(), Reverted)
 	}
 }
 
-// TestLostRecordIsWrittenAgain guards against roll-outs whose record the store has lost, or has
-// under an order that was written again since.
+// TestLostRecordIsRestored guards against the loss of a record, when the store has lost it or has
+// it under an order that was written again since.
 func TestLostRecordIsRestored(t *testing.T) {
 	for _, phase := range []Phase{Canary, Promote, Completed, Reverted} {
 		for name, c := range map[string]struct {
-			held  bool
-			order *Order
+			recordLost bool
+			order      *Order
 		}{
-			"record lost":              {held: true, order: &Order{ID: 1, Target: "v2", Within: time.Minute}},
-			"order written again":      {order: &Order{ID: 9, Epoch: 1, Target: "v2", Within: time.Minute}},
-			"both":                     {held: true, order: &Order{ID: 9, Epoch: 1, Target: "v2", Within: time.Minute}},
-			"order not there any more": {held: true},
+			"record lost":         {recordLost: true, order: &Order{ID: 1, Target: "v2", Within: time.Minute}},
+			"order written again": {order: &Order{ID: 9, Epoch: 1, Target: "v2", Within: time.Minute}},
+			"both":                {recordLost: true, order: &Order{ID: 9, Epoch: 1, Target: "v2", Within: time.Minute}},
+			"order gone":          {recordLost: true},
 		} {
 			t.Run(string(phase)+", "+name, func(t *testing.T) {
 				r, now := singleInstance(Owner{Name: "here"})
-				s := canaryOf(phase)[0]
+				s := serviceInPhase(phase)[0]
 				s.Record.Within = version.Duration(time.Minute)
 				r.Install([]Service{s})
 				before := *s.Record
-				s.RecordLost, s.Order, s.Revision = c.held, c.order, 1<<50
+				s.RecordLost, s.Order, s.Revision = c.recordLost, c.order, 1<<50
 				r.Install([]Service{s})
 				got := r.Proposals(*now)
 				assert.Equal(t, len(got), 1)
@@ -80,17 +80,18 @@
 	}
 }
 
-// TestHeldOrderRenamesNoRecord guards against an owner that still holds an order of the epoch before,
-// and would write the record back under that.
+// TestOrderOfOlderEpochRestoresNothing guards against an owner that still has an order of the
+// previous epoch and would write the record back under that order.
 func TestOrderOfOlderEpochRestoresNothing(t *testing.T) {
 	r, now := singleInstance(Owner{Name: "here"})
-	s := canaryOf(Completed)[0]
+	s := serviceInPhase(Completed)[0]
 	s.Record.Order, s.Record.Epoch, s.Record.Within = 9, 1, version.Duration(time.Minute)
 	r.Install([]Service{s})
 	assert.Equal(t, len(r.Proposals(*now)), 0)
 }
 
-// TestAnotherOrderOfALaterEpochIsNoOldOne guards against orders that are taken for one that has ended.
+// TestOrdersMatchAcrossEpochs guards against an order that is mistaken for an earlier one that has
+// ended.
 func TestOrdersMatchAcrossEpochs(t *testing.T) {
 	record := &Record{Order: 5, Epoch: 1, Target: "v2", Within: version.Duration(time.Minute), Phase: Completed}
 	assert.Assert(t, record.isFor(&Order{ID: 5, Epoch: 1, Target: "v2", Within: time.Minute}))
--- a/process/rollout/traffic_test.go
+++ b/process/rollout/traffic_test.go
@@ -9,13 +9,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestTrafficOfAnInstance counts the bytes of reports and answers, with the headers of
-// datagrams, at an instance with four routes while a canary runs.
+// TestMessageTraffic measures the bytes of reports and replies, with datagram headers, at an
+// instance with four routes during a canary.
 func TestMessageTraffic(t *testing.T) {
-	const most = 300.0 // bytes a second, each way
+	const maxRate = 300.0 // bytes per second in each direction
 	f := newFleet(1, 12, 1000)
 	f.run(minUptimeForSlack + time.Second)
-	assert.Equal(t, len(f.sentBytes), 0, "without a roll-out")
+	assert.Equal(t, len(f.sentBytes), 0, "without a rollout")
 	f.order("v2", 10*time.Minute)
 	f.run(2 * time.Minute)
 	clear(f.sentBytes)
@@ -29,7 +29,7 @@
 			continue
 		}
 		out, in := float64(f.sentBytes[x.name])/span.Seconds(), float64(f.received[x.name])/span.Seconds()
-		assert.Assert(t, out < most && in < most, "%s: %g out, %g in", x.name, out, in)
+		assert.Assert(t, out < maxRate && in < maxRate, "%s: %g out, %g in", x.name, out, in)
 		if x.index < 3 {
 			t.Logf("%s: %.0f bytes/s out, %.0f in", x.name, out, in)
 		}
--- a/process/rollout/versions_test.go
+++ b/process/rollout/versions_test.go
@@ -12,7 +12,7 @@
 	"shalewick/version"
 )
 
-// both are two versions of which v1 is the older.
+// bothRunning are two versions, of which v1 is the older.
 var bothRunning = []RunningVersion{{"v2", 3, 40}, {"v1", 3, 7}}
 
 func recordOf(order int64, phase Phase) *Record {
@@ -27,55 +27,55 @@
 		order   *Order
 		record  *Record
 		running []RunningVersion
-		before  string
+		current string
 		want    version.Software
 	}{
 		{"no order, at start", nil, nil, bothRunning, "", only("v1")},
-		{"no order, as before", nil, nil, bothRunning, "v2", only("v2")},
-		{"no order, the version before is gone", nil, nil, bothRunning, "v0", only("v1")},
+		{"no order, unchanged", nil, nil, bothRunning, "v2", only("v2")},
+		{"no order, the current version is gone", nil, nil, bothRunning, "v0", only("v1")},
 		{"no order, nothing runs", nil, nil, nil, "", only("")},
 		{"no order, completed", nil, recordOf(9, Completed), bothRunning, "v1", only("v2")},
 		{"no order, reverted", nil, recordOf(9, Reverted), bothRunning, "v2", only("v1")},
 		{"withdrawn while it runs", nil, recordOf(9, Canary), bothRunning, "v1", only("v1")},
-		{"withdrawn, the version before is gone", nil, recordOf(9, Promote), bothRunning[:1], "v1", only("v1")},
+		{"withdrawn, previous version is gone", nil, recordOf(9, Promote), bothRunning[:1], "v1", only("v1")},
 		{"order without a record", order, nil, bothRunning, "v1", only("v1")},
 		{"order without a record, at start", order, nil, bothRunning, "", only("v1")},
 		{"order without a record, its target was taken for the oldest", order, nil, bothRunning, "v2", only("v1")},
-		{"order for the version in force, another stands by", &Order{ID: 9, Target: "v1"}, nil, bothRunning, "v1", only("v1")},
+		{"order for the version in force, another on standby", &Order{ID: 9, Target: "v1"}, nil, bothRunning, "v1", only("v1")},
 		{"order without a record, only its target runs", order, nil, bothRunning[:1], "v1", only("v2")},
 		{"order without a record, only its target runs, at start", order, nil, bothRunning[:1], "", only("v2")},
-		{"order, completed before", order, &Record{Order: 8, Target: "v1", Previous: "v0", Phase: Completed}, bothRunning, "", only("v1")},
-		{"order, reverted before", order, recordOf(8, Reverted), bothRunning, "", only("v1")},
+		{"order, earlier one completed", order, &Record{Order: 8, Target: "v1", Previous: "v0", Phase: Completed}, bothRunning, "", only("v1")},
+		{"order, earlier one reverted", order, recordOf(8, Reverted), bothRunning, "", only("v1")},
 		{"ordered again while it runs", order, recordOf(8, Promote), bothRunning, "v1", only("v1")},
 		{"canary", order, recordOf(9, Canary), bothRunning, "v1", version.Software{InForce: "v1", Target: "v2"}},
 		{"canary, at start", order, recordOf(9, Canary), bothRunning, "", version.Software{InForce: "v1", Target: "v2"}},
 		{"promotion", order, recordOf(9, Promote), bothRunning, "v1", version.Software{InForce: "v1", Target: "v2"}},
 		{"completed", order, recordOf(9, Completed), bothRunning, "v1", only("v2")},
 		{"reverted", order, recordOf(9, Reverted), bothRunning, "v1", only("v1")},
-		{"promotion, the version before is gone", order, recordOf(9, Promote), bothRunning[:1], "v1", only("v2")},
+		{"promotion, previous version is gone", order, recordOf(9, Promote), bothRunning[:1], "v1", only("v2")},
 		{"canary, nothing runs", order, recordOf(9, Canary), nil, "v1", version.Software{InForce: "v1", Target: "v2"}},
-		{"reverted, the version before is gone", order, recordOf(9, Reverted), bothRunning[:1], "v1", only("v1")},
+		{"reverted, previous version is gone", order, recordOf(9, Reverted), bothRunning[:1], "v1", only("v1")},
 		{"completed, the target is gone", order, recordOf(9, Completed), bothRunning[1:], "v2", only("v2")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			assert.Equal(t, SelectVersions(c.order, c.record, c.running, c.before), c.want)
+			assert.Equal(t, SelectVersions(c.order, c.record, c.running, c.current), c.want)
 		})
 	}
 }
 
-// TestNoVersionIsAdmittedThatNobodyOrdered draws what an instance may know in any
-// order, and checks that a version that stands by never gets in. It leaves out one case
-// in which nothing tells the two apart: an instance that starts between an order for the
-// version in force and its record. There the other version is taken to be in force,
-// since an order mostly is for a version that does not serve yet.
+// TestOnlyOrderedVersionsAreSelected draws sequences of what an instance may know, and checks that
+// a standby version which nobody ordered is never selected. It skips one ambiguous case: an
+// instance that starts after an order for the version in force, but before the order's record is
+// written. The instance then takes the other version to be in force, since an order is usually for
+// a version that is not in force yet.
 func TestOnlyOrderedVersionsAreSelected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		versions := []string{"v1", "v2", "v3"}
-		standsBy := RunningVersion{Software: "standby", Backends: 4, Oldest: 500}
-		before := ""
-		inForce := "v1" // at first
+		standby := RunningVersion{Software: "standby", Backends: 4, Oldest: 500}
+		current := ""
+		inForce := "v1" // initially
 		allowed := []string{inForce}
-		running := []RunningVersion{{"v1", 2, 1}, standsBy}
+		running := []RunningVersion{{"v1", 2, 1}, standby}
 		var record *Record
 		var order *Order
 		for i := range rapid.IntRange(1, 12).Draw(t, "steps") {
@@ -85,7 +85,7 @@
 				allowed = append(allowed, order.Target)
 			case 1:
 				order = nil
-			case 2: // the owner takes the order up
+			case 2: // the owner adopts the order
 				if order != nil && (record == nil || record.Order != order.ID) {
 					if record != nil {
 						inForce = record.InForce()
@@ -99,26 +99,26 @@
 					record = &next
 				}
 			case 4: // backend servers of the version in force always stay, others come and go
-				running = []RunningVersion{standsBy}
+				running = []RunningVersion{standby}
 				now := inForce
 				if record != nil {
 					now = record.InForce()
 				}
 				for j, v := range versions {
-					if v == now || rapid.Bool().Draw(t, "there") {
+					if v == now || rapid.Bool().Draw(t, "exists") {
 						running = append(running, RunningVersion{v, 2, int64(j + 1)})
 					}
 				}
-			case 5: // the instance starts anew
-				before = ""
+			case 5: // the instance restarts
+				current = ""
 			}
-			if before == "" && record == nil && order != nil && order.Target == inForce {
+			if current == "" && record == nil && order != nil && order.Target == inForce {
 				continue
 			}
-			got := SelectVersions(order, record, running, before)
+			got := SelectVersions(order, record, running, current)
 			assert.Assert(t, slices.Contains(allowed, got.InForce), "%+v of %v", got, allowed)
 			assert.Assert(t, got.Target == "" || slices.Contains(allowed, got.Target), "%+v of %v", got, allowed)
-			before = got.InForce
+			current = got.InForce
 		}
 	})
 }
--- a/process/rollout/wire_test.go
+++ b/process/rollout/wire_test.go
@@ -18,7 +18,7 @@
 	return c
 }
 
-// TestMessagesAreReadAsWritten checks the wire, and that messages fit in a datagram.
+// TestMessageRoundTrip checks encoding and decoding, and that messages fit in a datagram.
 func TestMessageRoundTrip(t *testing.T) {
 	const datagram = 1400
 	rapid.Check(t, func(t *rapid.T) {
@@ -59,8 +59,8 @@
 	assert.Assert(t, len(full.encode()) < datagram, "%d", len(full.encode()))
 }
 
-// FuzzHear checks that whatever comes in a datagram is taken up or refused, at the owner
-// and at another instance.
+// FuzzReceive checks that any datagram is either processed or rejected, at the owner and at another
+// instance.
 func FuzzReceive(f *testing.F) {
 	s := hashOfService("s")
 	f.Add((&report{service: s, order: 1, seq: 1, routes: []routeCounts{{1, versionCounts{base: Counts{Requests: 3, Timed: 2}}}}}).encode())
