--- a/operator/rollout.go
+++ b/operator/rollout.go
@@ -95,8 +95,8 @@
 		line("cause", r.Cause)
 		line("evidence", r.Evidence)
 	}
-	if s.Left > 0 {
-		line("left", time.Duration(s.Left).String())
+	if s.Remaining > 0 {
+		line("left", time.Duration(s.Remaining).String())
 	}
 	_ = t.Flush() // a closed output has nobody to tell
 }
--- a/process/admin/rollout_test.go
+++ b/process/admin/rollout_test.go
@@ -192,7 +192,7 @@
 	var out strings.Builder
 	operator.PrintRollout(&out, &rolloutview.Status{
 		Service: "s", InForce: "v1", Order: 7, Target: "v2", Within: version.Duration(30 * time.Second),
-		Record: record(7, rollout.Reverted, "it fails more often"), Left: version.Duration(2 * time.Second),
+		Record: record(7, rollout.Reverted, "it fails more often"), Remaining: version.Duration(2 * time.Second),
 	})
 	for _, want := range []string{
 		"state     reverted", "in force  v1", "order     7: v2 within 30s", "order 7: from v1 to v2, reverted", "cause     it fails more often", "left      2s",
--- a/process/edge/rolloutview.go
+++ b/process/edge/rolloutview.go
@@ -22,7 +22,7 @@
 		s.Order, s.Target, s.Within = order.ID, order.Target, version.Duration(order.Within)
 	}
 	if now, clocked := e.deployment.Store.Clock(); clocked && known.running() {
-		s.Left = version.Duration(max(0, time.Duration(known.record.Deadline)-now))
+		s.Remaining = version.Duration(max(0, time.Duration(known.record.Deadline)-now))
 	}
 	return s, true
 }
--- a/process/rollout/compare_test.go
+++ b/process/rollout/compare_test.go
@@ -135,7 +135,7 @@
 	{"8 times slower", true, onlyTarget(behaviour{factor: 8, failedFraction: goodBehaviour.failedFraction}, 0)},
 }
 
-// playScenario runs a scenario of one minute with a detector. It returns when that found the target
+// runScenario runs a scenario of one minute with a detector. It returns when that found the target
 // bad, and how many bad responses the target had given.
 func runScenario(s scenario, w detector, seed uint64) (found bool, after time.Duration, responses int) {
 	const (
@@ -258,7 +258,7 @@
 	load                                      []float64 // of a server in the second of each request, relative to its normal load
 }
 
-// playCanary runs a canary of one minute in which popular objects get many requests.
+// runCanary runs a canary of one minute in which popular objects get many requests.
 func runCanary(w canaryStrategy, seed uint64) (out canaryResult) {
 	const (
 		requests   = 400
--- a/process/rollout/fleet_test.go
+++ b/process/rollout/fleet_test.go
@@ -122,7 +122,7 @@
 	{"withdrawn", func(f *fleet, x *node, duration time.Duration) { f.withdraw() }},
 }
 
-// playWithFaults runs a rollout with random faults and returns the fleet.
+// runWithFaults runs a rollout with random faults and returns the fleet.
 func runWithFaults(t *rapid.T, size int, maxFaults int) *fleet {
 	f := newFleet(rapid.Uint64().Draw(t, "seed"), size, float64(rapid.SampledFrom([]int{5, 50, 300}).Draw(t, "requests")))
 	f.loss = rapid.SampledFrom([]float64{0, 0, 0.05, 0.3}).Draw(t, "loss")
--- a/process/rollout/gate_test.go
+++ b/process/rollout/gate_test.go
@@ -15,7 +15,7 @@
 
 var cmpAll = cmp.AllowUnexported(report{}, reply{}, routeCounts{}, versionCounts{})
 
-// canaryOf is the tables' state of a service with a rollout in the given phase.
+// serviceInPhase is the tables' state of a service with a rollout in the given phase.
 func serviceInPhase(phase Phase) []Service {
 	return []Service{{
 		Name: "s", Order: &Order{ID: 1, Target: "v2", Within: time.Minute}, Revision: 1, InForce: "v1", InForceSlots: 10,
@@ -246,8 +246,8 @@
 // TestConcurrentUse is for the race detector.
 func TestConcurrentUse(t *testing.T) {
 	r, _ := singleInstance(Owner{Name: "here"})
-	began := time.Now()
-	r.Now = func() time.Duration { return time.Hour + time.Since(began) }
+	startedAt := time.Now()
+	r.Now = func() time.Duration { return time.Hour + time.Since(startedAt) }
 	var wait sync.WaitGroup
 	for i := range 8 {
 		wait.Go(func() {
@@ -273,8 +273,8 @@
 // BenchmarkBegin measures the cost of an attempt: without a rollout, with a rollout of another
 // service, and during a canary.
 func BenchmarkBegin(b *testing.B) {
-	began := time.Now()
-	clock := func() time.Duration { return time.Hour + time.Since(began) }
+	startedAt := time.Now()
+	clock := func() time.Duration { return time.Hour + time.Since(startedAt) }
 	b.Run("none", func(b *testing.B) {
 		r, _ := singleInstance(Owner{Name: "here"})
 		r.Install(nil)
--- a/process/rollout/kinds_test.go
+++ b/process/rollout/kinds_test.go
@@ -132,7 +132,7 @@
 	violations   []string
 }
 
-// playKind runs a rollout of a kind.
+// runKind runs a rollout of a kind.
 func runKind(k targetKind, size int, requests float64, seed uint64) result {
 	f := newFleet(seed, size, requests)
 	f.good = !k.bad
@@ -240,7 +240,7 @@
 	maxWrong = 0.1
 )
 
-// playAll runs all kinds with all seeds, several at a time.
+// runAll runs all kinds with all seeds, several at a time.
 func runAll(chosen []targetKind, size int, requests float64, runs int) [][]result {
 	out := make([][]result, len(chosen))
 	var group sync.WaitGroup
--- a/process/rollout/model_test.go
+++ b/process/rollout/model_test.go
@@ -60,7 +60,7 @@
 // behaviour is the behaviour of a version's backend servers.
 type behaviour struct {
 	failedFraction float64 // fraction of the requests that fail
-	factor         float64 // of the mean latency
+	factor         float64 // of medianLatency
 	cold           bool
 	unseenFraction float64 // fraction of the requests for objects not seen before
 	stall          stall
--- a/process/rollout/owners_test.go
+++ b/process/rollout/owners_test.go
@@ -31,7 +31,7 @@
 	ownersWithin = 6 * time.Second
 )
 
-// playOwnerChanges runs a rollout of a good target while begin sets up the changes of the owner. It
+// runOwnerChanges runs a rollout of a good target while begin sets up the changes of the owner. It
 // returns the fraction of the time from ownerChangeFrom to ownerChangeTo in which nodes had no
 // lease.
 func runOwnerChanges(t *testing.T, seed uint64, begin func(f *fleet, order *trackedOrder)) (withoutLease float64) {
--- a/process/rollout/wire_test.go
+++ b/process/rollout/wire_test.go
@@ -27,7 +27,7 @@
 			incarnation: rapid.Int64().Draw(t, "incarnation"), seq: rapid.Byte().Draw(t, "seq"),
 			phase: rapid.SampledFrom(phases[:]).Draw(t, "phase"), halted: rapid.Bool().Draw(t, "halted"),
 			drained: rapid.Bool().Draw(t, "drained"), inFlight: uint64(rapid.Uint32().Draw(t, "inFlight")),
-			hasEcho: true, echoClock: rapid.Uint32().Draw(t, "echo"),
+			hasEcho: true, echoClock: rapid.Uint32().Draw(t, "echoClock"),
 		}
 		for range rapid.IntRange(0, maxRoutes).Draw(t, "routes") {
 			x.routes = append(x.routes, routeCounts{
@@ -40,7 +40,7 @@
 
 		a := &reply{
 			service: x.service, order: x.order, seq: x.seq, phase: x.phase, halted: x.halted, stepDueSoon: x.drained,
-			ownerClock: x.echoClock, hasRemaining: true, remaining: time.Duration(rapid.IntRange(0, 100_000).Draw(t, "left")) * time.Millisecond,
+			ownerClock: x.echoClock, hasRemaining: true, remaining: time.Duration(rapid.IntRange(0, 100_000).Draw(t, "remaining")) * time.Millisecond,
 			allLacking: rapid.Bool().Draw(t, "allLacking"),
 		}
 		for _, c := range x.routes {
@@ -67,11 +67,11 @@
 	f.Add((&reply{service: s, order: 1, seq: 1, phase: Promote, hasRemaining: true, lackingRoutes: []routeHash{1}}).encode())
 	f.Add([]byte{kindReport})
 	f.Add([]byte{1, 2})
-	f.Fuzz(func(t *testing.T, text []byte) {
+	f.Fuzz(func(t *testing.T, payload []byte) {
 		for _, owner := range []Owner{{Name: "here"}, {Name: "x", Address: "x"}} {
 			r, now := singleInstance(owner)
-			took := r.Receive("x", text)
-			assert.Equal(t, took, len(text) > 0 && (text[0] == kindReport || text[0] == kindReply))
+			accepted := r.Receive("x", payload)
+			assert.Equal(t, accepted, len(payload) > 0 && (payload[0] == kindReport || payload[0] == kindReply))
 			*now += TickInterval
 			r.Tick()
 			r.Begin("s", "r", true, func() (uint64, bool) { return 1, true }).Done(Outcome{})
--- a/process/rolloutview/view.go
+++ b/process/rolloutview/view.go
@@ -34,9 +34,9 @@
 	Within version.Duration `json:"within,omitempty"`
 	// Record is the state of the newest rollout. Nil: none was written yet.
 	Record *rollout.Record `json:"record,omitempty"`
-	// Left is the time until the deadline in the record of a running rollout, which is up to half a
+	// Remaining is the time until the deadline in the record of a running rollout, which is up to half a
 	// second before that of the order.
-	Left version.Duration `json:"left,omitempty"`
+	Remaining version.Duration `json:"left,omitempty"`
 }
 
 // State is the state of a rollout: a phase of its record, or one of the states below.
