--- a/process/rollout/analysis.go
+++ b/process/rollout/analysis.go
@@ -69,7 +69,7 @@
 // comparison compares the versions for one set of requests.
 type comparison struct {
 	total              versionCounts
-	long               decayingCounts
+	smoothed           decayingCounts
 	recent             recentCounts
 	failedSum, slowSum cusum
 	// expectedFailures is how many failures the baseline would have had on the target's requests.
@@ -78,7 +78,7 @@
 
 func (t *comparison) addBase(c Counts, now time.Duration) {
 	t.total.base.add(c)
-	t.long.add(c, now, baselineTime)
+	t.smoothed.add(c, now, baselineTime)
 	t.recent.add(c, now)
 }
 
@@ -116,11 +116,11 @@
 // expectedRates returns the rates of the baseline around a time. Prior holds the rates to assume
 // where there is little data.
 func (t *comparison) expectedRates(at, now time.Duration, prior rates) rates {
-	t.long.decay(now, baselineTime)
+	t.smoothed.decay(now, baselineTime)
 	total := t.total.base
 	out := rates{
-		failed: ratio{t.long.failed, t.long.requests}.shrunkTo(ratio{float64(total.Failed), float64(total.Requests)}.shrunkTo(prior.failed)),
-		slow:   ratio{t.long.slow, t.long.timed}.shrunkTo(ratio{float64(total.Slow), float64(total.Timed)}.shrunkTo(prior.slow)),
+		failed: ratio{t.smoothed.failed, t.smoothed.requests}.shrunkTo(ratio{float64(total.Failed), float64(total.Requests)}.shrunkTo(prior.failed)),
+		slow:   ratio{t.smoothed.slow, t.smoothed.timed}.shrunkTo(ratio{float64(total.Slow), float64(total.Timed)}.shrunkTo(prior.slow)),
 	}
 	failed, slow := t.recent.maxRates(at)
 	return rates{failed: max(out.failed, failed), slow: max(out.slow, slow)}
--- a/process/rollout/compare_test.go
+++ b/process/rollout/compare_test.go
@@ -301,15 +301,15 @@
 		for range n {
 			out.load = append(out.load, load)
 		}
-		if load > halfLoad {
+		if load > loadedFraction {
 			out.underLoad += n
 		}
 	}
 	return out
 }
 
-// halfLoad is the fraction of its normal load from which a server counts as loaded.
-const halfLoad = 0.5
+// loadedFraction is the fraction of its normal load from which a server counts as loaded.
+const loadedFraction = 0.5
 
 // TestCompareCanaries compares strategies for selecting the requests of a canary.
 func TestCompareCanaries(t *testing.T) {
--- a/process/rollout/exchange.go
+++ b/process/rollout/exchange.go
@@ -62,8 +62,8 @@
 }
 
 // newOwnerInterval is the time until the next report to an owner that has granted no lease yet. The
-// first report is sent at once. The intervals then double, since all instances report to the new
-// owner at the same time.
+// first report is sent at once. The intervals then grow, since all instances report to the new owner
+// at the same time.
 func (s *reportState) newOwnerInterval() time.Duration {
 	if s.lastAt < s.newOwnerSince {
 		return 0
--- a/process/rollout/fleet_test.go
+++ b/process/rollout/fleet_test.go
@@ -193,7 +193,7 @@
 	owner.kill()
 	f.after(time.Second, owner.start)
 	f.run(7 * time.Second)
-	t.Logf("%v after %s, %d of %d", f.store.record, o.endedAt-o.orderedAt, o.target, o.all)
+	t.Logf("%v after %s, %d of %d", f.store.record, o.endedAt-o.orderedAt, o.targetRequests, o.requests)
 	assert.Equal(t, len(f.violations), 0, "%v", f.violations)
 	assert.Equal(t, f.phase(), Completed)
 }
--- a/process/rollout/model_checks_test.go
+++ b/process/rollout/model_checks_test.go
@@ -72,16 +72,16 @@
 		if o.duringPromotion && f.now < o.orderedAt+maxPromiseTime {
 			continue // a drain promise under the previous order is still valid
 		}
-		o.all++
+		o.requests++
 		if software == o.order.Target && software != "v1" {
-			o.target++
-			if float64(o.target) > f.bounds.Share*float64(o.all)+f.bounds.Slack {
-				f.violate("target has %d of %d", o.target, o.all)
+			o.targetRequests++
+			if float64(o.targetRequests) > f.bounds.Share*float64(o.requests)+f.bounds.Slack {
+				f.violate("target has %d of %d", o.targetRequests, o.requests)
 			}
 		}
 	}
 	if software == "v2" {
-		f.targetAll++
+		f.targetRequests++
 		f.lastTarget = f.now
 		if r := f.store.record; (r == nil || r.Phase != Completed) && len(f.badResponses) >= 50 && f.now > f.badResponses[49]+f.bounds.StopWithin {
 			f.violate("%s sent to the target %s after its 50th bad response", x.name, f.now-f.badResponses[49])
--- a/process/rollout/model_requests_test.go
+++ b/process/rollout/model_requests_test.go
@@ -12,7 +12,7 @@
 func (f *fleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += modelStep {
 		for len(f.queue) > 0 && f.queue[0].at <= f.now {
-			heap.Pop(&f.queue).(event).do()
+			heap.Pop(&f.queue).(event).run()
 		}
 		heartbeat := f.now%heartbeatInterval < modelStep
 		for _, x := range f.nodes {
--- a/process/rollout/model_test.go
+++ b/process/rollout/model_test.go
@@ -43,7 +43,7 @@
 	good bool
 	// lastTarget is when a request last went to the target.
 	lastTarget          time.Duration
-	targetAll           int
+	targetRequests      int
 	sentBytes, received map[string]int // by address
 	// onWrite, if set, is called before the next write of an owner. It returns whether to carry out
 	// the write.
@@ -74,15 +74,15 @@
 
 // trackedOrder is what happened from an order to its deadline, for checking the limit on the share.
 type trackedOrder struct {
-	order           *Order
-	orderedAt       time.Duration
-	all, target     int
-	endedAt         time.Duration // when its record ended
-	repeated        bool          // there was an earlier one for the same target
-	duringPromotion bool          // it came during the promotion of an earlier one
-	alreadyInForce  bool          // its target was in force already
-	replacedAt      time.Duration // when it was replaced or withdrawn
-	phase           Phase
+	order                    *Order
+	orderedAt                time.Duration
+	requests, targetRequests int
+	endedAt                  time.Duration // when its record ended
+	repeated                 bool          // there was an earlier one for the same target
+	duringPromotion          bool          // it came during the promotion of an earlier one
+	alreadyInForce           bool          // its target was in force already
+	replacedAt               time.Duration // when it was replaced or withdrawn
+	phase                    Phase
 }
 
 // node is one instance.
@@ -128,16 +128,16 @@
 }
 
 type event struct {
-	at time.Duration
-	n  int
-	do func()
+	at  time.Duration
+	seq int
+	run func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].n < e[j].n
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
--- a/process/rollout/owners_test.go
+++ b/process/rollout/owners_test.go
@@ -57,7 +57,7 @@
 		}
 	}
 	f.run(ownersWithin)
-	t.Logf("seed %d: %d of %d without a lease, %s, %d of the target, %v", seed, expired, all, f.phase(), f.targetAll, f.store.record.Cause)
+	t.Logf("seed %d: %d of %d without a lease, %s, %d of the target, %v", seed, expired, all, f.phase(), f.targetRequests, f.store.record.Cause)
 	assert.Check(t, f.phase() == Completed)
 	assert.Check(t, len(f.violations) == 0, "%v", f.violations)
 	return float64(expired) / float64(all)
--- a/process/rollout/rollout_test.go
+++ b/process/rollout/rollout_test.go
@@ -21,7 +21,7 @@
 		f.run(minUptimeForSlack + time.Second)
 		o := f.order("v2", time.Minute)
 		f.run(70 * time.Second)
-		t.Logf("%d instances, %g requests/s: %v at %s, %d of %d, %s", c.size, c.rate, f.store.record, o.endedAt-o.orderedAt, o.target, o.all, f.phase())
+		t.Logf("%d instances, %g requests/s: %v at %s, %d of %d, %s", c.size, c.rate, f.store.record, o.endedAt-o.orderedAt, o.targetRequests, o.requests, f.phase())
 		assert.Equal(t, len(f.violations), 0, "%v", f.violations)
 		assert.Equal(t, f.phase(), Completed)
 	}
@@ -40,7 +40,7 @@
 		f.run(minUptimeForSlack + time.Second)
 		o := f.order("v2", time.Minute)
 		f.run(70 * time.Second)
-		t.Logf("%g: %v, %d requests, stopped after %s", failed, f.store.record, f.targetAll, f.lastTarget-o.orderedAt)
+		t.Logf("%g: %v, %d requests, stopped after %s", failed, f.store.record, f.targetRequests, f.lastTarget-o.orderedAt)
 		assert.Equal(t, len(f.violations), 0, "%v", f.violations)
 		assert.Equal(t, f.phase(), Reverted)
 	}
