--- a/process/proxy/proxy.go
+++ b/process/proxy/proxy.go
@@ -40,7 +40,7 @@
 	// limiter.
 	Limits *ratelimit.Limiter
 	// Rollouts, if set, decides which requests go to the target of a roll-out.
-	Rollouts *rollout.Rollouts
+	Rollouts *rollout.Controller
 	// Crashes, if set, receives reports of requests that were lost at backend servers.
 	Crashes *crash.Detector
 	// Quarantine, if set, identifies requests that crash the backend servers that run them.
--- a/process/proxy/rollout.go
+++ b/process/proxy/rollout.go
@@ -94,7 +94,7 @@
 
 // reportResponse reports a response to the roll-outs.
 func (t *transaction) reportResponse(resp *response, took time.Duration) {
-	t.reportOutcome(resp.pick, rollout.Outcome{Failed: resp.isServerError(), Took: took, Unseen: resp.pick.Unseen, Cold: resp.pick.Cold})
+	t.reportOutcome(resp.pick, rollout.Outcome{Failed: resp.isServerError(), Latency: took, Unseen: resp.pick.Unseen, Cold: resp.pick.Cold})
 }
 
 // reportOutcome reports the outcome of an attempt to the roll-outs, and counts it for the software
@@ -102,7 +102,7 @@
 func (t *transaction) reportOutcome(pick *balance.Pick, o rollout.Outcome) {
 	t.rolloutAttempt.Done(o)
 	if !o.Inconclusive {
-		t.p.Metrics.Software(t.c.service, pick.Software, o.Failed, o.Took)
+		t.p.Metrics.Software(t.c.service, pick.Software, o.Failed, o.Latency)
 	}
 }
 
--- a/process/proxy/rollout_test.go
+++ b/process/proxy/rollout_test.go
@@ -36,7 +36,7 @@
 	assert.Assert(t, all[0].first && all[0].hasHome && all[0].declined == 0)
 	o := x.outcome()
 	assert.Assert(t, !o.Failed && !o.Inconclusive && o.Unseen && !o.Cold)
-	assert.Assert(t, o.Took >= x.new.First && o.Took < 300*time.Millisecond, "%s", o.Took)
+	assert.Assert(t, o.Latency >= x.new.First && o.Latency < 300*time.Millisecond, "%s", o.Latency)
 	x.assertServed(x.send("again", "/reads/1", ""), "again")
 	assert.Assert(t, !x.attempts(t)[1].outcomes[0].Unseen)
 }
@@ -318,7 +318,7 @@
 	x := newRolloutFixture(t)
 	x.proxy.beginRollout = nil
 	now := time.Hour
-	x.proxy.Rollouts = &rollout.Rollouts{
+	x.proxy.Rollouts = &rollout.Controller{
 		Now: func() time.Duration { return now }, Bounds: rollout.Bounds{Share: share, Slack: slack, StopWithin: 2 * time.Second},
 		Incarnation: 1, Owner: func(string) rollout.Owner { return rollout.Owner{Name: "here"} },
 		Live: func() []string { return []string{""} }, InFlight: x.table.InFlight, Send: func(string, []byte) {},
@@ -328,7 +328,7 @@
 	x.proxy.Rollouts.Install(nil)
 	x.proxy.Rollouts.Install([]rollout.Service{{
 		Name: "s", Order: &rollout.Order{ID: 1, Target: "v2", Within: time.Minute}, Revision: 1, InForce: "v1", InForceSlots: 4,
-		Record: &rollout.Record{Service: "s", Order: 1, Target: "v2", Before: "v1", Phase: rollout.Canary, Began: 1, Deadline: version.Duration(2 * time.Hour)},
+		Record: &rollout.Record{Service: "s", Order: 1, Target: "v2", Previous: "v1", Phase: rollout.Canary, StartedAt: 1, Deadline: version.Duration(2 * time.Hour)},
 		Homes:  []rollout.Home{{Hash: hash, Slots: 4}},
 	}})
 	for i := range requests {
@@ -347,7 +347,7 @@
 // progress: the begin and the end of the attempt, and the counts by version.
 func BenchmarkNoRollout(b *testing.B) {
 	f := newFixture(b, 1)
-	f.proxy.Rollouts = &rollout.Rollouts{}
+	f.proxy.Rollouts = &rollout.Controller{}
 	routing := f.table.Routing()
 	c := &call{route: routing.Route("a.example", "/reads/1"), service: "s"}
 	t := &transaction{p: f.proxy, c: c, query: balance.Query{Route: c.route, Object: 7}}
@@ -357,6 +357,6 @@
 		t.attempted = false
 		t.beginAttempt()
 		t.query.Target = t.rolloutAttempt.Target()
-		t.reportOutcome(pick, rollout.Outcome{Took: time.Millisecond})
+		t.reportOutcome(pick, rollout.Outcome{Latency: time.Millisecond})
 	}
 }
--- a/process/rollout/step.go
+++ b/process/rollout/step.go
@@ -9,35 +9,35 @@
 	"shalewick/version"
 )
 
-// Proposals returns the steps that this instance, as the owner, wants written. Now is
-// the store's steady clock.
-func (r *Rollouts) Proposals(now time.Duration) (out []Proposal) {
-	seen := r.outside()
+// Proposals returns the steps that this instance, as the owner, wants to write to the store. Now is
+// the store's monotonic clock.
+func (r *Controller) Proposals(now time.Duration) (out []Proposal) {
+	infos := r.collectServiceInfo()
 	live := r.Live()
 	r.mu.Lock()
 	defer r.unlock()
-	own := r.Now()
-	r.noteLive(live, own)
-	r.storeOffset = now - own
+	localNow := r.Now()
+	r.setLive(live, localNow)
+	r.storeOffset = now - localNow
 	r.storeKnown = true
-	for name, x := range seen {
+	for name, x := range infos {
 		s := r.services[name]
 		if s == nil {
 			continue
 		}
-		s.ownedBy(x.owner, own)
+		s.setOwner(x.owner, localNow)
 		if !s.owner.here() {
 			continue
 		}
-		if p := r.propose(s, now, own); p != nil {
+		if p := r.propose(s, now, localNow); p != nil {
 			out = append(out, *p)
 		}
 	}
 	return out
 }
 
-// Written tells that a proposal is in the store, and the revision of its row.
-func (r *Rollouts) Written(p Proposal, revision int64) {
+// Confirm records that a proposal has been written to the store, and the revision of its row.
+func (r *Controller) Confirm(p Proposal, revision int64) {
 	r.mu.Lock()
 	defer r.unlock()
 	s := r.services[p.Record.Service]
@@ -46,65 +46,65 @@
 	}
 	record := p.Record
 	s.Record, s.Revision = &record, revision
-	s.decider.proposed = nil
-	if s.trial != nil {
-		r.noteRecord(s, r.Now())
+	s.ownerState.proposed = nil
+	if s.stats != nil {
+		r.applyRecord(s, r.Now())
 	}
 }
 
-// propose returns the step that is due, unless it was proposed just now.
-func (r *Rollouts) propose(s *service, store, now time.Duration) *Proposal {
-	record := r.step(s, store, now)
+// propose returns the step that is due, unless it was proposed less than proposeInterval ago.
+func (r *Controller) propose(s *service, store, now time.Duration) *Proposal {
+	record := r.nextRecord(s, store, now)
 	if record == nil {
 		return nil
 	}
-	d := &s.decider
+	o := &s.ownerState
 	p := &Proposal{Record: *record, Revision: s.Revision}
-	if old := d.proposed; old != nil && old.Revision == p.Revision && old.Record.Phase == p.Record.Phase && old.Record.Order == p.Record.Order {
-		if now-d.proposedAt < proposePause {
+	if old := o.proposed; old != nil && old.Revision == p.Revision && old.Record.Phase == p.Record.Phase && old.Record.Order == p.Record.Order {
+		if now-o.proposedAt < proposeInterval {
 			return nil
 		}
-	} else if s.trial != nil {
-		r.note(s, "step-"+string(record.Phase), record.Cause, &d.verdict, now-d.heardAt)
+	} else if s.stats != nil {
+		r.logEvent(s, "step-"+string(record.Phase), record.Cause, &o.analysis, now-o.lastReportAt)
 	}
-	d.proposed, d.proposedAt = p, now
+	o.proposed, o.proposedAt = p, now
 	return p
 }
 
-// step returns the record as it should be, or nil if it should be as it is.
-func (r *Rollouts) step(s *service, store, now time.Duration) *Record {
+// nextRecord returns the record that should replace the present one, or nil if none should.
+func (r *Controller) nextRecord(s *service, store, now time.Duration) *Record {
 	switch order, record := s.Order, s.Record; {
-	case s.lost():
-		return s.restored()
+	case s.needsRestore():
+		return s.restoredRecord()
 	case order == nil && (record == nil || record.Phase.Ended()):
 		return nil
 	case order == nil:
-		return s.revert("order withdrawn")
+		return s.revertedRecord("order withdrawn")
 	case record.isFor(order) && record.Phase.Ended():
 		return nil
-	case record.isFor(order) && s.decider.halted:
-		return s.revert(s.decider.cause)
+	case record.isFor(order) && s.ownerState.halted:
+		return s.revertedRecord(s.ownerState.cause)
 	case record.isFor(order) && record.Phase == Canary:
-		return r.endCanary(s, store, now)
+		return r.canaryStep(s, store, now)
 	case record.isFor(order):
-		return r.endPromotion(s, store, now)
+		return r.promotionStep(s, store, now)
 	case record != nil && !record.Phase.Ended() && record.Target == order.Target:
-		return s.reorder(store, now)
+		return s.reorderedRecord(store, now)
 	}
-	return s.firstStep(store, now)
+	return s.firstRecord(store, now)
 }
 
-// lost reports whether the store lacks the record as it is known here, or has it under an order
-// that the operator has written again since.
-func (s *service) lost() bool {
+// needsRestore reports whether the store has lost the record that this instance knows, or has it
+// under an order that the operator has written again since.
+func (s *service) needsRestore() bool {
 	if s.Record == nil {
 		return false
 	}
-	return s.Held || s.Record.isFor(s.Order) && s.Record.Epoch < s.Order.Epoch
+	return s.RecordLost || s.Record.isFor(s.Order) && s.Record.Epoch < s.Order.Epoch
 }
 
-// restored returns the record as it has to be written again.
-func (s *service) restored() *Record {
+// restoredRecord returns the record to write to the store again.
+func (s *service) restoredRecord() *Record {
 	x := *s.Record
 	if s.Record.isFor(s.Order) && s.Record.Epoch < s.Order.Epoch {
 		x.Order, x.Epoch = s.Order.ID, s.Order.Epoch
@@ -112,33 +112,33 @@
 	return &x
 }
 
-// revert returns the record with the roll-out given up.
-func (s *service) revert(cause string) *Record {
+// revertedRecord returns the record of a reverted rollout.
+func (s *service) revertedRecord(cause string) *Record {
 	x := *s.Record
 	x.Phase = Reverted
 	x.Cause = cause
-	x.Evidence = s.decider.evidence()
+	x.Evidence = s.ownerState.evidence()
 	return &x
 }
 
-// evidence is what is known, in words.
-func (d *decider) evidence() string {
-	total := d.verdict.all.total
+// evidence returns the counts of both versions as text.
+func (o *ownerState) evidence() string {
+	total := o.analysis.all.total
 	return fmt.Sprintf("target: %s; before: %s", total.target, total.base)
 }
 
-// firstStep returns the first record of an order.
-func (s *service) firstStep(store, now time.Duration) *Record {
-	began := s.orderedAt(store, now)
+// firstRecord returns the first record of an order.
+func (s *service) firstRecord(store, now time.Duration) *Record {
+	startedAt := s.orderedAt(store, now)
 	x := &Record{
 		Service: s.Name, Order: s.Order.ID, Epoch: s.Order.Epoch, Target: s.Order.Target, Within: version.Duration(s.Order.Within),
-		Before: s.InForce, Phase: Canary,
-		Began: version.Duration(began), Deadline: version.Duration(s.deadline(began)),
+		Previous: s.InForce, Phase: Canary,
+		StartedAt: version.Duration(startedAt), Deadline: version.Duration(s.deadline(startedAt)),
 	}
 	if s.Record != nil {
-		x.Before = s.Record.InForce()
+		x.Previous = s.Record.InForce()
 	}
-	cause := s.Order.nonsense()
+	cause := s.Order.invalidReason()
 	if cause == "" && s.Unknown {
 		cause = "order for a service that is not there"
 	}
@@ -146,28 +146,28 @@
 		x.Phase, x.Cause = Reverted, cause
 		return x
 	}
-	if x.Target == x.Before {
+	if x.Target == x.Previous {
 		x.Phase = Completed
 	}
 	return x
 }
 
-// orderedAt is when this instance saw the present order, by the store's clock. It is a
-// little later than when the order was given.
+// orderedAt returns when this instance first saw the present order, by the store's clock. That is
+// slightly later than the order was written.
 func (s *service) orderedAt(store, now time.Duration) time.Duration {
-	if s.seen == 0 {
+	if s.orderSeenAt == 0 {
 		return store
 	}
-	return store - (now - s.seen)
+	return store - (now - s.orderSeenAt)
 }
 
-// deadline is when the present order must be through if it was seen at a time.
+// deadline returns when the present order has to be complete if it was seen at a time.
 func (s *service) deadline(seen time.Duration) time.Duration {
-	return seen + max(0, s.Order.Within-lateOrder)
+	return seen + max(0, s.Order.Within-maxOrderDelay)
 }
 
-// nonsense says what is wrong with an order, if anything is.
-func (o *Order) nonsense() string {
+// invalidReason returns why an order is invalid, or "".
+func (o *Order) invalidReason() string {
 	switch {
 	case o.Target == "":
 		return "order without a target"
@@ -179,132 +179,133 @@
 	return ""
 }
 
-// reorder returns the record for an order that asks again for what runs.
-func (s *service) reorder(store, now time.Duration) *Record {
+// reorderedRecord returns the record for an order that repeats the order of the running rollout.
+func (s *service) reorderedRecord(store, now time.Duration) *Record {
 	x := *s.Record
 	x.Order, x.Epoch, x.Within = s.Order.ID, s.Order.Epoch, version.Duration(s.Order.Within)
 	x.Deadline = version.Duration(s.deadline(s.orderedAt(store, now)))
-	if s.decider.halted {
-		x.Phase, x.Cause = Reverted, s.decider.cause
-		x.Evidence = s.decider.evidence()
+	if s.ownerState.halted {
+		x.Phase, x.Cause = Reverted, s.ownerState.cause
+		x.Evidence = s.ownerState.evidence()
 	}
-	if cause := s.Order.nonsense(); cause != "" {
+	if cause := s.Order.invalidReason(); cause != "" {
 		x.Phase, x.Cause = Reverted, cause
 	}
 	return &x
 }
 
-// promoteAt is when the promotion is due, by the store's clock: so long before the share
-// is no longer bounded that the rest of it lasts until then. An earlier one would run
-// out of it, and send requests to the version before again.
+// promoteAt returns when the promotion is due, by the store's clock. It is chosen so that the
+// unused part of the share lasts until the limit on the share ends. An earlier promotion would use
+// it up and then send requests to the previous version again.
 func (s *service) promoteAt(share float64) time.Duration {
-	return s.unbounded() - s.promotionLasts(share)
+	return s.boundEnd() - s.promotionTime(share)
 }
 
-// promotionLasts is for how long before the end of the bound all requests may go to the
+// promotionTime returns how long before the limit on the share ends all requests may go to the
 // target.
-func (s *service) promotionLasts(share float64) time.Duration {
-	return time.Duration(promoteUse * (promotePart - canaryPart) * share * float64(s.Order.Within))
+func (s *service) promotionTime(share float64) time.Duration {
+	return time.Duration(promotionFraction * (promoteFraction - canaryFraction) * share * float64(s.Order.Within))
 }
 
-// unbounded is when the share is no longer bounded, by the store's clock: the order's
-// deadline if it travelled as long as is allowed for.
-func (s *service) unbounded() time.Duration { return time.Duration(s.Record.Deadline) + lateOrder }
+// boundEnd returns when the limit on the share ends, by the store's clock: the order's deadline if
+// the order took maxOrderDelay to arrive.
+func (s *service) boundEnd() time.Duration { return time.Duration(s.Record.Deadline) + maxOrderDelay }
 
-// endCanary promotes the target when it is time, and gives it up when it is too late.
-func (r *Rollouts) endCanary(s *service, store, now time.Duration) *Record {
+// canaryStep promotes the target once that is due, and reverts the rollout if evidence is still
+// lacking shortly before the deadline.
+func (r *Controller) canaryStep(s *service, store, now time.Duration) *Record {
 	if store < s.promoteAt(r.Bounds.Share) {
 		return nil
 	}
-	lack := r.lack(s)
-	if lack == "" && r.mostly() {
+	missing := r.missingForPromotion(s)
+	if missing == "" && r.enoughLive() {
 		x := *s.Record
 		x.Phase = Promote
-		x.Evidence = s.decider.evidence()
+		x.Evidence = s.ownerState.evidence()
 		return &x
 	}
-	late := store - (time.Duration(s.Record.Deadline) - revertBefore)
-	if late < 0 || late < takeOverMost && s.takesOver(now) {
+	overdue := store - (time.Duration(s.Record.Deadline) - revertMargin)
+	if overdue < 0 || overdue < maxTakeoverDelay && s.takingOver(now) {
 		return nil
 	}
-	if lack == "" {
-		lack = "most instances do not answer"
+	if missing == "" {
+		missing = "most instances do not answer"
 	}
-	return s.revert(lack)
+	return s.revertedRecord(missing)
 }
 
-// lack says what is lacking for a promotion, if anything is.
-func (r *Rollouts) lack(s *service) string {
-	total := s.decider.verdict.all.total
-	given := usedShare * canaryPart * r.Bounds.Share * float64(total.base.Requests+total.target.Requests)
+// missingForPromotion returns why the target can't be promoted, or "".
+func (r *Controller) missingForPromotion(s *service) string {
+	total := s.ownerState.analysis.all.total
+	minUsed := minShareUsed * canaryFraction * r.Bounds.Share * float64(total.base.Requests+total.target.Requests)
 	n := total.target.Requests
 	switch {
-	case n < enoughAnswers && (n < leastAnswers || float64(n) < given):
+	case n < enoughResponses && (n < minResponses || float64(n) < minUsed):
 		return fmt.Sprintf("too little evidence: %d answers of the target", n)
-	case s.decider.verdict.doubts():
+	case s.ownerState.analysis.inDoubt():
 		return "target is in doubt"
-	case float64(s.turns.slots) < leastSlots*float64(s.InForceSlots):
-		return fmt.Sprintf("target has %d slots, of %d that are needed beside", s.turns.slots, s.InForceSlots)
+	case float64(s.rotation.slots) < minSlotRatio*float64(s.InForceSlots):
+		return fmt.Sprintf("target has %d slots, of %d that are needed beside", s.rotation.slots, s.InForceSlots)
 	}
-	for _, t := range s.decider.verdict.routes {
-		if t.total.lacks(total) {
+	for _, t := range s.ownerState.analysis.routes {
+		if t.total.lacksEvidence(total) {
 			return fmt.Sprintf("too little evidence: a route with %d answers of the target", t.total.target.Requests)
 		}
 	}
 	return ""
 }
 
-// endPromotion completes the roll-out once no instance has anything at the version
-// before, and none will send anything there.
-func (r *Rollouts) endPromotion(s *service, store, now time.Duration) *Record {
-	d := &s.decider
-	if s.turns.slots > 0 || s.InForceSlots == 0 {
-		d.goneSince = 0
-	} else if d.goneSince == 0 {
-		d.goneSince = now
+// promotionStep completes the rollout once no instance has a request at the previous version and
+// none will send one there. It reverts the rollout if the target is gone.
+func (r *Controller) promotionStep(s *service, store, now time.Duration) *Record {
+	o := &s.ownerState
+	if s.rotation.slots > 0 || s.InForceSlots == 0 {
+		o.targetGoneSince = 0
+	} else if o.targetGoneSince == 0 {
+		o.targetGoneSince = now
 	}
-	if d.goneSince > 0 && now-d.goneSince >= goneTime {
-		return s.revert("target is gone")
+	if o.targetGoneSince > 0 && now-o.targetGoneSince >= maxTargetGone {
+		return s.revertedRecord("target is gone")
 	}
-	if s.mayWait(r.Bounds.Share, store, now) || !d.confirmed(now) || !r.allDrained(s, now) {
+	if s.canKeepWatching(r.Bounds.Share, store, now) || !o.confirmed(now) || !r.allDrained(s, now) {
 		return nil
 	}
 	x := *s.Record
 	x.Phase = Completed
-	x.Evidence = d.evidence()
+	x.Evidence = o.evidence()
 	return &x
 }
 
-// mayWait reports whether there is time to watch the target under all requests, where a
-// fault may show that a small share did not bring about.
-func (s *service) mayWait(share float64, store, now time.Duration) bool {
-	before := min(max(completeBefore, s.promotionLasts(share)/2), mostBefore)
-	return store < s.unbounded()-before && now-s.decider.promotedAt < watchTime
+// canKeepWatching reports whether there is time to observe the target under all requests. That may
+// show faults that don't occur with a small share.
+func (s *service) canKeepWatching(share float64, store, now time.Duration) bool {
+	margin := min(max(minCompletionMargin, s.promotionTime(share)/2), maxCompletionMargin)
+	return store < s.boundEnd()-margin && now-s.ownerState.promotedAt < maxWatchTime
 }
 
-// confirmed reports whether the target has held under all requests.
-func (d *decider) confirmed(now time.Duration) bool {
-	return d.promotedAt != 0 && !d.verdict.doubts() && d.waitingLooksGood() && (d.good()-d.goodBefore >= goodAnswers || now-d.promotedAt >= calmTime)
+// confirmed reports whether the target has performed well under all requests.
+func (o *ownerState) confirmed(now time.Duration) bool {
+	return o.promotedAt != 0 && !o.analysis.inDoubt() && o.pendingLooksGood() && (o.goodResponses()-o.goodAtPromotion >= confirmingResponses || now-o.promotedAt >= quietTime)
 }
 
-// allDrained reports whether each live instance has said lately that nothing is at the
-// version before, and that nothing goes there.
-func (r *Rollouts) allDrained(s *service, now time.Duration) bool {
-	if !r.mostly() {
+// allDrained reports whether each live instance has recently reported that it has nothing in flight
+// at the previous version and will send nothing there.
+func (r *Controller) allDrained(s *service, now time.Duration) bool {
+	if !r.enoughLive() {
 		return false
 	}
-	if !s.decider.isDrained("", now) {
+	if !s.ownerState.isDrained("", now) {
 		return false
 	}
 	for _, address := range r.live {
-		if !s.decider.isDrained(address, now) {
+		if !s.ownerState.isDrained(address, now) {
 			return false
 		}
 	}
 	return true
 }
 
-func (d *decider) isDrained(address string, now time.Duration) bool {
-	p := d.newest[address]
-	return p != nil && p.promote && p.drained && p.madeAfter > 0 && now-p.madeAfter <= freshTime
+func (o *ownerState) isDrained(address string, now time.Duration) bool {
+	p := o.byAddress[address]
+	return p != nil && p.inPromotion && p.drained && p.madeAfter > 0 && now-p.madeAfter <= maxReportAge
 }
