--- a/clock/boot.go
+++ b/clock/boot.go
@@ -20,11 +20,11 @@
 // system call.
 func Now() time.Duration {
 	t := time.Now()
-	return shared.now(t.Sub(loaded()), t.UnixNano(), asked)
+	return defaultClock.now(t.Sub(reference()), t.UnixNano(), bootTime)
 }
 
 // asked asks the kernel.
-func asked() time.Duration {
+func bootTime() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		return fallback() // kernels before 2.6.39 lack the clock
@@ -34,66 +34,66 @@
 
 const (
 	// askPause is how long an answer of the kernel is good for, by Go's monotonic time.
-	askPause = time.Second
+	maxSampleAge = time.Second
 	// leastApart is by how much the time of day and monotonic time move apart in a suspension
 	// that matters; adjustments of the time of day stay far below it within askPause.
-	leastApart = 10 * time.Millisecond
+	minDivergence = 10 * time.Millisecond
 )
 
 // sampled is a clock that is asked seldom. The zero value is ready.
-type sampled struct{ last atomic.Pointer[sample] }
+type sampledClock struct{ last atomic.Pointer[sample] }
 
 // sample is an answer of the kernel with the readings of the other clocks at that moment.
 type sample struct {
-	boot, steady time.Duration
-	wall         int64 // time of day, ns
+	boot, monotonic time.Duration
+	wall            int64 // time of day, ns
 }
 
-var shared sampled
+var defaultClock sampledClock
 
 // now returns the time at a reading of the other clocks: Go's monotonic one, and the time of day
 // in nanoseconds.
-func (s *sampled) now(steady time.Duration, wall int64, ask func() time.Duration) time.Duration {
+func (s *sampledClock) now(steady time.Duration, wall int64, ask func() time.Duration) time.Duration {
 	if last := s.last.Load(); last != nil {
-		passed := steady - last.steady
+		passed := steady - last.monotonic
 		apart := time.Duration(wall-last.wall) - passed
-		if passed >= 0 && passed < askPause && apart.Abs() < leastApart {
+		if passed >= 0 && passed < maxSampleAge && apart.Abs() < minDivergence {
 			return last.boot + passed
 		}
 	}
 	boot := ask()
-	s.last.Store(&sample{boot: boot, steady: steady, wall: wall})
+	s.last.Store(&sample{boot: boot, monotonic: steady, wall: wall})
 	return boot
 }
 
-var loaded = sync.OnceValue(time.Now)
+var reference = sync.OnceValue(time.Now)
 
 // fallback is a clock that leaves suspensions out.
-func fallback() time.Duration { return time.Since(loaded()) + time.Hour }
+func fallback() time.Duration { return time.Since(reference()) + time.Hour }
 
 // Suspension finds the suspensions of a machine by comparing Now with a clock that leaves
 // them out. The zero value is ready.
-type Suspension struct {
-	known  bool
-	steady time.Time
-	now    time.Duration
+type SuspensionDetector struct {
+	known     bool
+	monotonic time.Time
+	now       time.Duration
 }
 
 // leastSuspension is what two readings of the clocks one after the other may differ by since
 // the thread was held up in between.
-const leastSuspension = 100 * time.Millisecond
+const minSuspension = 100 * time.Millisecond
 
 // Note compares the clocks, and returns how long the machine was suspended since the last
 // call; zero: it was not.
-func (s *Suspension) Note(now time.Duration, steady time.Time) time.Duration {
+func (s *SuspensionDetector) Observe(now time.Duration, steady time.Time) time.Duration {
 	if !s.known {
-		s.known, s.now, s.steady = true, now, steady
+		s.known, s.now, s.monotonic = true, now, steady
 		return 0
 	}
-	lost := (now - s.now) - steady.Sub(s.steady)
-	if lost < leastSuspension {
+	lost := (now - s.now) - steady.Sub(s.monotonic)
+	if lost < minSuspension {
 		return 0
 	}
-	s.now, s.steady = now, steady
+	s.now, s.monotonic = now, steady
 	return lost
 }
--- a/clock/boot_test.go
+++ b/clock/boot_test.go
@@ -19,12 +19,12 @@
 
 // TestSuspensionIsFoundOnce checks clocks of which one alone goes on, and one that is late.
 func TestSuspensionIsFoundOnce(t *testing.T) {
-	var s Suspension
+	var s SuspensionDetector
 	now, steady := time.Hour, time.Unix(1000, 0)
 	on := func(both, suspended time.Duration) time.Duration {
 		now += both + suspended
 		steady = steady.Add(both)
-		return s.Note(now, steady)
+		return s.Observe(now, steady)
 	}
 	assert.Equal(t, on(0, 0), time.Duration(0))
 	assert.Equal(t, on(5*time.Second, 0), time.Duration(0))
@@ -54,7 +54,7 @@
 // reading was a system call, and an instance of a large fleet reads the clock thousands of
 // times a second.
 func TestSampledClockSeesSuspensions(t *testing.T) {
-	var s sampled
+	var s sampledClock
 	steady, wall, boot, asks := time.Minute, int64(1e18), time.Hour, 0
 	now := func() time.Duration {
 		return s.now(steady, wall, func() time.Duration { asks++; return boot })
--- a/clock/late_test.go
+++ b/clock/late_test.go
@@ -13,39 +13,39 @@
 // that is overdue, one that is over, and that a second later nothing of it counts.
 func TestLatenessIsTheGreatestOfTheLastSecond(t *testing.T) {
 	const pause = 50 * time.Millisecond
-	var l Lateness
+	var l SchedulingDelay
 	now := time.Hour
-	assert.Equal(t, l.Most(now), time.Duration(0), "nothing waits")
+	assert.Equal(t, l.Max(now), time.Duration(0), "nothing waits")
 	wait := func(late time.Duration) {
-		l.Waits(now + pause)
+		l.BeginWait(now + pause)
 		now += pause + late
-		l.Wakes(now)
+		l.EndWait(now)
 	}
 	wait(0)
 	wait(30 * time.Millisecond)
 	wait(0)
-	assert.Equal(t, l.Most(now), 30*time.Millisecond)
-	assert.Equal(t, l.Most(now+time.Second/2), 30*time.Millisecond, "the loop does not wait")
-	l.Waits(now + pause)
-	assert.Equal(t, l.Most(now+pause+time.Minute), time.Minute, "whoever asks first after a suspension")
-	for range int(lateSpan/pause) + 2 {
+	assert.Equal(t, l.Max(now), 30*time.Millisecond)
+	assert.Equal(t, l.Max(now+time.Second/2), 30*time.Millisecond, "the loop does not wait")
+	l.BeginWait(now + pause)
+	assert.Equal(t, l.Max(now+pause+time.Minute), time.Minute, "whoever asks first after a suspension")
+	for range int(delayWindow/pause) + 2 {
 		wait(0)
 	}
-	assert.Equal(t, l.Most(now), time.Duration(0))
+	assert.Equal(t, l.Max(now), time.Duration(0))
 }
 
 // BenchmarkLateness measures a wait and a question.
 func BenchmarkLateness(b *testing.B) {
-	var l Lateness
+	var l SchedulingDelay
 	b.Run("wait", func(b *testing.B) {
 		for b.Loop() {
-			l.Waits(Now())
-			l.Wakes(Now())
+			l.BeginWait(Now())
+			l.EndWait(Now())
 		}
 	})
 	b.Run("most", func(b *testing.B) {
 		for b.Loop() {
-			l.Most(time.Hour)
+			l.Max(time.Hour)
 		}
 	})
 }
--- a/cmd/shalewick-edge/main.go
+++ b/cmd/shalewick-edge/main.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	out := logging.NewAsync(os.Stdout)
+	out := logging.NewAsyncWriter(os.Stdout)
 	defer out.Close()
 	settings := live.Settings().Edge()
 	settings.LogLevel = level
--- a/cmd/shalewick/standin.go
+++ b/cmd/shalewick/standin.go
@@ -36,7 +36,7 @@
 		Short: "Run a stand-in of the platform: tables, objects, list of instances",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := setting.Address("listen", listen); err != nil {
+			if err := setting.CheckAddress("listen", listen); err != nil {
 				return err
 			}
 			var s platform.Server
@@ -59,7 +59,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			first, err := netip.ParseAddrPort(listen)
 			if err != nil {
-				return setting.Address("listen", listen)
+				return setting.CheckAddress("listen", listen)
 			}
 			if count < 1 || slots < 1 || work < 0 {
 				return errors.New("--count and --slots must be at least 1, --work not negative")
--- a/process/balance/backoff_model_test.go
+++ b/process/balance/backoff_model_test.go
@@ -39,7 +39,7 @@
 	all := make([]*place, w.instances)
 	for i := range all {
 		p := newPlace(w.instances)
-		p.route(version.Weighted{Service: "t", Weight: 1})
+		p.route(version.WeightedService{Service: "t", Weight: 1})
 		for k := range w.backends {
 			p.backend(fmt.Sprintf("u%d", k), 0, func(b *version.Backend) { b.Service = "t" })
 		}
--- a/process/balance/balance_test.go
+++ b/process/balance/balance_test.go
@@ -170,7 +170,7 @@
 		p.put(version.Resource{Key: version.Key{Kind: version.KindRoute, Name: name}, Route: &version.Route{
 			Host: "a", Prefix: prefix, Class: request.ClassRead, Sticky: true, Priority: priority,
 			Timeout: version.Duration(time.Second), Objective: version.Duration(400 * time.Millisecond),
-			Split: []version.Weighted{{Service: "s", Weight: 1}},
+			Split: []version.WeightedService{{Service: "s", Weight: 1}},
 		}})
 	}
 	route("urgent", "/now/", 0)
@@ -237,7 +237,7 @@
 	assert.Equal(t, k.Name, "b")
 	q = p.query(1)
 	home := *q.Route
-	home.Home = []bool{false, true, false}
+	home.HomeRegions = []bool{false, true, false}
 	q.Route = &home
 	k, _ = p.Pick(q)
 	assert.Equal(t, k.Name, "b")
@@ -245,7 +245,7 @@
 
 func TestSplitHoldsAfterEveryFewRequests(t *testing.T) {
 	p := newPlace(1)
-	p.route(version.Weighted{Service: "s", Weight: 90}, version.Weighted{Service: "t", Weight: 10})
+	p.route(version.WeightedService{Service: "s", Weight: 90}, version.WeightedService{Service: "t", Weight: 10})
 	p.install()
 	v := p.Routing().Route("a", "/")
 	counts := make([]float64, 2)
@@ -253,7 +253,7 @@
 		counts[p.Split(v)]++
 	}
 	assert.Assert(t, math.Abs(counts[1]-30) <= 1, "%v", counts)
-	p.route(version.Weighted{Service: "s", Weight: 0}, version.Weighted{Service: "t", Weight: 1})
+	p.route(version.WeightedService{Service: "s", Weight: 0}, version.WeightedService{Service: "t", Weight: 1})
 	p.install()
 	for range 10 {
 		assert.Equal(t, p.Split(p.Routing().Route("a", "/")), 1, "weight 0 gets nothing")
@@ -269,7 +269,7 @@
 	q := p.query(1)
 	delete(p.config.Resources, version.Key{Kind: version.KindService, Name: "s"})
 	delete(p.config.Resources, version.Key{Kind: version.KindBackend, Name: "a"})
-	p.route(version.Weighted{Service: "t", Weight: 1})
+	p.route(version.WeightedService{Service: "t", Weight: 1})
 	p.install()
 	k, refusal := p.Pick(q)
 	assert.Assert(t, k == nil)
--- a/process/balance/candidate.go
+++ b/process/balance/candidate.go
@@ -82,7 +82,7 @@
 	c.place = place
 	c.wait = u.wait(now, v.Slots)
 	c.cost = c.wait + time.Duration(place)*t.Policy.PlaceCost + work - u.usualWork()
-	c.unseen = q.Route.Sticky && !t.seen.has(object, v.Life, now, t.Policy.SeenFor)
+	c.unseen = q.Route.Sticky && !t.seen.has(object, v.IncarnationHash, now, t.Policy.SeenFor)
 	if place > 0 && c.unseen {
 		c.cost += time.Duration(t.Policy.UnseenCost * float64(work))
 	}
@@ -125,7 +125,7 @@
 	for g := range version.GroupCount {
 		x.near[g], x.far[g] = math.Inf(1), math.Inf(1)
 		if len(x.s.Groups.Members(g)) > 0 {
-			draw := version.GroupDraw(x.object, g)
+			draw := version.GroupUnitDistance(x.object, g)
 			x.near[g] = groupDistance(draw, groupWeight(x.s, x.weights, g))
 			x.far[g] = groupDistance(draw, x.s.Groups.Slots[g])
 		}
@@ -177,7 +177,7 @@
 			continue
 		}
 		u := x.t.states[i]
-		draw := v.Draw(x.object)
+		draw := v.UnitDistance(x.object)
 		near, far := draw/x.weights.of(k), draw/float64(v.Slots)
 		leastNear, leastFar = min(leastNear, near), min(leastFar, far)
 		if u != nil {
@@ -214,7 +214,7 @@
 // state tells whether a backend server that is not closed may get the request, and counts why it
 // may not. Nil: nothing is known of it.
 func (x *search) state(v *version.RoutedBackend, u *backend) found {
-	if x.q.Route.Home != nil && !x.q.Route.Home[v.Region] {
+	if x.q.Route.HomeRegions != nil && !x.q.Route.HomeRegions[v.Region] {
 		x.why.Foreign++
 		return leftOut
 	}
--- a/process/balance/choose.go
+++ b/process/balance/choose.go
@@ -108,7 +108,7 @@
 		return nil
 	}
 	s := &r.Services[p.Service]
-	if s.Name != q.Route.Split[q.Part].Service || s.OfTarget {
+	if s.Name != q.Route.Split[q.Part].Service || s.IsTarget {
 		return nil
 	}
 	return s
@@ -211,6 +211,6 @@
 	return &Pick{
 		Name: v.Name, Address: v.Address, Software: v.Software, Incarnation: v.Incarnation, Region: t.routing.Regions[v.Region], Pool: u.pool,
 		Rank: c.place, Unseen: c.unseen, Cold: now < u.coldUntil, Wait: c.wait, Needs: t.needs(c, now),
-		table: t, u: u, object: object, life: v.Life, started: now,
+		table: t, u: u, object: object, life: v.IncarnationHash, started: now,
 	}
 }
--- a/process/balance/fixture_test.go
+++ b/process/balance/fixture_test.go
@@ -39,13 +39,13 @@
 		Warming: &version.Warming{Time: version.Duration(3 * time.Second), Rate: 9},
 	}})
 	p.put(version.Resource{Key: version.Key{Kind: version.KindService, Name: "t"}, Service: &version.Service{}})
-	p.route(version.Weighted{Service: "s", Weight: 1})
+	p.route(version.WeightedService{Service: "s", Weight: 1})
 	return p
 }
 
 func (p *place) put(r version.Resource) { p.config.Resources[r.Key] = r }
 
-func (p *place) route(split ...version.Weighted) {
+func (p *place) route(split ...version.WeightedService) {
 	p.put(version.Resource{Key: version.Key{Kind: version.KindRoute, Name: "r"}, Route: &version.Route{
 		Host: "a", Prefix: "/", Class: request.ClassRead, Repeatable: true, Sticky: true, Split: split,
 		Timeout: version.Duration(time.Second), Objective: version.Duration(400 * time.Millisecond), Attempts: 2,
@@ -86,13 +86,13 @@
 }
 
 // stateOf returns what is known of a backend server.
-func (p *place) stateOf(name string) *backend { return p.state(p.routing.Find(name)) }
+func (p *place) stateOf(name string) *backend { return p.state(p.routing.FindBackend(name)) }
 
 // lifeOf returns what identifies the present start of a backend server.
 func (p *place) lifeOf(name string) uint64 {
 	for i := range p.routing.Backends {
 		if p.routing.Backends[i].Name == name {
-			return p.routing.Backends[i].Life
+			return p.routing.Backends[i].IncarnationHash
 		}
 	}
 	return 0
--- a/process/balance/hall_test.go
+++ b/process/balance/hall_test.go
@@ -31,7 +31,7 @@
 	const objects = 2000
 	for object := range uint64(objects) {
 		k := p.pick(t, object+1)
-		out[p.routing.Backends[p.routing.Find(k.Name)].Hall] += 1.0 / objects
+		out[p.routing.Backends[p.routing.FindBackend(k.Name)].Hall] += 1.0 / objects
 		k.Done(Abandoned, nil)
 	}
 	return out
--- a/process/balance/limit.go
+++ b/process/balance/limit.go
@@ -16,7 +16,7 @@
 
 // limitable returns the start of a backend server as rate limits know it.
 func (t *Table) limitable(v *version.RoutedBackend) ratelimit.Backend {
-	return ratelimit.Backend{Start: v.Life, Name: v.Name, Region: t.routing.Regions[v.Region]}
+	return ratelimit.Backend{Start: v.IncarnationHash, Name: v.Name, Region: t.routing.Regions[v.Region]}
 }
 
 // overLimit reports whether a backend server's rate limit leaves no room for the request of a query.
@@ -25,9 +25,9 @@
 		return false
 	}
 	if q.Unlimited {
-		return t.Limits.Limited(v.Life)
+		return t.Limits.Limited(v.IncarnationHash)
 	}
-	return t.Limits.Blocked(v.Life, q.Priority) > 0
+	return t.Limits.Blocked(v.IncarnationHash, q.Priority) > 0
 }
 
 // limitLeft returns the shortest time until one of some backend servers may have room within its
@@ -38,7 +38,7 @@
 		return least
 	}
 	for _, i := range backends {
-		left := t.Limits.Blocked(t.routing.Backends[i].Life, q.Priority)
+		left := t.Limits.Blocked(t.routing.Backends[i].IncarnationHash, q.Priority)
 		if left > 0 && (least == 0 || left < least) {
 			least = left
 		}
@@ -52,7 +52,7 @@
 	if t.Limits == nil {
 		return 0, false
 	}
-	at, tell := t.Limits.ToldAt(t.routing.Backends[index].Life)
+	at, tell := t.Limits.ToldAt(t.routing.Backends[index].IncarnationHash)
 	return byte((now - at) / observationUnit), tell
 }
 
--- a/process/balance/notice.go
+++ b/process/balance/notice.go
@@ -115,7 +115,7 @@
 // seeRows compares notices with the rows of a new routing. The caller holds the lock.
 func (t *Table) seeRows(now time.Duration) {
 	for start, n := range t.notices {
-		i := t.routing.Find(start.name)
+		i := t.routing.FindBackend(start.name)
 		if i == version.None || startOfBackend(&t.routing.Backends[i]) != start {
 			continue
 		}
--- a/process/balance/observe.go
+++ b/process/balance/observe.go
@@ -94,7 +94,7 @@
 // appendEntry adds one entry on a backend server: a time, whose meaning the load tells, and
 // the load.
 func (t *Table) appendEntry(out []byte, index int32, units, load byte) []byte {
-	out = binary.LittleEndian.AppendUint32(out, uint32(t.routing.Backends[index].Life))
+	out = binary.LittleEndian.AppendUint32(out, uint32(t.routing.Backends[index].IncarnationHash))
 	return append(out, units, load)
 }
 
@@ -232,7 +232,7 @@
 func indexByHash(r *version.Routing) map[uint32]int32 {
 	out := make(map[uint32]int32, len(r.Backends))
 	for i := range r.Backends {
-		out[uint32(r.Backends[i].Life)] = int32(i)
+		out[uint32(r.Backends[i].IncarnationHash)] = int32(i)
 	}
 	return out
 }
--- a/process/balance/refusal_test.go
+++ b/process/balance/refusal_test.go
@@ -30,7 +30,7 @@
 		most = 27
 	)
 	p := newPlace(1)
-	p.route(version.Weighted{Service: "t", Weight: 1})
+	p.route(version.WeightedService{Service: "t", Weight: 1})
 	for i := range backends {
 		p.backend(fmt.Sprintf("u%d", i), 0, func(b *version.Backend) { b.Service = "t" })
 	}
--- a/process/balance/software.go
+++ b/process/balance/software.go
@@ -62,7 +62,7 @@
 func (t *Table) takeOver(s *version.RoutedService) {
 	whole := t.services[softwareOf{service: s.Name}]
 	key := softwareOf{s.Name, s.Software}
-	if whole != nil && t.services[key] == nil && !s.OfTarget {
+	if whole != nil && t.services[key] == nil && !s.IsTarget {
 		t.services[key] = whole
 	}
 }
@@ -104,7 +104,7 @@
 		return "", false
 	}
 	for i := range t.routing.Services {
-		if s := &t.routing.Services[i]; s.OfTarget && s.Name == service {
+		if s := &t.routing.Services[i]; s.IsTarget && s.Name == service {
 			return s.Software, true
 		}
 	}
--- a/process/balance/software_test.go
+++ b/process/balance/software_test.go
@@ -58,7 +58,7 @@
 		p := newPlace(3)
 		p.put(version.Resource{Key: version.Key{Kind: version.KindService, Name: "a"}, Service: &version.Service{}})
 		p.put(version.Resource{Key: version.Key{Kind: version.KindRoute, Name: "a"}, Route: &version.Route{
-			Host: "b", Prefix: "/", Class: request.ClassRead, Sticky: true, Split: []version.Weighted{{Service: "a", Weight: 1}},
+			Host: "b", Prefix: "/", Class: request.ClassRead, Sticky: true, Split: []version.WeightedService{{Service: "a", Weight: 1}},
 			Timeout: version.Duration(time.Second), Objective: version.Duration(time.Second),
 		}})
 		p.put(version.Resource{Key: version.Key{Kind: version.KindService, Name: "b"}, Service: &version.Service{}})
--- a/process/edge/edge.go
+++ b/process/edge/edge.go
@@ -58,7 +58,7 @@
 	settings   Settings
 	deployment Deployment
 	log        zerolog.Logger
-	logLimit   *logging.Limit
+	logLimit   *logging.RateLimiter
 	started    time.Time
 	born       time.Duration // when it was started, by the deployment's clock
 	members    *cluster.Members
@@ -71,7 +71,7 @@
 	limits     *ratelimit.Limiter
 	rollouts   *rollout.Rollouts
 	rolling    rolling
-	lateness   clock.Lateness // noted while an order waits for its end
+	lateness   clock.SchedulingDelay // noted while an order waits for its end
 	quarantine *quarantine.Quarantine
 	// What the store has of it, and whether another instance is being asked for it.
 	quarantineRows quarantineRows
@@ -89,7 +89,7 @@
 	documents      Documents // guarded by compiling
 	lapses         lapses    // guarded by compiling
 	// announced are the backend servers of the last compilation, by name; guarded by compiling.
-	announced []*version.Announced
+	announced []*version.AnnouncedBackend
 	skipped   map[string]string // rows that can't be used now, with the reason; guarded by compiling
 	// skippedCounts are the gauges of such rows by reason; guarded by compiling.
 	skippedCounts map[string]int64
@@ -109,7 +109,7 @@
 		return nil, err
 	}
 	level, _ := zerolog.ParseLevel(s.LogLevel) // checked
-	limit := logging.NewLimit(time.Now)
+	limit := logging.NewRateLimiter(time.Now)
 	e := &Edge{
 		settings: s, deployment: d, started: time.Now(), metrics: metric.NewSet(), logLimit: limit, introduceAgain: make(chan struct{}, 1),
 		log: logging.New(logTo).Level(level).Hook(limit).With().Str("instance", s.Instance).Logger(),
@@ -262,7 +262,7 @@
 	e.metrics.Gauge("requests_running").Update(e.proxy.Running())
 	e.metrics.Gauge("requests_quarantined").Update(int64(e.quarantine.Count()))
 	e.metrics.Gauge("rollouts_running").Update(e.rolling.running.Load())
-	e.metrics.Gauge("log_lines_left_out").Update(e.logLimit.LeftOut())
+	e.metrics.Gauge("log_lines_left_out").Update(e.logLimit.Suppressed())
 	e.metrics.Gauge("store_epoch").Update(e.deployment.Store.Epoch())
 	e.metrics.Gauge("configuration_age_ms").Update(e.follower.Age().Milliseconds())
 }
--- a/process/edge/epoch.go
+++ b/process/edge/epoch.go
@@ -69,7 +69,7 @@
 // laterStarts puts the start of a backend server that was known before in the place of an earlier
 // one, which a copy has: the instance may have come after that one ended, and would take it for
 // new. Both lists are ordered by name.
-func laterStarts(now, before []*version.Announced) {
+func laterStarts(now, before []*version.AnnouncedBackend) {
 	for i, x := range now {
 		for len(before) > 0 && before[0].Name < x.Name {
 			before = before[1:]
--- a/process/edge/quarantine.go
+++ b/process/edge/quarantine.go
@@ -229,4 +229,4 @@
 }
 
 // letThrough takes up which requests operators let through.
-func (e *Edge) letThrough(c *version.Config) { e.quarantine.LetThrough(c.LetThrough) }
+func (e *Edge) letThrough(c *version.Config) { e.quarantine.LetThrough(c.ReleasedFingerprints) }
--- a/process/edge/rollout.go
+++ b/process/edge/rollout.go
@@ -45,7 +45,7 @@
 		Owner: e.rolloutOwner, Live: e.liveAddresses, InFlight: e.table.InFlight,
 		Send: e.beats.SendMessage, Log: e.logRollout,
 		Introduce: e.beats.Introduce,
-		Late:      func() time.Duration { return e.lateness.Most(e.now()) },
+		Late:      func() time.Duration { return e.lateness.Max(e.now()) },
 	}
 }
 
@@ -224,7 +224,7 @@
 		if s.Name != service || b.Closed {
 			continue
 		}
-		if s.OfTarget {
+		if s.IsTarget {
 			homes = append(homes, rollout.Home{Hash: b.Hash, Slots: b.Slots})
 			continue
 		}
@@ -238,11 +238,11 @@
 // what lived shortly before one matters.
 func (e *Edge) tickRollouts(ctx context.Context) {
 	for e.rolling.open.wait(ctx) {
-		e.lateness.Waits(e.now() + rollout.TickTime)
+		e.lateness.BeginWait(e.now() + rollout.TickTime)
 		if !clock.Sleep(ctx, rollout.TickTime) {
 			return
 		}
-		e.lateness.Wakes(e.now())
+		e.lateness.EndWait(e.now())
 		e.rollouts.Tick()
 	}
 }
--- a/process/edge/software.go
+++ b/process/edge/software.go
@@ -72,7 +72,7 @@
 }
 
 // add counts a backend server.
-func (a announced) add(x *version.Announced) {
+func (a announced) add(x *version.AnnouncedBackend) {
 	r := a[x.Backend.Software]
 	if r == nil {
 		r = &rollout.Running{Software: x.Backend.Software, Oldest: x.Version}
--- a/process/edge/spare.go
+++ b/process/edge/spare.go
@@ -109,17 +109,17 @@
 func (s *spare) addOnward(c *version.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.Onward = true
+	c.BackendsAreInstances = true
 	for _, service := range c.List(version.KindService) {
 		for _, m := range s.onward {
 			address, err := netip.ParseAddrPort(m.Front)
 			if err != nil {
 				continue // it takes no requests; it was told by an instance of another release
 			}
-			c.Announced = append(c.Announced, version.NewAnnounced(service.Name+"/"+m.Name, m.Incarnation, &version.Backend{
+			c.Announced = append(c.Announced, version.NewAnnouncedBackend(service.Name+"/"+m.Name, m.Incarnation, &version.Backend{
 				Service: service.Name, Hall: m.Hall, Address: address, Slots: onwardSlots, Incarnation: m.Incarnation,
 			}))
 		}
 	}
-	slices.SortFunc(c.Announced, func(a, b *version.Announced) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(c.Announced, func(a, b *version.AnnouncedBackend) int { return strings.Compare(a.Name, b.Name) })
 }
--- a/process/edge/spare_test.go
+++ b/process/edge/spare_test.go
@@ -113,7 +113,7 @@
 		put(version.Resource{Key: version.Key{Kind: version.KindService, Name: name}, Service: &version.Service{}})
 		put(version.Resource{Key: version.Key{Kind: version.KindRoute, Name: name}, Route: &version.Route{
 			Host: name, Prefix: "/", Timeout: version.Duration(time.Second), Objective: version.Duration(time.Second),
-			Split: []version.Weighted{{Service: name, Weight: 1}},
+			Split: []version.WeightedService{{Service: name, Weight: 1}},
 		}})
 	}
 	e.spare.addOnward(c)
--- a/process/edge/use.go
+++ b/process/edge/use.go
@@ -60,10 +60,10 @@
 	var u use
 	busy := false
 	last, carried := e.now(), e.proxy.Carried()
-	var suspension clock.Suspension
+	var suspension clock.SuspensionDetector
 	for clock.Sleep(ctx, usePause) {
 		e.held.CutStalled()
-		if lost := suspension.Note(e.deployment.Clock(), time.Now()); lost > 0 {
+		if lost := suspension.Observe(e.deployment.Clock(), time.Now()); lost > 0 {
 			e.log.Warn().Dur("stood", lost).Int("ended", e.proxy.EndLapsed()).Msg("machine-suspended")
 		}
 		now, total := e.now(), e.proxy.Carried()
--- a/process/entry/balance.go
+++ b/process/entry/balance.go
@@ -66,7 +66,7 @@
 		if left == 0 || w.Pool != "" || w.Region != home {
 			continue
 		}
-		for _, x := range v.Crossings[v.Region(home)] {
+		for _, x := range v.Links[v.Region(home)] {
 			w.Region, w.Tokens = v.Regions[x.To], left
 			if left = b.ask(ctx, peers, w); left == 0 {
 				break
--- a/process/entry/settings.go
+++ b/process/entry/settings.go
@@ -50,7 +50,7 @@
 		return errors.New("--hall: must be set")
 	}
 	for _, a := range []struct{ flag, value string }{{"front", s.Front}, {"peer", s.Peer}, {"admin", s.Admin}} {
-		if err := setting.Address(a.flag, a.value); err != nil {
+		if err := setting.CheckAddress(a.flag, a.value); err != nil {
 			return err
 		}
 	}
--- a/process/front/lookup.go
+++ b/process/front/lookup.go
@@ -214,7 +214,7 @@
 	case v.Halls[to].Region == region:
 		return sameRegion
 	}
-	for _, x := range v.Crossings[region] {
+	for _, x := range v.Links[region] {
 		if x.To == v.Halls[to].Region {
 			return sameRegion + x.Latency
 		}
--- a/process/logging/async.go
+++ b/process/logging/async.go
@@ -8,11 +8,11 @@
 )
 
 // asyncLines bounds the lines that wait to be written.
-const asyncLines = 1024
+const maxQueuedLines = 1024
 
 // Async is a writer that never blocks its caller. Lines that find no room are
 // dropped and counted.
-type Async struct {
+type AsyncWriter struct {
 	out     io.Writer
 	lines   chan []byte
 	done    chan struct{}
@@ -20,14 +20,14 @@
 }
 
 // NewAsync returns a writer that passes lines on to out.
-func NewAsync(out io.Writer) *Async {
-	a := &Async{out: out, lines: make(chan []byte, asyncLines), done: make(chan struct{})}
+func NewAsyncWriter(out io.Writer) *AsyncWriter {
+	a := &AsyncWriter{out: out, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go a.run()
 	return a
 }
 
 // Write queues one line.
-func (a *Async) Write(p []byte) (int, error) {
+func (a *AsyncWriter) Write(p []byte) (int, error) {
 	line := append([]byte(nil), p...)
 	select {
 	case a.lines <- line:
@@ -37,7 +37,7 @@
 	return len(p), nil
 }
 
-func (a *Async) run() {
+func (a *AsyncWriter) run() {
 	defer close(a.done)
 	for line := range a.lines {
 		_, _ = a.out.Write(line) // a log that can not be written has no reader
@@ -45,7 +45,7 @@
 }
 
 // Close writes what is queued. Nothing may be written afterwards.
-func (a *Async) Close() {
+func (a *AsyncWriter) Close() {
 	close(a.lines)
 	<-a.done
 }
--- a/process/logging/limit_test.go
+++ b/process/logging/limit_test.go
@@ -16,18 +16,18 @@
 func TestLinesAreBoundedByKind(t *testing.T) {
 	var out bytes.Buffer
 	now := time.Unix(1000, 0)
-	limit := NewLimit(func() time.Time { return now })
+	limit := NewRateLimiter(func() time.Time { return now })
 	log := New(&out).Hook(limit)
-	for range 10 * usualRate {
+	for range 10 * defaultRate {
 		log.Info().Msg("refused")
 		log.Info().Msg("answered")
 	}
 	log.Info().Msg("stopping")
 	text := out.String()
-	assert.Equal(t, strings.Count(text, "event=refused"), usualRate)
+	assert.Equal(t, strings.Count(text, "event=refused"), defaultRate)
 	assert.Equal(t, strings.Count(text, "event=answered"), successRate)
 	assert.Equal(t, strings.Count(text, "event=stopping"), 1)
-	assert.Equal(t, limit.LeftOut(), int64(20*usualRate-usualRate-successRate))
+	assert.Equal(t, limit.Suppressed(), int64(20*defaultRate-defaultRate-successRate))
 	out.Reset()
 	now = now.Add(time.Second)
 	log.Info().Msg("refused")
--- a/process/metric/metric.go
+++ b/process/metric/metric.go
@@ -27,8 +27,8 @@
 // Set is the metrics of one process.
 type Set struct {
 	registry   metrics.Registry
-	workspaces named
-	versions   versions
+	workspaces topWorkspaces
+	versions   softwareVersions
 }
 
 // NewSet returns an empty set.
@@ -59,7 +59,7 @@
 
 // BadReport counts an answer of a backend server of a service whose load report can't be
 // used, or not whole.
-func (s *Set) BadReport(service string) {
+func (s *Set) InvalidLoadReport(service string) {
 	s.Counter("load_reports_bad_total{service=" + strconv.Quote(service) + "}").Inc(1)
 }
 
@@ -69,7 +69,7 @@
 }
 
 // BadRateLimit counts an answer of a backend server of a service whose rate limit can't be used.
-func (s *Set) BadRateLimit(service string) {
+func (s *Set) InvalidRateLimit(service string) {
 	s.Counter("rate_limits_bad_total{service=" + strconv.Quote(service) + "}").Inc(1)
 }
 
@@ -101,7 +101,7 @@
 
 // Noticed counts the end of a request that met a notice of a backend server of a service: what
 // it costs callers that servers leave or turn away.
-func (s *Set) Noticed(service string, n request.Notice, end string) {
+func (s *Set) RequestWithNotice(service string, n request.Notice, end string) {
 	count := func(notice string) {
 		s.Counter(fmt.Sprintf("requests_noticed_total{service=%q,notice=%q,end=%q}", service, notice, end)).Inc(1)
 	}
@@ -134,7 +134,7 @@
 // Write prints all metrics, ordered by name.
 func (s *Set) Write(w io.Writer) error {
 	var lines []string
-	s.registry.Each(func(name string, m any) { lines = append(lines, samples(name, m)...) })
+	s.registry.Each(func(name string, m any) { lines = append(lines, formatSamples(name, m)...) })
 	slices.Sort(lines)
 	for _, l := range lines {
 		if _, err := fmt.Fprintln(w, l); err != nil {
@@ -145,7 +145,7 @@
 }
 
 // samples returns the lines of one metric.
-func samples(name string, m any) []string {
+func formatSamples(name string, m any) []string {
 	switch m := m.(type) {
 	case metrics.Counter:
 		return []string{fmt.Sprintf("%s%s %d", prefix, name, m.Count())}
--- a/process/metric/software.go
+++ b/process/metric/software.go
@@ -14,7 +14,7 @@
 const (
 	// mostSoftware bounds the versions of a service's software that have metrics of
 	// their own. Origin: two that a roll-out compares, and those of the one before.
-	mostSoftware = 4
+	maxSoftware = 4
 	// softwareReservoir is the number of samples in the histogram of one.
 	softwareReservoir = 256
 )
@@ -23,22 +23,22 @@
 const otherSoftware = "(others)"
 
 // softwareOf names a version of a service's software.
-type softwareOf struct{ service, software string }
+type softwareKey struct{ service, software string }
 
 // softwareMetrics are those of one version.
 type softwareMetrics struct {
 	requests, failures metrics.Counter
 	latency            metrics.Histogram
-	used               int64 // when it was last looked up
+	lastUsed           int64 // when it was last looked up
 }
 
 // versions are the versions that have metrics of their own. When a new one comes and a
 // service has too many, the one that was not used for longest goes to the others. The
 // zero value is empty.
-type versions struct {
-	mu    sync.Mutex
-	of    map[softwareOf]*softwareMetrics
-	looks int64
+type softwareVersions struct {
+	mu      sync.Mutex
+	metrics map[softwareKey]*softwareMetrics
+	lookups int64
 }
 
 // Software counts an answer, or the lack of one, of a backend server that runs a version
@@ -47,7 +47,7 @@
 	if software == "" {
 		return
 	}
-	m := s.software(softwareOf{service, software})
+	m := s.software(softwareKey{service, software})
 	m.requests.Inc(1)
 	if failed {
 		m.failures.Inc(1)
@@ -57,53 +57,53 @@
 }
 
 // software returns the metrics of a version.
-func (s *Set) software(key softwareOf) *softwareMetrics {
+func (s *Set) software(key softwareKey) *softwareMetrics {
 	v := &s.versions
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.looks++
-	m := v.of[key]
+	v.lookups++
+	m := v.metrics[key]
 	if m == nil {
 		m = s.addSoftware(key)
 	}
-	m.used = v.looks
+	m.lastUsed = v.lookups
 	return m
 }
 
 // addSoftware makes the metrics of a version. The caller holds the lock.
-func (s *Set) addSoftware(key softwareOf) *softwareMetrics {
+func (s *Set) addSoftware(key softwareKey) *softwareMetrics {
 	v := &s.versions
-	if v.of == nil {
-		v.of = make(map[softwareOf]*softwareMetrics)
+	if v.metrics == nil {
+		v.metrics = make(map[softwareKey]*softwareMetrics)
 	}
-	others := softwareOf{key.service, otherSoftware}
-	oldest, known := softwareOf{}, 0
-	for k, m := range v.of {
+	others := softwareKey{key.service, otherSoftware}
+	oldest, known := softwareKey{}, 0
+	for k, m := range v.metrics {
 		if k.service != key.service || k == others {
 			continue
 		}
 		known++
-		if known == 1 || m.used < v.of[oldest].used {
+		if known == 1 || m.lastUsed < v.metrics[oldest].lastUsed {
 			oldest = k
 		}
 	}
-	if known >= mostSoftware {
-		s.foldSoftware(oldest, others)
+	if known >= maxSoftware {
+		s.mergeSoftware(oldest, others)
 	}
-	v.of[key] = s.newSoftware(key)
-	return v.of[key]
+	v.metrics[key] = s.newSoftware(key)
+	return v.metrics[key]
 }
 
 // foldSoftware adds the counts of a version to those of the others of its service. The
 // caller holds the lock.
-func (s *Set) foldSoftware(key, others softwareOf) {
+func (s *Set) mergeSoftware(key, others softwareKey) {
 	v := &s.versions
-	sum := v.of[others]
+	sum := v.metrics[others]
 	if sum == nil {
 		sum = s.newSoftware(others)
-		v.of[others] = sum
+		v.metrics[others] = sum
 	}
-	gone := v.of[key]
+	gone := v.metrics[key]
 	sum.requests.Inc(gone.requests.Count())
 	sum.failures.Inc(gone.failures.Count())
 	for _, took := range gone.latency.Sample().Values() {
@@ -112,10 +112,10 @@
 	for _, name := range softwareNames(key) {
 		s.registry.Unregister(name)
 	}
-	delete(v.of, key)
+	delete(v.metrics, key)
 }
 
-func (s *Set) newSoftware(key softwareOf) *softwareMetrics {
+func (s *Set) newSoftware(key softwareKey) *softwareMetrics {
 	names := softwareNames(key)
 	return &softwareMetrics{
 		requests: s.Counter(names[0]), failures: s.Counter(names[1]), latency: s.histogram(names[2], softwareReservoir),
@@ -123,7 +123,7 @@
 }
 
 // softwareNames returns the names of requests, failures and latency of a version.
-func softwareNames(key softwareOf) [3]string {
+func softwareNames(key softwareKey) [3]string {
 	of := fmt.Sprintf("{service=%s,software=%s}", strconv.Quote(key.service), strconv.Quote(key.software))
 	return [...]string{"software_requests_total" + of, "software_failures_total" + of, "software_latency_us" + of}
 }
--- a/process/metric/software_test.go
+++ b/process/metric/software_test.go
@@ -48,14 +48,14 @@
 func TestVersionsAreBoundedByService(t *testing.T) {
 	s := NewSet()
 	s.Software("calm", "v0", false, time.Millisecond)
-	for i := range 3 * mostSoftware {
+	for i := range 3 * maxSoftware {
 		s.Software("bids", "first", false, time.Millisecond)
 		for range i + 1 {
 			s.Software("bids", fmt.Sprintf("v%d", i), i%2 == 0, time.Millisecond)
 		}
 	}
 	got := text(t, s)
-	assert.Equal(t, strings.Count(got, `software_requests_total{service="bids"`), mostSoftware+1)
+	assert.Equal(t, strings.Count(got, `software_requests_total{service="bids"`), maxSoftware+1)
 	for _, want := range []string{
 		`requests_total{service="calm",software="v0"} 1`,
 		`requests_total{service="bids",software="first"} 12`,
--- a/process/metric/workspace.go
+++ b/process/metric/workspace.go
@@ -13,7 +13,7 @@
 const (
 	// mostWorkspaces bounds the workspaces that have metrics of their own: each has a
 	// histogram of some 2 kB. Origin: 0.2 MB of the 32 MB that an instance may take.
-	mostWorkspaces = 100
+	maxWorkspaces = 100
 	// workspaceReservoir is the number of samples in such a histogram.
 	workspaceReservoir = 256
 )
@@ -26,39 +26,39 @@
 // the place of the one with the fewest, from whose count it goes on ("Efficient
 // Computation of Frequent and Top-k Elements in Data Streams", Metwally, Agrawal,
 // El Abbadi, 2005), if it has come so often. The zero value is empty.
-type named struct {
-	mu    sync.Mutex
-	count map[string]int64
-	tries map[string]int64 // of those without a place, a few
+type topWorkspaces struct {
+	mu         sync.Mutex
+	counts     map[string]int64
+	candidates map[string]int64 // of those without a place, a few
 }
 
 // label returns the label of a workspace, and one that has lost its place to it.
-func (n *named) label(workspace string) (label, lost string) {
+func (n *topWorkspaces) label(workspace string) (label, lost string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.count == nil {
-		n.count, n.tries = make(map[string]int64), make(map[string]int64)
+	if n.counts == nil {
+		n.counts, n.candidates = make(map[string]int64), make(map[string]int64)
 	}
-	if _, known := n.count[workspace]; known || len(n.count) < mostWorkspaces {
-		n.count[workspace]++
+	if _, known := n.counts[workspace]; known || len(n.counts) < maxWorkspaces {
+		n.counts[workspace]++
 		return workspace, ""
 	}
 	fewest := ""
-	for w, c := range n.count {
-		if fewest == "" || c < n.count[fewest] {
+	for w, c := range n.counts {
+		if fewest == "" || c < n.counts[fewest] {
 			fewest = w
 		}
 	}
-	if len(n.tries) >= mostWorkspaces {
-		clear(n.tries)
+	if len(n.candidates) >= maxWorkspaces {
+		clear(n.candidates)
 	}
-	n.tries[workspace]++
-	if n.tries[workspace] <= n.count[fewest] {
+	n.candidates[workspace]++
+	if n.candidates[workspace] <= n.counts[fewest] {
 		return otherWorkspaces, ""
 	}
-	n.count[workspace] = n.tries[workspace]
-	delete(n.count, fewest)
-	delete(n.tries, workspace)
+	n.counts[workspace] = n.candidates[workspace]
+	delete(n.counts, fewest)
+	delete(n.candidates, workspace)
 	return workspace, fewest
 }
 
@@ -67,7 +67,7 @@
 func (s *Set) Workspace(workspace string, code request.Code, took time.Duration) {
 	label, lost := s.workspaces.label(workspace)
 	if lost != "" {
-		s.forgetWorkspace(lost)
+		s.unregisterWorkspace(lost)
 	}
 	of := "workspace=" + strconv.Quote(label)
 	s.Counter("workspace_requests_total{" + of + ",result=" + strconv.Quote(code.Info().Name) + "}").Inc(1)
@@ -76,7 +76,7 @@
 
 // forgetWorkspace removes the metrics of a workspace that is not among the busiest any
 // more.
-func (s *Set) forgetWorkspace(workspace string) {
+func (s *Set) unregisterWorkspace(workspace string) {
 	of := "workspace=" + strconv.Quote(workspace)
 	s.registry.Unregister("workspace_latency_us{" + of + "}")
 	for _, code := range request.Codes() {
--- a/process/metric/workspace_test.go
+++ b/process/metric/workspace_test.go
@@ -18,7 +18,7 @@
 // workspace that turns busy gets its own.
 func TestBusiestWorkspacesHaveNames(t *testing.T) {
 	s := NewSet()
-	for i := range 3 * mostWorkspaces {
+	for i := range 3 * maxWorkspaces {
 		s.Workspace(fmt.Sprintf("w%d", i), request.OK, time.Millisecond)
 	}
 	for range 20 {
@@ -27,7 +27,7 @@
 	var out bytes.Buffer
 	assert.NilError(t, s.Write(&out))
 	text := out.String()
-	assert.Equal(t, strings.Count(text, "workspace_latency_us_count{"), mostWorkspaces+1)
+	assert.Equal(t, strings.Count(text, "workspace_latency_us_count{"), maxWorkspaces+1)
 	assert.Assert(t, strings.Contains(text, `workspace_requests_total{workspace="(others)",result="OK"}`))
 	assert.Assert(t, strings.Contains(text, `workspace_requests_total{workspace="late",result="OVER_QUOTA"} 19`))
 }
--- a/process/proxy/answer.go
+++ b/process/proxy/answer.go
@@ -53,7 +53,7 @@
 	if took > time.Duration(c.route.Objective) {
 		end = metric.EndLate
 	}
-	p.Metrics.Noticed(c.service, c.met, end)
+	p.Metrics.RequestWithNotice(c.service, c.met, end)
 	if err != nil && a.ex != nil {
 		panic(http.ErrAbortHandler)
 	}
@@ -88,7 +88,7 @@
 	if res.Ran == request.RanNo {
 		end = metric.EndRefused
 	}
-	p.Metrics.Noticed(c.service, c.met, end)
+	p.Metrics.RequestWithNotice(c.service, c.met, end)
 	h := c.w.Header()
 	h.Set(request.HeaderResult, res.Code.String())
 	h.Set(request.HeaderRan, string(res.Ran))
--- a/process/proxy/attempt.go
+++ b/process/proxy/attempt.go
@@ -268,7 +268,7 @@
 func (t *trial) report(h http.Header, pick *balance.Pick) *balance.Report {
 	r, err := balance.ParseReport(h.Get(t.p.Names.Load))
 	if err != nil {
-		t.p.Metrics.BadReport(t.c.service)
+		t.p.Metrics.InvalidLoadReport(t.c.service)
 		t.line(pick).Err(err).Msg("load-report-skipped")
 	}
 	return r
--- a/process/proxy/caller.go
+++ b/process/proxy/caller.go
@@ -25,7 +25,7 @@
 // identify finds the workspace of the caller by the key that the request carries.
 // Where there are no workspaces nobody needs a key.
 func (p *Proxy) identify(c *call, routing *version.Routing) *request.Result {
-	if routing.Workspaces.None() {
+	if routing.Workspaces.Empty() {
 		return nil
 	}
 	c.keyed = true
--- a/process/proxy/limit.go
+++ b/process/proxy/limit.go
@@ -65,7 +65,7 @@
 	}
 	limit, err := t.p.Names.RateLimit(res.Header)
 	if err != nil {
-		t.p.Metrics.BadRateLimit(t.c.service)
+		t.p.Metrics.InvalidRateLimit(t.c.service)
 		t.line(pick).Err(err).Msg("rate-limit-skipped")
 		return 0
 	}
--- a/process/proxy/proxy.go
+++ b/process/proxy/proxy.go
@@ -193,7 +193,7 @@
 	if res := p.identify(c, routing); res != nil {
 		return res
 	}
-	c.route = routing.Within(c.route, c.workspace)
+	c.route = routing.RestrictRoute(c.route, c.workspace)
 	l := routing.Limits
 	if l.MaxHeader > 0 && headerSize(c.r) > l.MaxHeader {
 		return refuse(request.HeaderTooLarge, 0)
--- a/process/proxy/proxy_test.go
+++ b/process/proxy/proxy_test.go
@@ -87,7 +87,7 @@
 	f.put(version.Resource{Key: version.Key{Kind: version.KindRoute, Name: name}, Route: &version.Route{
 		Host: "a.example", Prefix: prefix, Class: class, Repeatable: repeatable, Attempts: 2, Sticky: true,
 		Timeout: version.Duration(600 * time.Millisecond), Objective: version.Duration(300 * time.Millisecond),
-		Split: []version.Weighted{{Service: "s", Weight: 1}},
+		Split: []version.WeightedService{{Service: "s", Weight: 1}},
 	}})
 }
 
--- a/process/steer/steer.go
+++ b/process/steer/steer.go
@@ -211,7 +211,7 @@
 		c := b.View.Decide(&query, b.Counters)
 		s.noteMiss(b, &query, &c)
 		if c.Backend == version.None {
-			return nil, c.Open
+			return nil, c.AnyOpen
 		}
 		if g, ok := s.Slots.Take(b.View.Seq, &c, now); ok {
 			return &Place{Bound: b, Backend: c.Backend, Queue: b.Queues[svc], s: s, grant: g, since: now}, true
@@ -234,10 +234,10 @@
 
 // noteMiss tells the token table of tokens that were lacking.
 func (s *Steerer) noteMiss(b *Bound, q *version.Query, c *version.Choice) {
-	if c.Link != version.None {
-		s.Slots.Miss(b.View.Services[q.Service].Name, b.View.Regions[q.Region], b.View.Pools[c.Link].Name)
+	if c.FullLink != version.None {
+		s.Slots.Miss(b.View.Services[q.Service].Name, b.View.Regions[q.Region], b.View.Pools[c.FullLink].Name)
 	}
-	if c.Missed == version.None {
+	if c.MissedShift == version.None {
 		return
 	}
 	sh := &b.View.Services[q.Service].Shifts[q.Region]
@@ -247,7 +247,7 @@
 			names = append(names, b.View.Pools[p].Name)
 		}
 	}
-	s.Slots.Miss(b.View.Services[q.Service].Name, b.View.Regions[c.Missed], names...)
+	s.Slots.Miss(b.View.Services[q.Service].Name, b.View.Regions[c.MissedShift], names...)
 	s.Short()
 }
 
--- a/version/block.go
+++ b/version/block.go
@@ -60,9 +60,9 @@
 func (t *BlockTable) Lookup(a netip.Addr) uint16 {
 	a = a.Unmap()
 	if a.Is4() {
-		return t.v4.find(top64(a))
+		return t.v4.lookup(top64(a))
 	}
-	return t.v6.find(top64(a))
+	return t.v6.lookup(top64(a))
 }
 
 // top64 returns the leading 64 bits of an address, an IPv4 address in the top 32.
@@ -75,7 +75,7 @@
 	return binary.BigEndian.Uint64(b[:8])
 }
 
-func (r *ranges) find(key uint64) uint16 {
+func (r *ranges) lookup(key uint64) uint16 {
 	if len(r.starts) == 0 {
 		return NoSite
 	}
--- a/version/check.go
+++ b/version/check.go
@@ -23,14 +23,14 @@
 	return fmt.Sprintf("%s: %s: %s", e.Key, e.Field, e.Rule)
 }
 
-var nameRule = regexp.MustCompile("^[a-z0-9]([a-z0-9.-]*[a-z0-9])?$")
+var namePattern = regexp.MustCompile("^[a-z0-9]([a-z0-9.-]*[a-z0-9])?$")
 
 // Check applies every rule to the whole configuration and returns the first
 // breach, a *FieldError.
 func (c *Config) Check() error {
 	for _, r := range c.List("") {
 		k := checker{c: c, key: r.Key}
-		k.that(len(r.Name) <= MaxName && nameRule.MatchString(r.Name), "name",
+		k.require(len(r.Name) <= MaxName && namePattern.MatchString(r.Name), "name",
 			"must be 1 to 63 of a-z, 0-9, '-' and '.', beginning and ending with a letter or digit")
 		k.resource(&r)
 		if k.err != nil {
@@ -47,16 +47,16 @@
 	err error
 }
 
-func (k *checker) that(ok bool, field, rule string) {
+func (k *checker) require(ok bool, field, rule string) {
 	if !ok && k.err == nil {
 		k.err = &FieldError{Key: k.key, Field: field, Rule: rule}
 	}
 }
 
 // exists checks that a field names a resource.
-func (k *checker) exists(field string, kind Kind, name string) {
+func (k *checker) requireExists(field string, kind Kind, name string) {
 	if _, ok := k.c.Resources[Key{kind, name}]; !ok {
-		k.that(false, field, fmt.Sprintf("names %s %q, which does not exist", kind, name))
+		k.require(false, field, fmt.Sprintf("names %s %q, which does not exist", kind, name))
 	}
 }
 
@@ -65,7 +65,7 @@
 	case KindService:
 		k.service(r.Service)
 	case KindHall:
-		k.exists("spec.region", KindRegion, r.Hall.Region)
+		k.requireExists("spec.region", KindRegion, r.Hall.Region)
 	case KindBackend:
 		k.backend(r.Backend)
 	case KindLink:
@@ -86,45 +86,45 @@
 }
 
 func (k *checker) service(s *Service) {
-	k.that(len(s.Routes) > 0 || k.c.routed(k.key.Name), "spec.routes", "must have at least one route, unless a route resource names the service")
+	k.require(len(s.Routes) > 0 || k.c.hasRoute(k.key.Name), "spec.routes", "must have at least one route, unless a route resource names the service")
 	k.warming(s.Warming)
-	k.that(s.MaxConnections >= 0, "spec.maxConnections", "must not be negative")
-	k.that(s.Queue >= 0 && s.Queue <= 1<<16, "spec.queue", "must be 0 to 65536")
+	k.require(s.MaxConnections >= 0, "spec.maxConnections", "must not be negative")
+	k.require(s.Queue >= 0 && s.Queue <= 1<<16, "spec.queue", "must be 0 to 65536")
 	for i, rt := range s.Routes {
 		f := fmt.Sprintf("spec.routes[%d].", i)
-		k.that(strings.HasPrefix(rt.Prefix, "/"), f+"prefix", "must begin with '/'")
-		k.that(rt.Class.Valid(), f+"class", "must be one of "+strings.Join(request.ClassNames(), ", "))
-		k.that(rt.Deadline > 0 && time.Duration(rt.Deadline) <= MaxDeadline, f+"deadline", "must be above 0 and at most 10m")
-		k.that(rt.MaxBody >= 0, f+"maxBody", "must not be negative")
+		k.require(strings.HasPrefix(rt.Prefix, "/"), f+"prefix", "must begin with '/'")
+		k.require(rt.Class.Valid(), f+"class", "must be one of "+strings.Join(request.ClassNames(), ", "))
+		k.require(rt.Deadline > 0 && time.Duration(rt.Deadline) <= MaxDeadline, f+"deadline", "must be above 0 and at most 10m")
+		k.require(rt.MaxBody >= 0, f+"maxBody", "must not be negative")
 	}
 }
 
 func (k *checker) backend(u *Backend) {
-	k.exists("spec.service", KindService, u.Service)
-	k.exists("spec.hall", KindHall, u.Hall)
-	k.that(u.Address.IsValid() && u.Address.Port() != 0, "spec.address", "must be an IP number and a port")
-	k.that(u.Cold >= 0, "spec.cold", "must not be negative")
-	k.that(u.Slots >= 1 && u.Slots <= MaxSlots, "spec.slots", "must be 1 to 4096")
+	k.requireExists("spec.service", KindService, u.Service)
+	k.requireExists("spec.hall", KindHall, u.Hall)
+	k.require(u.Address.IsValid() && u.Address.Port() != 0, "spec.address", "must be an IP number and a port")
+	k.require(u.Cold >= 0, "spec.cold", "must not be negative")
+	k.require(u.Slots >= 1 && u.Slots <= MaxSlots, "spec.slots", "must be 1 to 4096")
 }
 
 func (k *checker) link(l *Link) {
-	k.exists("spec.from", KindRegion, l.From)
-	k.exists("spec.to", KindRegion, l.To)
-	k.that(l.From != l.To, "spec.to", "must differ from spec.from")
-	k.that(l.Cap >= 0 && l.Cap <= MaxSlots, "spec.cap", "must be 0 to 4096")
-	k.that(l.Latency >= 0, "spec.latency", "must not be negative")
+	k.requireExists("spec.from", KindRegion, l.From)
+	k.requireExists("spec.to", KindRegion, l.To)
+	k.require(l.From != l.To, "spec.to", "must differ from spec.from")
+	k.require(l.Cap >= 0 && l.Cap <= MaxSlots, "spec.cap", "must be 0 to 4096")
+	k.require(l.Latency >= 0, "spec.latency", "must not be negative")
 }
 
 func (k *checker) shift(s *Shift) {
-	k.exists("spec.service", KindService, s.Service)
-	k.exists("spec.from", KindRegion, s.From)
-	k.exists("spec.to", KindRegion, s.To)
-	k.that(s.From != s.To, "spec.to", "must differ from spec.from")
-	k.that(s.Share >= 0 && s.Share <= 1, "spec.share", "must be 0 to 1")
-	k.that(s.Cap >= 0 && s.Cap <= MaxSlots, "spec.cap", "must be 0 to 4096")
-	k.that(s.Rate >= 0 && s.Rate <= MaxSlots, "spec.rate", "must be 0 to 4096")
-	k.that(s.Ramp >= 0, "spec.ramp", "must not be negative")
-	k.that(k.c.hasLink(s.From, s.To), "spec.to", "has no link from spec.from")
+	k.requireExists("spec.service", KindService, s.Service)
+	k.requireExists("spec.from", KindRegion, s.From)
+	k.requireExists("spec.to", KindRegion, s.To)
+	k.require(s.From != s.To, "spec.to", "must differ from spec.from")
+	k.require(s.Share >= 0 && s.Share <= 1, "spec.share", "must be 0 to 1")
+	k.require(s.Cap >= 0 && s.Cap <= MaxSlots, "spec.cap", "must be 0 to 4096")
+	k.require(s.Rate >= 0 && s.Rate <= MaxSlots, "spec.rate", "must be 0 to 4096")
+	k.require(s.Ramp >= 0, "spec.ramp", "must not be negative")
+	k.require(k.c.hasLink(s.From, s.To), "spec.to", "has no link from spec.from")
 }
 
 func (c *Config) hasLink(from, to string) bool {
@@ -151,9 +151,9 @@
 			continue
 		}
 		set++
-		k.exists(t.field, t.kind, t.name)
+		k.requireExists(t.field, t.kind, t.name)
 	}
-	k.that(set == 1, "spec", "must name exactly one backend server, hall or region")
+	k.require(set == 1, "spec", "must name exactly one backend server, hall or region")
 }
 
 // checkUnique refuses two resources that claim the same thing.
@@ -167,15 +167,15 @@
 		return nil
 	}
 	for _, r := range c.List("") {
-		if err := r.eachClaim(claim); err != nil {
+		if err := r.eachUniqueValue(claim); err != nil {
 			return err
 		}
 	}
-	return c.checkKeys()
+	return c.checkUniqueKeys()
 }
 
 // eachClaim calls f for whatever the resource must be alone in naming.
-func (r Resource) eachClaim(f func(r Resource, field, what string) error) error {
+func (r Resource) eachUniqueValue(f func(r Resource, field, what string) error) error {
 	switch r.Kind {
 	case KindBackend:
 		return f(r, "spec.address", r.Backend.Address.String())
@@ -210,7 +210,7 @@
 func (c *Config) CheckRoutes() error {
 	for _, kind := range []Kind{KindRoute, KindLimits, KindWorkspace} {
 		for _, r := range c.List(kind) {
-			if err := c.CheckReferences(r.Key); err != nil {
+			if err := c.CheckSpec(r.Key); err != nil {
 				return err
 			}
 		}
@@ -226,7 +226,7 @@
 }
 
 // CheckReferences applies the rules of one resource but that of its name.
-func (c *Config) CheckReferences(key Key) error {
+func (c *Config) CheckSpec(key Key) error {
 	r := c.Resources[key]
 	k := checker{c: c, key: key}
 	k.resource(&r)
--- a/version/config.go
+++ b/version/config.go
@@ -38,7 +38,7 @@
 }
 
 // keptOperations is the number of past operation ids that a Config remembers.
-const keptOperations = 1000
+const maxOperations = 1000
 
 // Operation is an operator's call that was accepted.
 type Operation struct {
@@ -54,17 +54,17 @@
 	Operations []Operation // oldest first
 	// Announced are backend servers that announce themselves, beside those among the resources,
 	// ordered by name. They are not part of snapshots.
-	Announced []*Announced
+	Announced []*AnnouncedBackend
 	// Onward says that these are other instances, which pass requests on to the backend servers:
 	// several may have one address. It is not part of snapshots.
-	Onward bool
+	BackendsAreInstances bool
 	// Software says by service which versions of its software may get requests. Of a
 	// service that is not there all backend servers may. It is not part of what
 	// operators declare, and not of snapshots: it follows from the roll-outs' state.
 	Software map[string]Software
 	// LetThrough are requests that operators let through though they crash backend
 	// servers. It is not part of snapshots either.
-	LetThrough map[request.Fingerprint]bool
+	ReleasedFingerprints map[request.Fingerprint]bool
 }
 
 // Snapshot is the written form of a Config.
@@ -168,7 +168,7 @@
 		r.Version = ch.Seq
 		next.Resources[r.Key] = r
 	}
-	first := max(0, len(c.Operations)+1-keptOperations)
+	first := max(0, len(c.Operations)+1-maxOperations)
 	next.Operations = append(slices.Clone(c.Operations[first:]), Operation{ID: ch.Operation, Seq: ch.Seq})
 	return next
 }
--- a/version/decide.go
+++ b/version/decide.go
@@ -51,55 +51,55 @@
 	Pools    [MaxPools]int32
 	NumPools int
 	// Open reports that some backend server takes work, though it may be full.
-	Open bool
+	AnyOpen bool
 	// Missed is the region that a shift would have sent the request to, had
 	// there been tokens; None otherwise.
-	Missed int32
+	MissedShift int32
 	// Link is the pool of a link that lacked a token, when nothing was free;
 	// None otherwise.
-	Link int32
+	FullLink int32
 }
 
-func (c *Choice) need(pool int32) {
+func (c *Choice) addPool(pool int32) {
 	c.Pools[c.NumPools] = pool
 	c.NumPools++
 }
 
 // exploreOneIn is how rarely a decision tries a random free backend server instead
 // of the one that looks fastest, so that old costs are found out.
-const exploreOneIn = 64
+const exploreInterval = 64
 
 // Decide chooses region and backend server for one request. It reads only.
 func (v *View) Decide(q *Query, n *Counters) Choice {
 	s := &v.Services[q.Service]
 	var c Choice
-	c.Backend, c.Missed, c.Link = None, None, None
+	c.Backend, c.MissedShift, c.FullLink = None, None, None
 	sh := &s.Shifts[q.Region]
-	if sh.Pool != None && shareTaken(sh, q) {
-		if v.cross(q, n, s, sh.To, &c) {
+	if sh.Pool != None && inShiftedShare(sh, q) {
+		if v.chooseAcrossLink(q, n, s, sh.To, &c) {
 			return c
 		}
-		c.Missed = sh.To
+		c.MissedShift = sh.To
 	}
-	if v.within(q, n, s, q.Region, &c) {
-		c.need(v.Backends[c.Backend].Pool)
+	if v.chooseInRegion(q, n, s, q.Region, &c) {
+		c.addPool(v.Backends[c.Backend].Pool)
 		return c
 	}
-	for i := range v.Crossings[q.Region] {
-		x := &v.Crossings[q.Region][i]
-		if v.cross(q, n, s, x.To, &c) {
-			c.Link = None
+	for i := range v.Links[q.Region] {
+		x := &v.Links[q.Region][i]
+		if v.chooseAcrossLink(q, n, s, x.To, &c) {
+			c.FullLink = None
 			return c
 		}
-		if c.Link == None && n.Free[x.Pool].Load() <= 0 {
-			c.Link = x.Pool
+		if c.FullLink == None && n.Free[x.Pool].Load() <= 0 {
+			c.FullLink = x.Pool
 		}
 	}
 	return c
 }
 
 // shareTaken reports whether this request belongs to the shifted share.
-func shareTaken(sh *ShiftView, q *Query) bool {
+func inShiftedShare(sh *ShiftView, q *Query) bool {
 	share := sh.Share
 	if q.InForce < sh.Ramp {
 		share *= float64(q.InForce) / float64(sh.Ramp)
@@ -109,14 +109,14 @@
 }
 
 // cross tries to serve in another region, with all tokens that this needs.
-func (v *View) cross(q *Query, n *Counters, s *ServiceView, to int32, c *Choice) bool {
+func (v *View) chooseAcrossLink(q *Query, n *Counters, s *ServiceView, to int32, c *Choice) bool {
 	link := None
-	for i := range v.Crossings[q.Region] {
-		if v.Crossings[q.Region][i].To == to {
-			link = v.Crossings[q.Region][i].Pool
+	for i := range v.Links[q.Region] {
+		if v.Links[q.Region][i].To == to {
+			link = v.Links[q.Region][i].Pool
 		}
 	}
-	if link == None || !v.within(q, n, s, to, c) {
+	if link == None || !v.chooseInRegion(q, n, s, to, c) {
 		return false
 	}
 	backend := c.Backend
@@ -129,25 +129,25 @@
 		if n.Free[sh.Pool].Load() <= 0 || (sh.RatePool != None && n.Free[sh.RatePool].Load() <= 0) {
 			return false
 		}
-		c.need(sh.Pool)
+		c.addPool(sh.Pool)
 		if sh.RatePool != None {
-			c.need(sh.RatePool)
+			c.addPool(sh.RatePool)
 		}
 	}
 	c.Backend = backend
-	c.need(link)
-	c.need(v.Backends[backend].Pool)
+	c.addPool(link)
+	c.addPool(v.Backends[backend].Pool)
 	return true
 }
 
 // within finds the fastest backend server of a region with a free slot token here.
-func (v *View) within(q *Query, n *Counters, s *ServiceView, region int32, c *Choice) bool {
+func (v *View) chooseInRegion(q *Query, n *Counters, s *ServiceView, region int32, c *Choice) bool {
 	ups := s.ByRegion[region]
 	if len(ups) == 0 {
 		return false
 	}
-	explore := q.Random%exploreOneIn == 0
-	start := int(q.Random / exploreOneIn % uint64(len(ups)))
+	explore := q.Random%exploreInterval == 0
+	start := int(q.Random / exploreInterval % uint64(len(ups)))
 	best, bestCost := None, int64(0)
 	for i := range ups {
 		at := start + i
@@ -158,7 +158,7 @@
 		if v.Backends[u].Drained || n.Closed[u].Load() {
 			continue
 		}
-		c.Open = true
+		c.AnyOpen = true
 		if n.Free[v.Backends[u].Pool].Load() <= 0 || u == q.Exclude[0] || u == q.Exclude[1] {
 			continue
 		}
--- a/version/group.go
+++ b/version/group.go
@@ -15,7 +15,7 @@
 // ungroupedUpTo is the number of backend servers up to which a service has one group: with several,
 // a server that comes or leaves moves twice as many objects. A service that grows beyond it
 // moves all its objects once.
-const ungroupedUpTo = 1024
+const maxUngrouped = 1024
 
 // Groups are the backend servers of a service by group.
 type Groups struct {
@@ -30,14 +30,14 @@
 
 // Group returns that of a backend server of the service.
 func (s *RoutedService) Group(u *RoutedBackend) int {
-	if len(s.Backends) <= ungroupedUpTo {
+	if len(s.Backends) <= maxUngrouped {
 		return 0
 	}
 	return int(u.Hash >> (64 - groupBits))
 }
 
 // groups divides the backend servers of a service.
-func (r *Routing) groups(s *RoutedService) *Groups {
+func (r *Routing) groupBackends(s *RoutedService) *Groups {
 	g := &Groups{members: make([]int32, len(s.Backends))}
 	for _, i := range s.Backends {
 		g.start[s.Group(&r.Backends[i])+1]++
@@ -60,13 +60,13 @@
 
 // GroupDraw returns the distance of a group from an object for a weight of 1, as Draw does that
 // of a backend server.
-func GroupDraw(object uint64, group int) float64 {
-	return draw(object ^ uint64(group+1)*0xd1342543de82ef95)
+func GroupUnitDistance(object uint64, group int) float64 {
+	return unitDistance(object ^ uint64(group+1)*0xd1342543de82ef95)
 }
 
 // draw mixes a number (the finalizer of MurmurHash3) and returns an exponentially distributed
 // value.
-func draw(x uint64) float64 {
+func unitDistance(x uint64) float64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
--- a/version/host.go
+++ b/version/host.go
@@ -12,12 +12,12 @@
 // (40 ns with 1,000 routes, where trying one after the other takes 4 us:
 // BenchmarkFindManyRoutes).
 type hostRoutes struct {
-	routes   []*RouteView // ordered by name
-	byPrefix map[string]*RouteView
-	longest  int // prefix, in bytes
+	routes    []*RouteView // ordered by name
+	byPrefix  map[string]*RouteView
+	maxPrefix int // prefix, in bytes
 	// homes are the regions, by index, in which all routes with homes may be served.
 	// Nil: no route has homes.
-	homes []bool
+	homeRegions []bool
 }
 
 // add adds a route. Of two with one prefix the first holds.
@@ -26,16 +26,16 @@
 	if h.byPrefix[v.Prefix] == nil {
 		h.byPrefix[v.Prefix] = v
 	}
-	h.longest = max(h.longest, len(v.Prefix))
-	if v.Home == nil {
+	h.maxPrefix = max(h.maxPrefix, len(v.Prefix))
+	if v.HomeRegions == nil {
 		return
 	}
-	if h.homes == nil {
-		h.homes = slices.Clone(v.Home)
+	if h.homeRegions == nil {
+		h.homeRegions = slices.Clone(v.HomeRegions)
 		return
 	}
-	for i := range h.homes {
-		h.homes[i] = h.homes[i] && v.Home[i]
+	for i := range h.homeRegions {
+		h.homeRegions[i] = h.homeRegions[i] && v.HomeRegions[i]
 	}
 }
 
@@ -43,7 +43,7 @@
 // end with a slash. What is behind the longest one is not looked at, so that a path of
 // many slashes costs no more than the routes make it.
 func (h *hostRoutes) find(path string) *RouteView {
-	path = path[:min(len(path), h.longest)]
+	path = path[:min(len(path), h.maxPrefix)]
 	for {
 		end := strings.LastIndexByte(path, '/')
 		if end < 0 {
@@ -70,10 +70,10 @@
 
 // HostHomes returns the regions in which all routes of a host with homes may be
 // served, by region; nil when no route of the host has homes. It is not to be changed.
-func (r *Routing) HostHomes(host string) []bool {
+func (r *Routing) HostHomeRegions(host string) []bool {
 	h := r.hosts[host]
 	if h == nil {
 		return nil
 	}
-	return h.homes
+	return h.homeRegions
 }
--- a/version/host_test.go
+++ b/version/host_test.go
@@ -34,7 +34,7 @@
 			key := version.Key{Kind: version.KindRoute, Name: fmt.Sprint("r", i)}
 			c.Resources[key] = version.Resource{Key: key, Route: &version.Route{
 				Host: "a.example", Prefix: prefix, Class: request.ClassRead, Timeout: version.Duration(time.Second),
-				Split: []version.Weighted{{Service: "s", Weight: 1}},
+				Split: []version.WeightedService{{Service: "s", Weight: 1}},
 			}}
 		}
 		asked := path("asked")
--- a/version/many_routes_test.go
+++ b/version/many_routes_test.go
@@ -26,7 +26,7 @@
 	for i := range routes {
 		add(version.Resource{Key: version.Key{Kind: version.KindRoute, Name: fmt.Sprintf("route-%d", i)}, Route: &version.Route{
 			Host: "a.example", Prefix: fmt.Sprintf("/path%d/part/", i), Class: request.ClassRead,
-			Timeout: version.Duration(time.Second), Split: []version.Weighted{{Service: "s", Weight: 1}},
+			Timeout: version.Duration(time.Second), Split: []version.WeightedService{{Service: "s", Weight: 1}},
 		}})
 	}
 	for i := range backends {
--- a/version/resource.go
+++ b/version/resource.go
@@ -34,11 +34,11 @@
 
 // deprecatedBackend is what an earlier release called KindBackend. It is read, never
 // written, so that operators' documents and stored versions of that release hold.
-const deprecatedBackend = "upstream"
+const deprecatedKindBackend = "upstream"
 
 // ParseKind returns the kind of a word, which may be one of an earlier release.
 func ParseKind(word string) Kind {
-	if word == deprecatedBackend {
+	if word == deprecatedKindBackend {
 		return KindBackend
 	}
 	return Kind(word)
--- a/version/rollout.go
+++ b/version/rollout.go
@@ -19,9 +19,9 @@
 const MaxRollout = 24 * time.Hour
 
 func (k *checker) rollout(r *Rollout) {
-	k.exists("spec.service", KindService, r.Service)
-	k.that(r.Target != "", "spec.target", "must be set")
-	k.that(r.Within > 0 && time.Duration(r.Within) <= MaxRollout, "spec.within", "must be above 0 and at most 24h")
+	k.requireExists("spec.service", KindService, r.Service)
+	k.require(r.Target != "", "spec.target", "must be set")
+	k.require(r.Within > 0 && time.Duration(r.Within) <= MaxRollout, "spec.within", "must be above 0 and at most 24h")
 }
 
 // Software says which versions of a service's software may get requests. Backend
--- a/version/rollout_test.go
+++ b/version/rollout_test.go
@@ -73,7 +73,7 @@
 		s := r.serviceNamed("ledger")
 		assert.Equal(t, first(r.names(s)), x.inForce, "%v", x.software)
 		assert.Equal(t, len(r.Backends), x.backends, "%v", x.software)
-		assert.Assert(t, !s.OfTarget)
+		assert.Assert(t, !s.IsTarget)
 		if s.Target == None {
 			assert.Equal(t, x.target, "")
 			continue
@@ -82,7 +82,7 @@
 		assert.Equal(t, first(r.names(target)), x.target, "%v", x.software)
 		assert.Equal(t, target.Software, x.software.Target)
 		assert.Equal(t, target.Name, "ledger")
-		assert.Assert(t, target.OfTarget && target.Target == None)
+		assert.Assert(t, target.IsTarget && target.Target == None)
 		assert.DeepEqual(t, target.Warming, s.Warming)
 		assert.Equal(t, target.MaxConnections, s.MaxConnections)
 	}
@@ -156,7 +156,7 @@
 	r := CompileRouting(c, nil)
 	route := r.Route("a.example", "/bids/")
 	whole := route.Parts[0].Target
-	narrowed := r.Within(route, r.Workspaces.Find("k"))
+	narrowed := r.RestrictRoute(route, r.Workspaces.Find("k"))
 	target := narrowed.Parts[0].Target
 	assert.Assert(t, target != nil && target != whole && route.Parts[0].Target == whole)
 	assert.Equal(t, target.Service, whole.Service)
@@ -164,8 +164,8 @@
 	south := r.Region("south")
 	for k, i := range r.Services[target.Service].Backends {
 		inside := r.Backends[i].Region == r.Region("north")
-		assert.Equal(t, target.Weights[south].Backends[k] > leastWeight, inside, "%s", r.Backends[i].Name)
-		assert.Assert(t, whole.Weights[south].Backends[k] > leastWeight || inside)
+		assert.Equal(t, target.Weights[south].Backends[k] > minWeight, inside, "%s", r.Backends[i].Name)
+		assert.Assert(t, whole.Weights[south].Backends[k] > minWeight || inside)
 	}
 	assert.Assert(t, narrowed.Parts[1].Target == nil, "intake has no roll-out")
 }
--- a/version/route.go
+++ b/version/route.go
@@ -41,11 +41,11 @@
 	// Anonymous serves requests without a key, too, where there are workspaces.
 	Anonymous bool `json:"anonymous,omitempty"`
 	// Split divides the requests among services by weight.
-	Split []Weighted `json:"split"`
+	Split []WeightedService `json:"split"`
 }
 
 // Weighted is one part of a route's split.
-type Weighted struct {
+type WeightedService struct {
 	Service string `json:"service"`
 	// Weight is the share of the requests relative to the other parts.
 	Weight float64 `json:"weight"`
@@ -72,44 +72,44 @@
 const MaxRouteAttempts = 8
 
 func (k *checker) route(r *Route) {
-	k.that(r.Host != "", "spec.host", "must be set")
-	k.that(strings.HasPrefix(r.Prefix, "/") && strings.HasSuffix(r.Prefix, "/"), "spec.prefix", "must begin and end with '/'")
-	k.that(r.Class.Valid(), "spec.class", "must be one of "+strings.Join(request.ClassNames(), ", "))
-	k.that(r.Timeout > 0 && time.Duration(r.Timeout) <= MaxDeadline, "spec.timeout", "must be above 0 and at most 10m")
-	k.that(r.Objective >= 0, "spec.objective", "must not be negative")
-	k.that(r.Attempts >= 0 && r.Attempts <= MaxRouteAttempts, "spec.attempts", "must be 0 to 8")
-	k.that(r.Priority >= 0, "spec.priority", "must not be negative")
-	k.that(len(r.Split) > 0, "spec.split", "must have at least one part")
+	k.require(r.Host != "", "spec.host", "must be set")
+	k.require(strings.HasPrefix(r.Prefix, "/") && strings.HasSuffix(r.Prefix, "/"), "spec.prefix", "must begin and end with '/'")
+	k.require(r.Class.Valid(), "spec.class", "must be one of "+strings.Join(request.ClassNames(), ", "))
+	k.require(r.Timeout > 0 && time.Duration(r.Timeout) <= MaxDeadline, "spec.timeout", "must be above 0 and at most 10m")
+	k.require(r.Objective >= 0, "spec.objective", "must not be negative")
+	k.require(r.Attempts >= 0 && r.Attempts <= MaxRouteAttempts, "spec.attempts", "must be 0 to 8")
+	k.require(r.Priority >= 0, "spec.priority", "must not be negative")
+	k.require(len(r.Split) > 0, "spec.split", "must have at least one part")
 	total := 0.0
 	for i, w := range r.Split {
 		field := fmt.Sprintf("spec.split[%d]", i)
-		k.exists(field+".service", KindService, w.Service)
-		k.that(w.Weight >= 0, field+".weight", "must not be negative")
+		k.requireExists(field+".service", KindService, w.Service)
+		k.require(w.Weight >= 0, field+".weight", "must not be negative")
 		total += w.Weight
 	}
-	k.that(total > 0, "spec.split", "must have a weight above 0")
+	k.require(total > 0, "spec.split", "must have a weight above 0")
 	for i, h := range r.Homes {
-		k.exists(fmt.Sprintf("spec.homes[%d]", i), KindRegion, h)
+		k.requireExists(fmt.Sprintf("spec.homes[%d]", i), KindRegion, h)
 	}
 }
 
 func (k *checker) limits(l *Limits) {
-	k.that(l.MaxHeader >= 0, "spec.maxHeader", "must not be negative")
-	k.that(l.MaxBody >= 0, "spec.maxBody", "must not be negative")
-	k.that(l.Header >= 0, "spec.header", "must not be negative")
-	k.that(l.Idle >= 0, "spec.idle", "must not be negative")
+	k.require(l.MaxHeader >= 0, "spec.maxHeader", "must not be negative")
+	k.require(l.MaxBody >= 0, "spec.maxBody", "must not be negative")
+	k.require(l.Header >= 0, "spec.header", "must not be negative")
+	k.require(l.Idle >= 0, "spec.idle", "must not be negative")
 }
 
 func (k *checker) warming(w *Warming) {
 	if w == nil {
 		return
 	}
-	k.that(w.Time >= 0, "spec.warming.time", "must not be negative")
-	k.that(w.Rate >= 0, "spec.warming.rate", "must not be negative")
+	k.require(w.Time >= 0, "spec.warming.time", "must not be negative")
+	k.require(w.Rate >= 0, "spec.warming.rate", "must not be negative")
 }
 
 // routed reports whether a route resource names the service.
-func (c *Config) routed(service string) bool {
+func (c *Config) hasRoute(service string) bool {
 	for _, r := range c.Resources {
 		if r.Route == nil {
 			continue
--- a/version/routing.go
+++ b/version/routing.go
@@ -25,9 +25,9 @@
 	regions map[string]int32
 	halls   map[string]int32 // to region
 	// narrowed are the views of routes within homes of workspaces, by narrowing.
-	narrowed sync.Map
+	restricted sync.Map
 	// shared are the weights that routes have in common, by weighing.
-	shared sync.Map
+	weightCache sync.Map
 }
 
 // RouteView is a route with names replaced by indexes.
@@ -37,7 +37,7 @@
 	// Parts are the services of the split, by rising bound.
 	Parts []RoutePart
 	// Home tells by region whether it may serve; nil: all may.
-	Home []bool
+	HomeRegions []bool
 }
 
 // RoutePart is one service of a route's split.
@@ -63,7 +63,7 @@
 	// homes of objects are computed within a version.
 	Software string
 	// OfTarget is set for such a service.
-	OfTarget bool
+	IsTarget bool
 	// Target is the index of the service with the backend servers of a roll-out's
 	// target. None: there is none.
 	Target   int32
@@ -100,11 +100,11 @@
 	Hash uint64
 	// Life identifies its present start in what is learnt of it. It is Hash where the
 	// backend server does not tell its starts apart.
-	Life uint64
+	IncarnationHash uint64
 }
 
 // lifeOf returns Life of a backend server.
-func lifeOf(hash uint64, incarnation int64) uint64 {
+func incarnationHash(hash uint64, incarnation int64) uint64 {
 	return hash ^ uint64(incarnation)*0x9e3779b97f4a7c15
 }
 
@@ -131,7 +131,7 @@
 		r.addRoute(x, services)
 	}
 	r.Workspaces = compileWorkspaces(c.List(KindWorkspace), r.Regions, old.workspaces())
-	r.rank()
+	r.computeUrgency()
 	for _, x := range c.List(KindLimits) {
 		r.Limits = *x.Limits
 	}
@@ -161,7 +161,7 @@
 	if software == "" || software == s.Software {
 		return
 	}
-	s.Software, s.OfTarget = software, true
+	s.Software, s.IsTarget = software, true
 	r.Services[service].Target = int32(len(r.Services))
 	r.Services = append(r.Services, s)
 }
@@ -185,7 +185,7 @@
 func (r *Routing) addBackends(c *Config, services map[string]int32) {
 	drains := c.List(KindDrain)
 	all := c.Backends()
-	if !c.Onward {
+	if !c.BackendsAreInstances {
 		all = newestByAddress(all)
 	}
 	r.Backends = make([]RoutedBackend, 0, len(all))
@@ -200,7 +200,7 @@
 			Hall:        x.Backend.Hall, Region: r.halls[x.Backend.Hall], Slots: x.Backend.Slots,
 			Leaving: x.Backend.Leaving, Closed: x.Backend.Leaving, Cold: time.Duration(x.Backend.Cold), Hash: x.hash,
 		}
-		u.Life = lifeOf(u.Hash, u.Incarnation)
+		u.IncarnationHash = incarnationHash(u.Hash, u.Incarnation)
 		for _, d := range drains {
 			if d.Drain.Backend == u.Name || d.Drain.Hall == u.Hall || d.Drain.Region == r.Regions[u.Region] {
 				u.Drained = true
@@ -212,12 +212,12 @@
 		r.Backends = append(r.Backends, u)
 	}
 	for i := range r.Services {
-		r.Services[i].Groups = r.groups(&r.Services[i])
+		r.Services[i].Groups = r.groupBackends(&r.Services[i])
 	}
 }
 
 // Find returns the index of the backend server of a name, or None.
-func (r *Routing) Find(name string) int32 {
+func (r *Routing) FindBackend(name string) int32 {
 	i, found := slices.BinarySearchFunc(r.Backends, name, func(u RoutedBackend, name string) int { return cmp.Compare(u.Name, name) })
 	if !found {
 		return None
@@ -232,9 +232,9 @@
 	for _, w := range v.Split {
 		v.Parts = append(v.Parts, RoutePart{Service: services[w.Service], Weight: w.Weight})
 	}
-	v.Home = homeOf(v.Homes, r.Regions)
+	v.HomeRegions = homeRegions(v.Homes, r.Regions)
 	for i := range v.Parts {
-		r.weigh(&v.Parts[i], v.Home)
+		r.setWeights(&v.Parts[i], v.HomeRegions)
 	}
 	h := r.hosts[v.Host]
 	if h == nil {
@@ -253,16 +253,16 @@
 }
 
 // rank sets the ranks of the requests that may come for each service.
-func (r *Routing) rank() {
+func (r *Routing) computeUrgency() {
 	for i := range r.Services {
 		r.Services[i].MostUrgent, r.Services[i].LeastUrgent = math.MaxInt, 0
 	}
 	r.eachPart(func(v *RouteView, p *RoutePart) {
 		s := &r.Services[p.Service]
-		if r.Workspaces.None() || v.Anonymous {
-			s.ranked(v.Priority)
+		if r.Workspaces.Empty() || v.Anonymous {
+			s.addPriority(v.Priority)
 		}
-		r.Workspaces.Each(func(w *WorkspaceView) { s.ranked(w.Priority) })
+		r.Workspaces.Each(func(w *WorkspaceView) { s.addPriority(w.Priority) })
 	})
 	for i := range r.Services {
 		if target := r.Services[i].Target; target != None {
@@ -272,7 +272,7 @@
 }
 
 // ranked notes that requests of a rank may come.
-func (s *RoutedService) ranked(priority int) {
+func (s *RoutedService) addPriority(priority int) {
 	s.MostUrgent = min(s.MostUrgent, priority)
 	s.LeastUrgent = max(s.LeastUrgent, priority)
 }
@@ -302,7 +302,7 @@
 }
 
 // RegionOfHall returns the index of the region of a hall, or None.
-func (r *Routing) RegionOfHall(name string) int32 { return find(r.halls, name) }
+func (r *Routing) RegionOfHall(name string) int32 { return indexOf(r.halls, name) }
 
 // Region returns the index of a region, or None.
-func (r *Routing) Region(name string) int32 { return find(r.regions, name) }
+func (r *Routing) Region(name string) int32 { return indexOf(r.regions, name) }
--- a/version/view.go
+++ b/version/view.go
@@ -38,11 +38,11 @@
 // slotsPool returns the name of the pool of a backend server's slots. It keeps the word
 // of an earlier release: the name stands in the rows that say who holds which token,
 // and instances of both releases that named it differently would each use all slots.
-func slotsPool(backend string) string { return deprecatedBackend + "/" + backend }
+func slotPoolName(backend string) string { return deprecatedKindBackend + "/" + backend }
 
 // Backend returns the name of the backend server whose slots the pool has. It is of no
 // use for a pool of another kind.
-func (p *Pool) Backend() string { return strings.TrimPrefix(p.Name, deprecatedBackend+"/") }
+func (p *Pool) Backend() string { return strings.TrimPrefix(p.Name, deprecatedKindBackend+"/") }
 
 // BackendView is a backend server with names replaced by indexes.
 type BackendView struct {
@@ -62,7 +62,7 @@
 }
 
 // Crossing is the way from one region to another.
-type Crossing struct {
+type LinkView struct {
 	To      int32
 	Pool    int32
 	Latency time.Duration
@@ -90,15 +90,15 @@
 
 // View is a Config compiled for decisions. It never changes.
 type View struct {
-	Seq       int64
-	Config    *Config
-	Regions   []string
-	Halls     []HallView
-	Services  []ServiceView
-	Backends  []BackendView
-	Crossings [][]Crossing // by region, nearest first
-	Pools     []Pool
-	Blocks    BlockTable // client address to hall
+	Seq      int64
+	Config   *Config
+	Regions  []string
+	Halls    []HallView
+	Services []ServiceView
+	Backends []BackendView
+	Links    [][]LinkView // by region, nearest first
+	Pools    []Pool
+	Blocks   BlockTable // client address to hall
 
 	services map[string]int32
 	hosts    map[string]int32
@@ -107,18 +107,18 @@
 }
 
 // Service returns the index of the service with this name, or None.
-func (v *View) Service(name string) int32 { return find(v.services, name) }
+func (v *View) Service(name string) int32 { return indexOf(v.services, name) }
 
 // Host returns the index of the service with this host, or None.
-func (v *View) Host(host string) int32 { return find(v.hosts, host) }
+func (v *View) Host(host string) int32 { return indexOf(v.hosts, host) }
 
 // Region returns the index of the region, or None.
-func (v *View) Region(name string) int32 { return find(v.regions, name) }
+func (v *View) Region(name string) int32 { return indexOf(v.regions, name) }
 
 // Hall returns the index of the hall, or None.
-func (v *View) Hall(name string) int32 { return find(v.halls, name) }
+func (v *View) Hall(name string) int32 { return indexOf(v.halls, name) }
 
-func find(m map[string]int32, name string) int32 {
+func indexOf(m map[string]int32, name string) int32 {
 	if i, ok := m[name]; ok {
 		return i
 	}
@@ -163,7 +163,7 @@
 		v.regions[r.Name] = int32(i)
 		v.Regions = append(v.Regions, r.Name)
 	}
-	v.Crossings = make([][]Crossing, len(v.Regions))
+	v.Links = make([][]LinkView, len(v.Regions))
 	for i, r := range c.List(KindHall) {
 		v.halls[r.Name] = int32(i)
 		v.Halls = append(v.Halls, HallView{Name: r.Name, Region: v.Region(r.Hall.Region)})
@@ -207,7 +207,7 @@
 		region := v.Halls[hall].Region
 		s := &v.Services[svc]
 		pool := v.addPool(Pool{
-			Name: slotsPool(r.Name), Kind: PoolSlots, Size: r.Backend.Slots,
+			Name: slotPoolName(r.Name), Kind: PoolSlots, Size: r.Backend.Slots,
 			Region: region, Deadline: s.Deadline,
 		})
 		v.Backends = append(v.Backends, BackendView{
@@ -223,12 +223,12 @@
 	for _, r := range c.List(KindLink) {
 		from := v.Region(r.Link.From)
 		pool := v.addPool(Pool{Name: r.Key.String(), Kind: PoolLink, Size: r.Link.Cap, Region: from, Deadline: longest})
-		v.Crossings[from] = append(v.Crossings[from], Crossing{
+		v.Links[from] = append(v.Links[from], LinkView{
 			To: v.Region(r.Link.To), Pool: pool, Latency: time.Duration(r.Link.Latency),
 		})
 	}
-	for _, cs := range v.Crossings {
-		slices.SortStableFunc(cs, func(a, b Crossing) int { return cmp.Compare(a.Latency, b.Latency) })
+	for _, cs := range v.Links {
+		slices.SortStableFunc(cs, func(a, b LinkView) int { return cmp.Compare(a.Latency, b.Latency) })
 	}
 }
 
--- a/version/weight.go
+++ b/version/weight.go
@@ -4,7 +4,7 @@
 
 // leastWeight is the weight of a backend server in a region that should get nothing
 // of another region's requests: it comes last in every order.
-const leastWeight = 1e-6
+const minWeight = 1e-6
 
 // regionShares divides the requests of each region among the regions, first
 // index from, second to. Regions are assumed to send equally much. A region
@@ -32,14 +32,14 @@
 	for i := range shares {
 		for j := range shares {
 			if allSpare > 0 {
-				shares[i][j] += (1 - shares[i][i]) * spare[j] / allSpare * notSelf(i, j)
+				shares[i][j] += (1 - shares[i][i]) * spare[j] / allSpare * unlessEqual(i, j)
 			}
 		}
 	}
 	return shares
 }
 
-func notSelf(i, j int) float64 {
+func unlessEqual(i, j int) float64 {
 	if i == j {
 		return 0
 	}
@@ -48,12 +48,12 @@
 
 // weighing names the weights of a service's backend servers for routes with one set of
 // homes.
-type weighing struct {
+type weightKey struct {
 	service int32
 	homes   string // a byte for each region; "": all may serve
 }
 
-func newWeighing(service int32, home []bool) weighing {
+func newWeightKey(service int32, home []bool) weightKey {
 	homes := make([]byte, len(home))
 	for i, ok := range home {
 		homes[i] = '0'
@@ -61,15 +61,15 @@
 			homes[i] = '1'
 		}
 	}
-	return weighing{service, string(homes)}
+	return weightKey{service, string(homes)}
 }
 
 // weigh sets the weights of a part, and of the part for a roll-out's target.
-func (r *Routing) weigh(p *RoutePart, home []bool) {
-	p.Weights = r.weights(p.Service, home)
+func (r *Routing) setWeights(p *RoutePart, home []bool) {
+	p.Weights = r.cachedWeights(p.Service, home)
 	p.Target = nil
 	if target := r.Services[p.Service].Target; target != None {
-		p.Target = &RoutePart{Service: target, Weight: p.Weight, Software: r.Services[target].Software, Weights: r.weights(target, home)}
+		p.Target = &RoutePart{Service: target, Weight: p.Weight, Software: r.Services[target].Software, Weights: r.cachedWeights(target, home)}
 	}
 }
 
@@ -86,12 +86,12 @@
 // routes with the same homes, and computed once for these: a version of 1,000 routes
 // takes 2.5 ms and not 18 ms to be compiled, and 1 MB and not 8 (BenchmarkCompileManyRoutes), which an
 // instance does whenever a backend server comes or goes.
-func (r *Routing) weights(service int32, home []bool) []Weights {
-	key := newWeighing(service, home)
-	if known, ok := r.shared.Load(key); ok {
+func (r *Routing) cachedWeights(service int32, home []bool) []Weights {
+	key := newWeightKey(service, home)
+	if known, ok := r.weightCache.Load(key); ok {
 		return known.([]Weights)
 	}
-	known, _ := r.shared.LoadOrStore(key, r.computeWeights(service, home))
+	known, _ := r.weightCache.LoadOrStore(key, r.computeWeights(service, home))
 	return known.([]Weights)
 }
 
@@ -111,9 +111,9 @@
 		w.Backends = make([]float64, len(s.Backends))
 		for k, i := range s.Backends {
 			u := &r.Backends[i]
-			w.Backends[k] = leastWeight
+			w.Backends[k] = minWeight
 			if c := capacity[u.Region]; c > 0 {
-				w.Backends[k] = max(leastWeight, shares[from][u.Region]*float64(u.Slots)/c)
+				w.Backends[k] = max(minWeight, shares[from][u.Region]*float64(u.Slots)/c)
 			}
 			if !u.Closed {
 				w.Groups[s.Group(u)] += w.Backends[k]
@@ -128,9 +128,9 @@
 // which it is grows with its weight (weighted rendezvous hashing). It is the
 // same at every instance.
 func (u *RoutedBackend) Distance(object uint64, weight float64) float64 {
-	return u.Draw(object) / weight
+	return u.UnitDistance(object) / weight
 }
 
 // Draw returns the distance for a weight of 1. It is exponentially distributed
 // over objects.
-func (u *RoutedBackend) Draw(object uint64) float64 { return draw(object ^ u.Hash) }
+func (u *RoutedBackend) UnitDistance(object uint64) float64 { return unitDistance(object ^ u.Hash) }
--- a/version/workspace.go
+++ b/version/workspace.go
@@ -35,11 +35,11 @@
 type KeyHash [sha256.Size]byte
 
 // longestKey is the length up to which a key is hashed without allocating.
-const longestKey = 128
+const maxStackKey = 128
 
 // HashKey returns the hash of a key.
 func HashKey(key string) KeyHash {
-	var buf [longestKey]byte
+	var buf [maxStackKey]byte
 	if len(key) > len(buf) {
 		return sha256.Sum256([]byte(key))
 	}
@@ -61,16 +61,16 @@
 }
 
 func (k *checker) workspace(w *Workspace) {
-	k.that(w.Priority >= 0, "spec.priority", "must not be negative")
-	k.that(w.Rate >= 0, "spec.rate", "must not be negative")
-	k.that(w.Burst >= 0, "spec.burst", "must not be negative")
+	k.require(w.Priority >= 0, "spec.priority", "must not be negative")
+	k.require(w.Rate >= 0, "spec.rate", "must not be negative")
+	k.require(w.Burst >= 0, "spec.burst", "must not be negative")
 	for i, h := range w.Homes {
-		k.exists(fmt.Sprintf("spec.homes[%d]", i), KindRegion, h)
+		k.requireExists(fmt.Sprintf("spec.homes[%d]", i), KindRegion, h)
 	}
 }
 
 // checkKeys refuses a key that two workspaces have. The error does not show it.
-func (c *Config) checkKeys() error {
+func (c *Config) checkUniqueKeys() error {
 	owners := make(map[KeyHash]Key)
 	for _, r := range c.List(KindWorkspace) {
 		for i, h := range r.Workspace.Keys {
@@ -104,9 +104,9 @@
 	Priority    int
 	Rate, Burst float64
 	// Home tells by region whether it may serve; nil: all may.
-	Home []bool
+	HomeRegions []bool
 	// homeSet numbers the different values of Home.
-	homeSet int
+	homeSetID int
 }
 
 // compileWorkspaces compiles the workspaces of a configuration, ordered by name. It
@@ -118,7 +118,7 @@
 	w := &Workspaces{regions: regions, byKey: make(map[KeyHash]int32, len(list))}
 	sets := make(map[string]int)
 	for i, x := range list {
-		home := homeOf(x.Workspace.Homes, regions)
+		home := homeRegions(x.Workspace.Homes, regions)
 		set, known := sets[fmt.Sprint(home)]
 		if !known {
 			set = len(sets)
@@ -127,7 +127,7 @@
 		w.sources = append(w.sources, x.Workspace)
 		w.views = append(w.views, WorkspaceView{
 			Name: x.Name, Priority: x.Workspace.Priority, Rate: x.Workspace.Rate, Burst: x.Workspace.Burst,
-			Home: home, homeSet: set,
+			HomeRegions: home, homeSetID: set,
 		})
 		for _, h := range x.Workspace.Keys {
 			w.byKey[h] = int32(i)
@@ -146,7 +146,7 @@
 }
 
 // homeOf returns by region whether it is among the homes; nil if there are none.
-func homeOf(homes, regions []string) []bool {
+func homeRegions(homes, regions []string) []bool {
 	if len(homes) == 0 {
 		return nil
 	}
@@ -158,7 +158,7 @@
 }
 
 // None reports whether there are no workspaces, so that requests need no key.
-func (w *Workspaces) None() bool { return w == nil || len(w.views) == 0 }
+func (w *Workspaces) Empty() bool { return w == nil || len(w.views) == 0 }
 
 // Find returns the workspace of a key, or nil.
 func (w *Workspaces) Find(key string) *WorkspaceView {
@@ -183,7 +183,7 @@
 }
 
 // narrowing names a route within the homes of workspaces.
-type narrowing struct {
+type restriction struct {
 	route   *RouteView
 	homeSet int
 }
@@ -192,24 +192,24 @@
 // workspace has homes, only the backend servers there are left. Such a view is compiled
 // when it is first asked for, once for all workspaces with the same homes. A nil
 // workspace has no homes.
-func (r *Routing) Within(v *RouteView, w *WorkspaceView) *RouteView {
-	if w == nil || w.Home == nil {
+func (r *Routing) RestrictRoute(v *RouteView, w *WorkspaceView) *RouteView {
+	if w == nil || w.HomeRegions == nil {
 		return v
 	}
-	key := narrowing{v, w.homeSet}
-	if known, ok := r.narrowed.Load(key); ok {
+	key := restriction{v, w.homeSetID}
+	if known, ok := r.restricted.Load(key); ok {
 		return known.(*RouteView)
 	}
-	n := &RouteView{Route: v.Route, Name: v.Name, Home: both(v.Home, w.Home), Parts: slices.Clone(v.Parts)}
+	n := &RouteView{Route: v.Route, Name: v.Name, HomeRegions: intersectRegions(v.HomeRegions, w.HomeRegions), Parts: slices.Clone(v.Parts)}
 	for i := range n.Parts {
-		r.weigh(&n.Parts[i], n.Home)
+		r.setWeights(&n.Parts[i], n.HomeRegions)
 	}
-	known, _ := r.narrowed.LoadOrStore(key, n)
+	known, _ := r.restricted.LoadOrStore(key, n)
 	return known.(*RouteView)
 }
 
 // both returns the regions that are in both sets; nil is the set of all.
-func both(a, b []bool) []bool {
+func intersectRegions(a, b []bool) []bool {
 	if a == nil {
 		return b
 	}
--- a/version/workspace_test.go
+++ b/version/workspace_test.go
@@ -25,7 +25,7 @@
 	}
 	put(Resource{Key: Key{KindService, "s"}, Service: &Service{}})
 	put(Resource{Key: Key{KindRoute, "r"}, Route: &Route{
-		Host: "a", Prefix: "/", Class: request.ClassRead, Timeout: 1, Homes: []string{"r0", "r1"}, Split: []Weighted{{Service: "s", Weight: 1}},
+		Host: "a", Prefix: "/", Class: request.ClassRead, Timeout: 1, Homes: []string{"r0", "r1"}, Split: []WeightedService{{Service: "s", Weight: 1}},
 	}})
 	for name, w := range workspaces {
 		put(Resource{Key: Key{KindWorkspace, name}, Workspace: w})
@@ -59,7 +59,7 @@
 			if naive[other] == "" {
 				assert.Assert(t, r.Workspaces.Find(other) == nil)
 			}
-			assert.Equal(t, r.Workspaces.None(), len(workspaces) == 0)
+			assert.Equal(t, r.Workspaces.Empty(), len(workspaces) == 0)
 			old = r
 		}
 	})
@@ -97,12 +97,12 @@
 	})
 	r := CompileRouting(c, nil)
 	route := r.Route("a", "/x")
-	narrow := func(key string) *RouteView { return r.Within(route, r.Workspaces.Find(key)) }
-	assert.DeepEqual(t, narrow("a").Home, []bool{false, true, false})
+	narrow := func(key string) *RouteView { return r.RestrictRoute(route, r.Workspaces.Find(key)) }
+	assert.DeepEqual(t, narrow("a").HomeRegions, []bool{false, true, false})
 	assert.Assert(t, narrow("a") == narrow("b"))
 	assert.Assert(t, narrow("c") == route)
-	assert.Assert(t, r.Within(route, nil) == route)
-	assert.DeepEqual(t, route.Home, []bool{true, true, false})
+	assert.Assert(t, r.RestrictRoute(route, nil) == route)
+	assert.DeepEqual(t, route.HomeRegions, []bool{true, true, false})
 }
 
 // TestVersionThatChangesNoWorkspaceSharesThem checks that they are compiled anew
