--- a/clock/boot.go
+++ b/clock/boot.go
@@ -23,7 +23,7 @@
 	return defaultClock.now(t.Sub(reference()), t.UnixNano(), bootTime)
 }
 
-// asked asks the kernel.
+// bootTime asks the kernel.
 func bootTime() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -33,14 +33,14 @@
 }
 
 const (
-	// askPause is how long an answer of the kernel is good for, by Go's monotonic time.
+	// maxSampleAge is how long an answer of the kernel is good for, by Go's monotonic time.
 	maxSampleAge = time.Second
-	// leastApart is by how much the time of day and monotonic time move apart in a suspension
+	// minDivergence is by how much the time of day and monotonic time move apart in a suspension
 	// that matters; adjustments of the time of day stay far below it within askPause.
 	minDivergence = 10 * time.Millisecond
 )
 
-// sampled is a clock that is asked seldom. The zero value is ready.
+// sampledClock is a clock that is asked seldom. The zero value is ready.
 type sampledClock struct{ last atomic.Pointer[sample] }
 
 // sample is an answer of the kernel with the readings of the other clocks at that moment.
@@ -71,7 +71,7 @@
 // fallback is a clock that leaves suspensions out.
 func fallback() time.Duration { return time.Since(reference()) + time.Hour }
 
-// Suspension finds the suspensions of a machine by comparing Now with a clock that leaves
+// SuspensionDetector finds the suspensions of a machine by comparing Now with a clock that leaves
 // them out. The zero value is ready.
 type SuspensionDetector struct {
 	known     bool
@@ -79,11 +79,11 @@
 	now       time.Duration
 }
 
-// leastSuspension is what two readings of the clocks one after the other may differ by since
+// minSuspension is what two readings of the clocks one after the other may differ by since
 // the thread was held up in between.
 const minSuspension = 100 * time.Millisecond
 
-// Note compares the clocks, and returns how long the machine was suspended since the last
+// Observe compares the clocks, and returns how long the machine was suspended since the last
 // call; zero: it was not.
 func (s *SuspensionDetector) Observe(now time.Duration, steady time.Time) time.Duration {
 	if !s.known {
--- a/clock/late.go
+++ b/clock/late.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// lateSpan is how far back Most looks, in lateBins parts. Origin: beside 24 busy threads on
+	// delayWindow is how far back Most looks, in lateBins parts. Origin: beside 24 busy threads on
 	// 8 processors 0.02 of the answers that were 1.6 times slower than usual were so by more than
 	// the greatest lateness of the last second, 0.1 by more than that of the last 100 ms.
 	delayWindow = time.Second
 	delayBins   = 10
 )
 
-// Lateness is how late a process is given its turns by its machine: the time by which it wakes
+// SchedulingDelay is how late a process is given its turns by its machine: the time by which it wakes
 // later than it asked for. It is noted by a loop that waits anyway: a loop of its own with a
 // hundred looks a second took 1% of a processor. The zero value is ready.
 type SchedulingDelay struct {
@@ -27,14 +27,14 @@
 	due time.Duration // when the loop wakes; zero: it does not wait
 }
 
-// Waits notes that the loop waits until a time, by a clock that goes on in a suspension.
+// BeginWait notes that the loop waits until a time, by a clock that goes on in a suspension.
 func (l *SchedulingDelay) BeginWait(until time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.due = until
 }
 
-// Wakes notes that the loop goes on.
+// EndWait notes that the loop goes on.
 func (l *SchedulingDelay) EndWait(now time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -47,7 +47,7 @@
 	l.due = 0
 }
 
-// Most returns the greatest lateness of the last second. A wait that is overdue counts: whoever
+// Max returns the greatest lateness of the last second. A wait that is overdue counts: whoever
 // asks may be given his turn before the loop.
 func (l *SchedulingDelay) Max(now time.Duration) time.Duration {
 	l.mu.Lock()
--- a/process/logging/async.go
+++ b/process/logging/async.go
@@ -7,10 +7,10 @@
 	"sync/atomic"
 )
 
-// asyncLines bounds the lines that wait to be written.
+// maxQueuedLines bounds the lines that wait to be written.
 const maxQueuedLines = 1024
 
-// Async is a writer that never blocks its caller. Lines that find no room are
+// AsyncWriter is a writer that never blocks its caller. Lines that find no room are
 // dropped and counted.
 type AsyncWriter struct {
 	out     io.Writer
@@ -19,7 +19,7 @@
 	Dropped atomic.Int64
 }
 
-// NewAsync returns a writer that passes lines on to out.
+// NewAsyncWriter returns a writer that passes lines on to out.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
 	a := &AsyncWriter{out: out, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go a.run()
--- a/process/logging/limit.go
+++ b/process/logging/limit.go
@@ -16,11 +16,11 @@
 	successRate = 5
 )
 
-// successes are the events that are bounded more than others, so that
+// successEvents are the events that are bounded more than others, so that
 // failures and refusals have room.
 var successEvents = map[string]bool{"answered": true}
 
-// Limit bounds the lines of each kind of event, a hook of zerolog. The first line
+// RateLimiter bounds the lines of each kind of event, a hook of zerolog. The first line
 // of a kind after some were left out tells how many, in the field leftOut. Debug
 // lines are not bounded. Use NewLimit.
 type RateLimiter struct {
@@ -31,14 +31,14 @@
 	suppressed int64
 }
 
-// kindCount counts the lines of one kind in the present second.
+// eventCount counts the lines of one kind in the present second.
 type eventCount struct {
 	second     int64
 	written    int
 	suppressed int
 }
 
-// NewLimit returns a limit on a clock.
+// NewRateLimiter returns a limit on a clock.
 func NewRateLimiter(now func() time.Time) *RateLimiter {
 	return &RateLimiter{now: now, events: make(map[string]*eventCount)}
 }
@@ -79,7 +79,7 @@
 	return defaultRate
 }
 
-// LeftOut returns the number of lines that were left out.
+// Suppressed returns the number of lines that were left out.
 func (l *RateLimiter) Suppressed() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/process/metric/metric.go
+++ b/process/metric/metric.go
@@ -57,7 +57,7 @@
 	s.Counter("retries_total{service=" + strconv.Quote(service) + "}").Inc(1)
 }
 
-// BadReport counts an answer of a backend server of a service whose load report can't be
+// InvalidLoadReport counts an answer of a backend server of a service whose load report can't be
 // used, or not whole.
 func (s *Set) InvalidLoadReport(service string) {
 	s.Counter("load_reports_bad_total{service=" + strconv.Quote(service) + "}").Inc(1)
@@ -68,7 +68,7 @@
 	s.Counter("answers_rate_limit_total{service=" + strconv.Quote(service) + "}").Inc(1)
 }
 
-// BadRateLimit counts an answer of a backend server of a service whose rate limit can't be used.
+// InvalidRateLimit counts an answer of a backend server of a service whose rate limit can't be used.
 func (s *Set) InvalidRateLimit(service string) {
 	s.Counter("rate_limits_bad_total{service=" + strconv.Quote(service) + "}").Inc(1)
 }
@@ -99,7 +99,7 @@
 	EndFailed  = "failed"
 )
 
-// Noticed counts the end of a request that met a notice of a backend server of a service: what
+// RequestWithNotice counts the end of a request that met a notice of a backend server of a service: what
 // it costs callers that servers leave or turn away.
 func (s *Set) RequestWithNotice(service string, n request.Notice, end string) {
 	count := func(notice string) {
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// samples returns the lines of one metric.
+// formatSamples returns the lines of one metric.
 func formatSamples(name string, m any) []string {
 	switch m := m.(type) {
 	case metrics.Counter:
--- a/process/metric/software.go
+++ b/process/metric/software.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// mostSoftware bounds the versions of a service's software that have metrics of
+	// maxSoftware bounds the versions of a service's software that have metrics of
 	// their own. Origin: two that a roll-out compares, and those of the one before.
 	maxSoftware = 4
 	// softwareReservoir is the number of samples in the histogram of one.
@@ -22,7 +22,7 @@
 // otherSoftware is the label of all others of a service.
 const otherSoftware = "(others)"
 
-// softwareOf names a version of a service's software.
+// softwareKey names a version of a service's software.
 type softwareKey struct{ service, software string }
 
 // softwareMetrics are those of one version.
@@ -32,7 +32,7 @@
 	lastUsed           int64 // when it was last looked up
 }
 
-// versions are the versions that have metrics of their own. When a new one comes and a
+// softwareVersions are the versions that have metrics of their own. When a new one comes and a
 // service has too many, the one that was not used for longest goes to the others. The
 // zero value is empty.
 type softwareVersions struct {
@@ -94,7 +94,7 @@
 	return v.metrics[key]
 }
 
-// foldSoftware adds the counts of a version to those of the others of its service. The
+// mergeSoftware adds the counts of a version to those of the others of its service. The
 // caller holds the lock.
 func (s *Set) mergeSoftware(key, others softwareKey) {
 	v := &s.versions
--- a/process/metric/workspace.go
+++ b/process/metric/workspace.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// mostWorkspaces bounds the workspaces that have metrics of their own: each has a
+	// maxWorkspaces bounds the workspaces that have metrics of their own: each has a
 	// histogram of some 2 kB. Origin: 0.2 MB of the 32 MB that an instance may take.
 	maxWorkspaces = 100
 	// workspaceReservoir is the number of samples in such a histogram.
@@ -21,7 +21,7 @@
 // otherWorkspaces is the label of those beyond that, together.
 const otherWorkspaces = "(others)"
 
-// named are the workspaces that have metrics of their own, by the number of requests
+// topWorkspaces are the workspaces that have metrics of their own, by the number of requests
 // that were counted for each. When a new one comes and there are too many, it takes
 // the place of the one with the fewest, from whose count it goes on ("Efficient
 // Computation of Frequent and Top-k Elements in Data Streams", Metwally, Agrawal,
@@ -74,7 +74,7 @@
 	s.histogram("workspace_latency_us{"+of+"}", workspaceReservoir).Update(took.Microseconds())
 }
 
-// forgetWorkspace removes the metrics of a workspace that is not among the busiest any
+// unregisterWorkspace removes the metrics of a workspace that is not among the busiest any
 // more.
 func (s *Set) unregisterWorkspace(workspace string) {
 	of := "workspace=" + strconv.Quote(workspace)
--- a/process/setting/setting.go
+++ b/process/setting/setting.go
@@ -46,7 +46,7 @@
 	})
 }
 
-// Address checks that a setting is an IP number and a port.
+// CheckAddress checks that a setting is an IP number and a port.
 func CheckAddress(flag, value string) error {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		return errors.Errorf("--%s: %q is not an IP number and port like 127.0.0.1:8000", flag, value)
--- a/version/announced.go
+++ b/version/announced.go
@@ -11,24 +11,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Announced is a backend server that announces itself, with what is computed of it once. It is
-// not changed once made, so that versions share it.
+// AnnouncedBackend is a backend server that registers itself, with values that are computed
+// only once. It is immutable, so that versions can share it.
 type AnnouncedBackend struct {
 	Name string
-	// Version is that of the row that announced it.
+	// Version is the version of the row that the backend server was read from.
 	Version int64
 	Backend *Backend
 	address string
 	hash    uint64
 }
 
-// NewAnnounced returns a backend server that announces itself.
+// NewAnnouncedBackend returns an AnnouncedBackend with its address and hash computed.
 func NewAnnouncedBackend(name string, version int64, b *Backend) *AnnouncedBackend {
 	return &AnnouncedBackend{Name: name, Version: version, Backend: b, address: b.Address.String(), hash: xxhash.Sum64String(name)}
 }
 
-// Backends returns the backend servers of a configuration, those that are resources and those
-// that announce themselves, ordered by name.
+// Backends returns all backend servers of the configuration, declared as resources or announced,
+// ordered by name.
 func (c *Config) Backends() []*AnnouncedBackend {
 	declared := c.List(KindBackend)
 	if len(declared) == 0 {
@@ -42,29 +42,29 @@
 	return out
 }
 
-// CheckBackend applies the rules of one backend server that announces itself.
+// CheckBackend validates one announced backend server.
 func (c *Config) CheckBackend(name string, b *Backend) error {
 	k := checker{c: c, key: Key{Kind: KindBackend, Name: name}}
 	k.backend(b)
 	return k.err
 }
 
-// newestByAddress leaves out the backend servers whose address a newer one has taken.
-// The resource API accepts no two at one address, but backend servers that announce
-// themselves may follow each other there.
-func newestByAddress(all []*AnnouncedBackend) []*AnnouncedBackend {
-	if !mayShareAddress(all) {
-		return all
+// newestByAddress removes the backend servers whose address is also used by a newer one.
+// The resource API rejects duplicate addresses, but announced backend servers may reuse
+// the address of an earlier one.
+func newestByAddress(backends []*AnnouncedBackend) []*AnnouncedBackend {
+	if !mayShareAddress(backends) {
+		return backends
 	}
-	newest := make(map[netip.AddrPort]*AnnouncedBackend, len(all))
-	for _, x := range all {
+	newest := make(map[netip.AddrPort]*AnnouncedBackend, len(backends))
+	for _, x := range backends {
 		address := x.Backend.Address
 		if old, taken := newest[address]; !taken || old.Version < x.Version {
 			newest[address] = x
 		}
 	}
 	out := make([]*AnnouncedBackend, 0, len(newest))
-	for _, x := range all {
+	for _, x := range backends {
 		if newest[x.Backend.Address] == x {
 			out = append(out, x)
 		}
@@ -72,13 +72,14 @@
 	return out
 }
 
-// sharedAddresses reports whether two backend servers may have one address. For most versions
-// that is all there is to do, and a table of hashes is far quicker than a map of addresses.
-func mayShareAddress(all []*AnnouncedBackend) bool {
-	size := 1 << bits.Len(uint(2*len(all)))
+// mayShareAddress reports whether two backend servers may have the same address. It compares
+// hashes, so it can return a false positive but no false negative. Most versions have no
+// duplicate, and a table of hashes is far faster than a map of addresses.
+func mayShareAddress(backends []*AnnouncedBackend) bool {
+	size := 1 << bits.Len(uint(2*len(backends)))
 	taken := make([]uint64, size)
-	for _, x := range all {
-		hash := hashAddress(x.Backend.Address) | 1 // zero: not taken
+	for _, x := range backends {
+		hash := hashAddress(x.Backend.Address) | 1 // zero marks a free entry
 		i := int(hash>>1) & (size - 1)
 		for taken[i] != 0 {
 			if taken[i] == hash {
--- a/version/block.go
+++ b/version/block.go
@@ -11,7 +11,7 @@
 	"github.com/juju/errors"
 )
 
-// NoSite is the site of an address that lies in no block.
+// NoSite is the result of a lookup of an address that no block contains.
 const NoSite uint16 = 1<<16 - 1
 
 // Block is a block of client addresses and the site that serves it.
@@ -20,13 +20,12 @@
 	Site   uint16
 }
 
-// BlockTable finds the site of a client address. Of nested blocks the longest
-// prefix holds. IPv6 prefixes are at most 64 bits long. The zero value knows
-// no block. A table is never changed.
+// BlockTable maps client addresses to sites by longest prefix match. IPv6
+// prefixes have at most 64 bits. A table is immutable; the zero value is empty.
 //
-// The blocks are flattened into ranges: starts holds the first address of each
-// range and sites its site, up to the next start. index narrows the search by
-// the top 16 bits.
+// Nested blocks are flattened into disjoint ranges: range i begins at starts[i],
+// ends before starts[i+1] and belongs to sites[i]. index limits the binary search
+// to the ranges that share the top 16 bits of the address.
 type BlockTable struct {
 	v4 ranges
 	v6 ranges
@@ -35,16 +34,17 @@
 type ranges struct {
 	starts []uint64 // IPv4: address in the top 32 bits; IPv6: the top 64 bits
 	sites  []uint16
-	index  []uint32 // by the top 16 bits: number of starts below
+	index  []uint32 // index[top] is the number of starts below top<<48
 }
 
-// NewBlockTable builds a table.
+// NewBlockTable builds a table. It fails for invalid prefixes and for IPv6
+// prefixes of more than 64 bits.
 func NewBlockTable(blocks []Block) (BlockTable, error) {
 	var v4, v6 []span
 	for _, b := range blocks {
 		p := b.Prefix.Masked()
 		if !p.IsValid() || (p.Addr().Is6() && p.Bits() > 64) {
-			return BlockTable{}, errors.Errorf("block %s is not a prefix of at most 64 bits", b.Prefix)
+			return BlockTable{}, errors.Errorf("block %s: want an IPv4 prefix or an IPv6 prefix of at most 64 bits", b.Prefix)
 		}
 		s := span{first: top64(p.Addr()), bits: p.Bits(), site: b.Site}
 		if p.Addr().Is4() {
@@ -56,7 +56,7 @@
 	return BlockTable{v4: flatten(v4), v6: flatten(v6)}, nil
 }
 
-// Lookup returns the site of an address, or NoSite.
+// Lookup returns the site of the longest block that contains the address, or NoSite.
 func (t *BlockTable) Lookup(a netip.Addr) uint16 {
 	a = a.Unmap()
 	if a.Is4() {
@@ -65,7 +65,8 @@
 	return t.v6.lookup(top64(a))
 }
 
-// top64 returns the leading 64 bits of an address, an IPv4 address in the top 32.
+// top64 returns the leading 64 bits of an IPv6 address, or an IPv4 address in the
+// upper 32 bits.
 func top64(a netip.Addr) uint64 {
 	if a.Is4() {
 		b := a.As4()
@@ -75,6 +76,7 @@
 	return binary.BigEndian.Uint64(b[:8])
 }
 
+// lookup returns the site of the last range that starts at or before the key.
 func (r *ranges) lookup(key uint64) uint16 {
 	if len(r.starts) == 0 {
 		return NoSite
@@ -107,13 +109,14 @@
 	return s.first | (^uint64(0) >> s.bits)
 }
 
-// flatten turns nested spans into ranges that do not overlap.
+// flatten converts nested spans into disjoint ranges.
 func flatten(spans []span) ranges {
 	slices.SortFunc(spans, func(a, b span) int {
 		return cmp.Or(cmp.Compare(a.first, b.first), cmp.Compare(a.bits, b.bits))
 	})
 	var r ranges
 	var open []span
+	// closeBefore ends the open spans that end before first, or all of them.
 	closeBefore := func(first uint64, all bool) {
 		for len(open) > 0 {
 			end := open[len(open)-1].last()
@@ -141,8 +144,8 @@
 	return r
 }
 
-// add begins a range. A range that begins where the last one did replaces it,
-// and one with the same site as the last continues it.
+// add starts a new range. If the last range starts at the same key, its site is
+// replaced; if it has the same site, it is extended.
 func (r *ranges) add(first uint64, site uint16) {
 	n := len(r.starts)
 	if n > 0 && r.starts[n-1] == first {
@@ -156,6 +159,7 @@
 	r.sites = append(r.sites, site)
 }
 
+// buildIndex counts the starts below each value of the top 16 bits.
 func (r *ranges) buildIndex() {
 	if len(r.starts) == 0 {
 		return
--- a/version/check.go
+++ b/version/check.go
@@ -11,22 +11,22 @@
 	"shalewick/request"
 )
 
-// FieldError names the field of a resource that breaks a rule.
+// FieldError reports a field of a resource that violates a rule.
 type FieldError struct {
 	Key   Key
 	Field string
 	Rule  string
 }
 
-// Error names resource, field and rule.
+// Error returns "kind/name: field: rule".
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("%s: %s: %s", e.Key, e.Field, e.Rule)
 }
 
 var namePattern = regexp.MustCompile("^[a-z0-9]([a-z0-9.-]*[a-z0-9])?$")
 
-// Check applies every rule to the whole configuration and returns the first
-// breach, a *FieldError.
+// Check validates the whole configuration and returns the first violation as a
+// *FieldError.
 func (c *Config) Check() error {
 	for _, r := range c.List("") {
 		k := checker{c: c, key: r.Key}
@@ -40,20 +40,21 @@
 	return c.checkUnique()
 }
 
-// checker keeps the first breach found in one resource.
+// checker validates one resource and keeps the first violation.
 type checker struct {
 	c   *Config
 	key Key
 	err error
 }
 
+// require records a violation unless ok is set.
 func (k *checker) require(ok bool, field, rule string) {
 	if !ok && k.err == nil {
 		k.err = &FieldError{Key: k.key, Field: field, Rule: rule}
 	}
 }
 
-// exists checks that a field names a resource.
+// requireExists checks that the resource that a field refers to exists.
 func (k *checker) requireExists(field string, kind Kind, name string) {
 	if _, ok := k.c.Resources[Key{kind, name}]; !ok {
 		k.require(false, field, fmt.Sprintf("names %s %q, which does not exist", kind, name))
@@ -99,12 +100,12 @@
 	}
 }
 
-func (k *checker) backend(u *Backend) {
-	k.requireExists("spec.service", KindService, u.Service)
-	k.requireExists("spec.hall", KindHall, u.Hall)
-	k.require(u.Address.IsValid() && u.Address.Port() != 0, "spec.address", "must be an IP number and a port")
-	k.require(u.Cold >= 0, "spec.cold", "must not be negative")
-	k.require(u.Slots >= 1 && u.Slots <= MaxSlots, "spec.slots", "must be 1 to 4096")
+func (k *checker) backend(b *Backend) {
+	k.requireExists("spec.service", KindService, b.Service)
+	k.requireExists("spec.hall", KindHall, b.Hall)
+	k.require(b.Address.IsValid() && b.Address.Port() != 0, "spec.address", "must be an IP number and a port")
+	k.require(b.Cold >= 0, "spec.cold", "must not be negative")
+	k.require(b.Slots >= 1 && b.Slots <= MaxSlots, "spec.slots", "must be 1 to 4096")
 }
 
 func (k *checker) link(l *Link) {
@@ -137,7 +138,7 @@
 }
 
 func (k *checker) drain(d *Drain) {
-	set := 0
+	targets := 0
 	for _, t := range []struct {
 		field string
 		kind  Kind
@@ -150,16 +151,17 @@
 		if t.name == "" {
 			continue
 		}
-		set++
+		targets++
 		k.requireExists(t.field, t.kind, t.name)
 	}
-	k.require(set == 1, "spec", "must name exactly one backend server, hall or region")
+	k.require(targets == 1, "spec", "must name exactly one backend server, hall or region")
 }
 
-// checkUnique refuses two resources that claim the same thing.
+// checkUnique checks that no two resources have the same value in a field that
+// must be unique.
 func (c *Config) checkUnique() error {
 	seen := make(map[string]Key)
-	claim := func(r Resource, field, what string) error {
+	addValue := func(r Resource, field, what string) error {
 		if other, ok := seen[field+what]; ok {
 			return &FieldError{Key: r.Key, Field: field, Rule: fmt.Sprintf("%s is already used by %s", what, other)}
 		}
@@ -167,14 +169,14 @@
 		return nil
 	}
 	for _, r := range c.List("") {
-		if err := r.eachUniqueValue(claim); err != nil {
+		if err := r.eachUniqueValue(addValue); err != nil {
 			return err
 		}
 	}
 	return c.checkUniqueKeys()
 }
 
-// eachClaim calls f for whatever the resource must be alone in naming.
+// eachUniqueValue calls f for each value that no other resource may have.
 func (r Resource) eachUniqueValue(f func(r Resource, field, what string) error) error {
 	switch r.Kind {
 	case KindBackend:
@@ -205,8 +207,8 @@
 	return nil
 }
 
-// CheckRoutes applies the rules of services, route resources and limits.
-// Services that no route names are allowed.
+// CheckRoutes validates routes, limits, workspaces, the warming of services and the
+// uniqueness of values. Unlike Check, it accepts services without a route.
 func (c *Config) CheckRoutes() error {
 	for _, kind := range []Kind{KindRoute, KindLimits, KindWorkspace} {
 		for _, r := range c.List(kind) {
@@ -225,7 +227,7 @@
 	return c.checkUnique()
 }
 
-// CheckReferences applies the rules of one resource but that of its name.
+// CheckSpec validates one resource except its name.
 func (c *Config) CheckSpec(key Key) error {
 	r := c.Resources[key]
 	k := checker{c: c, key: key}
--- a/version/config.go
+++ b/version/config.go
@@ -11,24 +11,26 @@
 	"shalewick/request"
 )
 
-// Change is the step from the configuration at Seq-1 to the one at Seq.
+// Change is an atomic set of writes that leads from the configuration at Seq-1 to the
+// one at Seq.
 type Change struct {
 	Seq int64 `json:"seq"`
-	// Operation identifies the operator's call, so that an answer that was
-	// lost can be asked for again.
+	// Operation is the idempotency key of the operator's call: if its response is
+	// lost, the outcome can be queried by it.
 	Operation string     `json:"operation"`
 	Author    string     `json:"author,omitempty"`
 	Puts      []Resource `json:"puts,omitempty"`
 	Deletes   []Ref      `json:"deletes,omitempty"`
 }
 
-// Ref names a resource at a version.
+// Ref identifies a resource at a version.
 type Ref struct {
 	Key
 	Version int64 `json:"version"`
 }
 
-// Refs lists what a change touches, at the versions that it was made against.
+// Refs returns the resources that a change writes or deletes, at the versions that
+// it was made against.
 func (ch *Change) Refs() []Ref {
 	refs := slices.Clone(ch.Deletes)
 	for _, r := range ch.Puts {
@@ -37,44 +39,47 @@
 	return refs
 }
 
-// keptOperations is the number of past operation ids that a Config remembers.
+// maxOperations is the number of accepted operations that a Config keeps.
 const maxOperations = 1000
 
-// Operation is an operator's call that was accepted.
+// Operation records an accepted call of an operator and the sequence number of its
+// change.
 type Operation struct {
 	ID  string `json:"id"`
 	Seq int64  `json:"seq"`
 }
 
-// Config is the whole configuration at one sequence number. It is not changed
-// once made. The zero value is the empty configuration.
+// Config is the complete configuration at one sequence number. It is immutable. The
+// zero value is the empty configuration.
 type Config struct {
 	Seq        int64
 	Resources  map[Key]Resource
 	Operations []Operation // oldest first
-	// Announced are backend servers that announce themselves, beside those among the resources,
-	// ordered by name. They are not part of snapshots.
+	// Announced are the backend servers that register themselves, in addition to those in
+	// Resources, ordered by name. They are not part of snapshots.
 	Announced []*AnnouncedBackend
-	// Onward says that these are other instances, which pass requests on to the backend servers:
-	// several may have one address. It is not part of snapshots.
+	// BackendsAreInstances is set if the entries of Announced are other instances, which
+	// forward requests to the backend servers. Several entries may then have the same
+	// address. It is not part of snapshots.
 	BackendsAreInstances bool
-	// Software says by service which versions of its software may get requests. Of a
-	// service that is not there all backend servers may. It is not part of what
-	// operators declare, and not of snapshots: it follows from the roll-outs' state.
+	// Software holds, by service, the versions of its software that may get requests.
+	// All backend servers of a service without an entry may get requests. Operators do
+	// not declare it, and it is not part of snapshots: it is derived from the state of
+	// the roll-outs.
 	Software map[string]Software
-	// LetThrough are requests that operators let through though they crash backend
-	// servers. It is not part of snapshots either.
+	// ReleasedFingerprints are the requests that operators exempt from quarantine although
+	// they crash backend servers. It is not part of snapshots.
 	ReleasedFingerprints map[request.Fingerprint]bool
 }
 
-// Snapshot is the written form of a Config.
+// Snapshot is the serialized form of a Config.
 type Snapshot struct {
 	Seq        int64       `json:"seq"`
 	Resources  []Resource  `json:"resources"`
 	Operations []Operation `json:"operations"`
 }
 
-// Snapshot returns the written form, in a fixed order.
+// Snapshot returns the serializable form, in a deterministic order.
 func (c *Config) Snapshot() Snapshot {
 	return Snapshot{Seq: c.Seq, Resources: c.List(""), Operations: c.Operations}
 }
@@ -88,7 +93,8 @@
 	return c
 }
 
-// List returns the resources of a kind, or all for "", ordered by kind and name.
+// List returns the resources of a kind, or of all kinds if kind is "", ordered by kind
+// and name.
 func (c *Config) List(kind Kind) []Resource {
 	var rs []Resource
 	for _, r := range c.Resources {
@@ -105,8 +111,8 @@
 	return rs
 }
 
-// FindOperation returns the sequence number that an operation was accepted
-// at, or zero.
+// FindOperation returns the sequence number at which an operation was accepted, or
+// zero if it is not among the kept operations.
 func (c *Config) FindOperation(id string) int64 {
 	for _, o := range slices.Backward(c.Operations) {
 		if o.ID == id {
@@ -116,15 +122,15 @@
 	return 0
 }
 
-// ConflictError says that a resource is not at the version that a change was
+// ConflictError reports that a resource is not at the version that a change was
 // made against.
 type ConflictError struct {
 	Key     Key
-	Wanted  int64    // version named by the change
-	Present Resource // zero Kind when it does not exist
+	Wanted  int64    // version that the change was made against
+	Present Resource // Kind is empty if the resource does not exist
 }
 
-// Error describes the conflict.
+// Error returns the expected and the present version.
 func (e *ConflictError) Error() string {
 	if e.Present.Kind == "" {
 		return fmt.Sprintf("%s: change was made against version %d, but it does not exist", e.Key, e.Wanted)
@@ -132,9 +138,9 @@
 	return fmt.Sprintf("%s: change was made against version %d, present version is %d", e.Key, e.Wanted, e.Present.Version)
 }
 
-// Propose checks a change of an operator against the versions it names and
-// against the rules, and returns the configuration it would make. The change
-// gets the next sequence number.
+// Propose validates a change: each resource must be at the version that the change
+// was made against, and the resulting configuration must pass Check. It returns that
+// configuration, and the change with the next sequence number.
 func (c *Config) Propose(ch Change) (*Config, Change, error) {
 	seen := make(map[Key]bool)
 	for _, r := range ch.Refs() {
@@ -154,8 +160,8 @@
 	return next, ch, nil
 }
 
-// Apply returns the configuration after an accepted change, whose Seq must be
-// the next one.
+// Apply returns the configuration after a change that Propose accepted. Its Seq must
+// follow that of the configuration.
 func (c *Config) Apply(ch Change) *Config {
 	next := &Config{Seq: ch.Seq, Resources: maps.Clone(c.Resources)}
 	if next.Resources == nil {
--- a/version/decide.go
+++ b/version/decide.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Counters are the numbers that a decision reads. One set belongs to one View
-// at one instance; other goroutines write them while decisions run.
+// Counters hold the state that a decision reads. Each instance has one set for each
+// View; other goroutines update it concurrently with decisions.
 type Counters struct {
-	// Free is the number of free tokens held, by pool.
+	// Free is the number of free tokens that the instance holds, by pool.
 	Free []atomic.Int32
-	// Cost is the expected time of an answer in nanoseconds, by backend server.
-	// Zero means not known yet.
+	// Cost is the expected response time in nanoseconds, by backend server. Zero
+	// means unknown.
 	Cost []atomic.Int64
-	// Closed is set for a backend server that takes no work now, by backend server.
+	// Closed tells, by backend server, whether it accepts no requests at present.
 	Closed []atomic.Bool
 }
 
-// NewCounters returns the counters for a view, all zero.
+// NewCounters returns zeroed counters for a view.
 func NewCounters(v *View) *Counters {
 	return &Counters{
 		Free:   make([]atomic.Int32, len(v.Pools)),
@@ -28,110 +28,120 @@
 	}
 }
 
-// Query is what one decision is about.
+// Query holds the inputs of one decision.
 type Query struct {
 	Service int32
 	Region  int32 // region of the deciding instance
-	// Random is a fresh random number; it spreads shares and trials.
+	// Random is a new random number for each decision. It determines whether the
+	// request belongs to a shifted share, whether the decision explores, and at which
+	// backend server the search starts.
 	Random uint64
-	// InForce is the time since the view came into force, for ramps.
+	// InForce is the time since the view was activated, for ramps.
 	InForce time.Duration
-	// Exclude are backend servers already tried, None where unused.
+	// Exclude are the backend servers that were already tried. Unused entries are None.
 	Exclude [2]int32
 }
 
-// MaxPools is the largest number of tokens that one request needs.
+// MaxPools is the maximum number of tokens that one request needs: backend server,
+// link, shift and shift rate.
 const MaxPools = 4
 
 // Choice is the outcome of a decision.
 type Choice struct {
-	Backend int32 // None: nothing is free
+	Backend int32 // None: no backend server is free
 	Region  int32
-	// Pools are those to take a token from; the first NumPools count.
+	// Pools are the pools that the request needs a token of. Only the first NumPools
+	// are set.
 	Pools    [MaxPools]int32
 	NumPools int
-	// Open reports that some backend server takes work, though it may be full.
+	// AnyOpen is set if some backend server accepts requests, even if it has no free
+	// slot.
 	AnyOpen bool
-	// Missed is the region that a shift would have sent the request to, had
-	// there been tokens; None otherwise.
+	// MissedShift is the region that the request would have been shifted to if
+	// tokens had been free; None otherwise.
 	MissedShift int32
-	// Link is the pool of a link that lacked a token, when nothing was free;
-	// None otherwise.
+	// FullLink is the pool of a link that had no free token, if no backend server was
+	// found; None otherwise.
 	FullLink int32
 }
 
+// addPool adds a pool that the request needs a token of.
 func (c *Choice) addPool(pool int32) {
 	c.Pools[c.NumPools] = pool
 	c.NumPools++
 }
 
-// exploreOneIn is how rarely a decision tries a random free backend server instead
-// of the one that looks fastest, so that old costs are found out.
+// exploreInterval is the number of decisions for each one that chooses a random free
+// backend server instead of the one with the lowest cost, so that outdated costs get
+// corrected.
 const exploreInterval = 64
 
-// Decide chooses region and backend server for one request. It reads only.
-func (v *View) Decide(q *Query, n *Counters) Choice {
+// Decide chooses the region and the backend server for one request: the region of a
+// shift that applies to it, else its own, else the nearest with a free link. It
+// modifies neither the view nor the counters.
+func (v *View) Decide(q *Query, counters *Counters) Choice {
 	s := &v.Services[q.Service]
 	var c Choice
 	c.Backend, c.MissedShift, c.FullLink = None, None, None
-	sh := &s.Shifts[q.Region]
-	if sh.Pool != None && inShiftedShare(sh, q) {
-		if v.chooseAcrossLink(q, n, s, sh.To, &c) {
+	shift := &s.Shifts[q.Region]
+	if shift.Pool != None && inShiftedShare(shift, q) {
+		if v.chooseAcrossLink(q, counters, s, shift.To, &c) {
 			return c
 		}
-		c.MissedShift = sh.To
+		c.MissedShift = shift.To
 	}
-	if v.chooseInRegion(q, n, s, q.Region, &c) {
+	if v.chooseInRegion(q, counters, s, q.Region, &c) {
 		c.addPool(v.Backends[c.Backend].Pool)
 		return c
 	}
 	for i := range v.Links[q.Region] {
-		x := &v.Links[q.Region][i]
-		if v.chooseAcrossLink(q, n, s, x.To, &c) {
+		link := &v.Links[q.Region][i]
+		if v.chooseAcrossLink(q, counters, s, link.To, &c) {
 			c.FullLink = None
 			return c
 		}
-		if c.FullLink == None && n.Free[x.Pool].Load() <= 0 {
-			c.FullLink = x.Pool
+		if c.FullLink == None && counters.Free[link.Pool].Load() <= 0 {
+			c.FullLink = link.Pool
 		}
 	}
 	return c
 }
 
-// shareTaken reports whether this request belongs to the shifted share.
-func inShiftedShare(sh *ShiftView, q *Query) bool {
-	share := sh.Share
-	if q.InForce < sh.Ramp {
-		share *= float64(q.InForce) / float64(sh.Ramp)
+// inShiftedShare reports whether the request belongs to the share that a shift moves.
+func inShiftedShare(shift *ShiftView, q *Query) bool {
+	share := shift.Share
+	if q.InForce < shift.Ramp {
+		share *= float64(q.InForce) / float64(shift.Ramp)
 	}
-	const bits = 1 << 32
-	return float64(q.Random>>32) < share*bits
+	const scale = 1 << 32
+	return float64(q.Random>>32) < share*scale
 }
 
-// cross tries to serve in another region, with all tokens that this needs.
-func (v *View) chooseAcrossLink(q *Query, n *Counters, s *ServiceView, to int32, c *Choice) bool {
+// chooseAcrossLink chooses a backend server in another region, if all tokens that the
+// request needs are free.
+func (v *View) chooseAcrossLink(q *Query, counters *Counters, s *ServiceView, to int32, c *Choice) bool {
 	link := None
 	for i := range v.Links[q.Region] {
 		if v.Links[q.Region][i].To == to {
 			link = v.Links[q.Region][i].Pool
 		}
 	}
-	if link == None || !v.chooseInRegion(q, n, s, to, c) {
+	if link == None || !v.chooseInRegion(q, counters, s, to, c) {
 		return false
 	}
 	backend := c.Backend
 	c.Backend = None
-	if n.Free[link].Load() <= 0 {
+	if counters.Free[link].Load() <= 0 {
 		return false
 	}
-	sh := &s.Shifts[q.Region]
-	if sh.Pool != None && sh.To == to {
-		if n.Free[sh.Pool].Load() <= 0 || (sh.RatePool != None && n.Free[sh.RatePool].Load() <= 0) {
+	shift := &s.Shifts[q.Region]
+	if shift.Pool != None && shift.To == to {
+		if counters.Free[shift.Pool].Load() <= 0 || (shift.RatePool != None && counters.Free[shift.RatePool].Load() <= 0) {
 			return false
 		}
-		c.addPool(sh.Pool)
-		if sh.RatePool != None {
-			c.addPool(sh.RatePool)
+		c.addPool(shift.Pool)
+		if shift.RatePool != None {
+			c.addPool(shift.RatePool)
 		}
 	}
 	c.Backend = backend
@@ -140,31 +150,33 @@
 	return true
 }
 
-// within finds the fastest backend server of a region with a free slot token here.
-func (v *View) chooseInRegion(q *Query, n *Counters, s *ServiceView, region int32, c *Choice) bool {
-	ups := s.ByRegion[region]
-	if len(ups) == 0 {
+// chooseInRegion chooses the backend server of a region with the lowest cost among those
+// with a free slot token. One in exploreInterval decisions takes the first free one after
+// a random start.
+func (v *View) chooseInRegion(q *Query, counters *Counters, s *ServiceView, region int32, c *Choice) bool {
+	backends := s.ByRegion[region]
+	if len(backends) == 0 {
 		return false
 	}
 	explore := q.Random%exploreInterval == 0
-	start := int(q.Random / exploreInterval % uint64(len(ups)))
+	start := int(q.Random / exploreInterval % uint64(len(backends)))
 	best, bestCost := None, int64(0)
-	for i := range ups {
+	for i := range backends {
 		at := start + i
-		if at >= len(ups) {
-			at -= len(ups)
+		if at >= len(backends) {
+			at -= len(backends)
 		}
-		u := ups[at]
-		if v.Backends[u].Drained || n.Closed[u].Load() {
+		b := backends[at]
+		if v.Backends[b].Drained || counters.Closed[b].Load() {
 			continue
 		}
 		c.AnyOpen = true
-		if n.Free[v.Backends[u].Pool].Load() <= 0 || u == q.Exclude[0] || u == q.Exclude[1] {
+		if counters.Free[v.Backends[b].Pool].Load() <= 0 || b == q.Exclude[0] || b == q.Exclude[1] {
 			continue
 		}
-		cost := n.Cost[u].Load()
+		cost := counters.Cost[b].Load()
 		if best == None || cost < bestCost {
-			best, bestCost = u, cost
+			best, bestCost = b, cost
 		}
 		if explore {
 			break
--- a/version/doc.go
+++ b/version/doc.go
@@ -1,31 +1,31 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package version holds what lives for one version of the configuration: the
-resources that operators declare, the checks they pass before they are
-accepted, and the compiled View that every request is decided on.
+Package version holds everything that belongs to one version of the
+configuration: the resources that operators declare, the rules that they are
+validated against, and the compiled forms that requests are routed by.
 
 # Resources
 
-A Resource is a small document with a kind, a name and a spec. A Config is the
-whole set of resources at one sequence number. A Change is the step from one
-Config to the next; changes are what the platform's table keeps and what
-instances send each other.
+A Resource is a document with a kind, a name and a spec. A Config is the
+complete set of resources at one sequence number. A Change is the step from one
+Config to the next; changes are stored in the platform's table and replicated
+between instances.
 
-	c, err := cfg.Apply(change) // checked whole, or not at all
-	v, err := version.Compile(c) // immutable, shared by all requests
+	next, change, err := cfg.Propose(change) // validated as a whole; applied completely or not at all
+	v, err := version.Compile(next)          // immutable, shared by all requests
 
-# The view
+# View
 
-A View replaces names by indexes, so that a decision reads arrays only. It is
-never changed after Compile; a new version is a new View. Each limit of the
+A View replaces names by indexes, so that a decision only reads arrays. It is
+never modified after Compile; a new version is a new View. Each limit of the
 configuration (slots of a backend server, cap of a link or a shift) is a Pool of
 tokens in the view.
 
-# The decision
+# Decision
 
-Decide chooses region and backend server for one request from a View and the numbers
-that the caller reads from its own counters. It takes no lock, does no I/O and
-allocates nothing.
+Decide chooses the region and the backend server for one request from a View
+and the caller's own counters. It takes no lock, does no I/O and allocates
+nothing.
 */
 package version
--- a/version/host.go
+++ b/version/host.go
@@ -7,20 +7,20 @@
 	"strings"
 )
 
-// hostRoutes are the routes of one host. Operators may have thousands: a route is
-// found in the time of one look-up for each slash in the path, however many there are
-// (40 ns with 1,000 routes, where trying one after the other takes 4 us:
-// BenchmarkFindManyRoutes).
+// hostRoutes holds the routes of one host. Operators may have thousands, so a route is
+// found with one map lookup for each slash in the path, independent of the number of
+// routes: 40 ns with 1,000 routes instead of 4 us for a linear search
+// (BenchmarkFindManyRoutes).
 type hostRoutes struct {
 	routes    []*RouteView // ordered by name
 	byPrefix  map[string]*RouteView
-	maxPrefix int // prefix, in bytes
-	// homes are the regions, by index, in which all routes with homes may be served.
-	// Nil: no route has homes.
+	maxPrefix int // length of the longest prefix in bytes
+	// homeRegions tells by region whether all routes that have homes may be served
+	// there. Nil if no route has homes.
 	homeRegions []bool
 }
 
-// add adds a route. Of two with one prefix the first holds.
+// add adds a route. The first of several routes with the same prefix is used.
 func (h *hostRoutes) add(v *RouteView) {
 	h.routes = append(h.routes, v)
 	if h.byPrefix[v.Prefix] == nil {
@@ -39,9 +39,9 @@
 	}
 }
 
-// find returns the route whose prefix begins the path and is longest, or nil. Prefixes
-// end with a slash. What is behind the longest one is not looked at, so that a path of
-// many slashes costs no more than the routes make it.
+// find returns the route with the longest prefix of the path, or nil. Prefixes end with
+// a slash. The path is cut to the length of the longest prefix, so that the cost of a
+// path with many slashes is bounded by the routes and not by the caller.
 func (h *hostRoutes) find(path string) *RouteView {
 	path = path[:min(len(path), h.maxPrefix)]
 	for {
@@ -56,7 +56,8 @@
 	}
 }
 
-// Route returns the route of a request, or nil. A port in the host is ignored.
+// Route returns the route of a request, or nil if there is none. A port in the host is
+// ignored.
 func (r *Routing) Route(host, path string) *RouteView {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -68,8 +69,8 @@
 	return h.find(path)
 }
 
-// HostHomes returns the regions in which all routes of a host with homes may be
-// served, by region; nil when no route of the host has homes. It is not to be changed.
+// HostHomeRegions tells by region whether all routes of a host that have homes may be
+// served there; nil if no route of the host has homes. The result must not be modified.
 func (r *Routing) HostHomeRegions(host string) []bool {
 	h := r.hosts[host]
 	if h == nil {
--- a/version/resource.go
+++ b/version/resource.go
@@ -14,7 +14,7 @@
 	"shalewick/request"
 )
 
-// Kind names a kind of resource.
+// Kind is the type of a resource.
 type Kind string
 
 // The kinds of resource.
@@ -32,11 +32,12 @@
 	KindRollout   Kind = "rollout"
 )
 
-// deprecatedBackend is what an earlier release called KindBackend. It is read, never
-// written, so that operators' documents and stored versions of that release hold.
+// deprecatedKindBackend is the name of KindBackend in an earlier release. It is accepted but
+// never written, so that operators' documents and versions stored by that release stay valid.
 const deprecatedKindBackend = "upstream"
 
-// ParseKind returns the kind of a word, which may be one of an earlier release.
+// ParseKind converts text to a kind. It accepts the deprecated name of KindBackend and does
+// not check that the kind exists.
 func ParseKind(word string) Kind {
 	if word == deprecatedKindBackend {
 		return KindBackend
@@ -44,13 +45,13 @@
 	return Kind(word)
 }
 
-// UnmarshalText reads a kind as ParseKind does.
+// UnmarshalText implements encoding.TextUnmarshaler by ParseKind.
 func (k *Kind) UnmarshalText(b []byte) error {
 	*k = ParseKind(string(b))
 	return nil
 }
 
-// Kinds lists every kind in the order in which they refer to each other.
+// Kinds lists all kinds, ordered so that each kind follows those that it refers to.
 var Kinds = [...]Kind{KindRegion, KindHall, KindService, KindBackend, KindLink, KindShift, KindDrain, KindRoute, KindLimits, KindWorkspace, KindRollout}
 
 // Key identifies a resource.
@@ -65,15 +66,15 @@
 }
 
 // Resource is one document of the configuration. Exactly one of the spec
-// fields is set, the one that Kind names.
+// fields is set, the one for its Kind.
 type Resource struct {
 	Key
 	// Version is the sequence number of the change that last wrote the
 	// resource. In a change it is the version that the change was made
-	// against; zero means that the resource must not exist yet.
+	// against; zero means that the resource must not exist.
 	Version int64
-	// Deprecated names the words of an earlier release that the document was read
-	// with, so that whoever wrote it can be warned.
+	// Deprecated lists the deprecated kinds and fields that the document was read
+	// with, so that its author can be warned.
 	Deprecated []string
 
 	Service   *Service
@@ -89,32 +90,33 @@
 	Rollout   *Rollout
 }
 
-// Service is a named set of routes served by one group of backend servers.
+// Service is a set of routes that one group of backend servers serves.
 type Service struct {
-	// Workspace is the workspace that may change the service; "": only an admin workspace.
+	// Workspace is the workspace that may change the service. If it is empty, only
+	// admin workspaces may.
 	Workspace string `json:"workspace,omitempty"`
 	// Hosts are the values of the Host header that select the service.
 	Hosts []string `json:"hosts,omitempty"`
-	// Routes are tried in order; the first match holds.
+	// Routes are matched in order; the first match is used.
 	Routes []ServiceRoute `json:"routes,omitempty"`
-	// Queue bounds the requests that wait for a slot at one instance.
+	// Queue is the maximum number of requests that wait for a slot at one instance.
 	// Zero means DefaultQueue.
 	Queue int `json:"queue,omitempty"`
-	// Warming bounds what a backend server is given after its start.
+	// Warming limits the requests to a backend server after its start.
 	Warming *Warming `json:"warming,omitempty"`
-	// MaxConnections bounds the connections to one backend server over all
-	// instances. Zero means no bound.
+	// MaxConnections limits the connections to one backend server, over all
+	// instances. Zero means no limit.
 	MaxConnections int `json:"maxConnections,omitempty"`
 }
 
-// ServiceRoute says how the requests below a path are to be treated.
+// ServiceRoute defines how the requests below a path prefix are handled.
 type ServiceRoute struct {
 	Prefix     string        `json:"prefix"`
 	Methods    []string      `json:"methods,omitempty"` // empty: all
 	Class      request.Class `json:"class"`
 	Repeatable bool          `json:"repeatable"`
 	Deadline   Duration      `json:"deadline"`
-	// MaxBody bounds the request body in bytes. Zero means DefaultMaxBody.
+	// MaxBody is the maximum size of a request body in bytes. Zero means DefaultMaxBody.
 	MaxBody int64 `json:"maxBody,omitempty"`
 }
 
@@ -123,7 +125,7 @@
 	Description string `json:"description,omitempty"`
 }
 
-// Hall is one place with instances and backend servers.
+// Hall is a location with instances and backend servers, within a region.
 type Hall struct {
 	Region string `json:"region"`
 	// Clients are the blocks of client addresses nearest to this hall.
@@ -134,27 +136,27 @@
 type Backend struct {
 	Service string `json:"service"`
 	Hall    string `json:"hall"`
-	// Address is host:port, host an IP number.
+	// Address is an IP address and a port.
 	Address netip.AddrPort `json:"address"`
-	// Slots is the number of requests that it can serve at once.
+	// Slots is the number of requests that it can process concurrently.
 	Slots int `json:"slots"`
-	// Leaving says that it gets no new work.
+	// Leaving is set if it is to get no new requests.
 	Leaving bool `json:"leaving,omitempty"`
-	// Software is the version of the software that it runs. "": it does not say.
+	// Software is the version of the software that it runs. Empty if it reports none.
 	Software string `json:"software,omitempty"`
-	// Incarnation tells its starts apart. Zero: it does not say.
+	// Incarnation identifies one start of the server. Zero if it reports none.
 	Incarnation int64 `json:"incarnation,omitempty"`
-	// Cold is how long it stays cold, counted from when it was declared.
+	// Cold is the time for which it counts as cold, from when it was declared.
 	Cold Duration `json:"cold,omitempty"`
 }
 
-// Link allows requests to cross from one region to another.
+// Link allows requests of one region to be served in another.
 type Link struct {
 	From string `json:"from"`
 	To   string `json:"to"`
-	// Cap is the number of requests that may be on the link at once.
+	// Cap is the maximum number of concurrent requests on the link.
 	Cap int `json:"cap"`
-	// Latency is the round trip between the regions.
+	// Latency is the round-trip time between the regions.
 	Latency Duration `json:"latency"`
 }
 
@@ -164,20 +166,22 @@
 	From    string  `json:"from"`
 	To      string  `json:"to"`
 	Share   float64 `json:"share"` // 0 to 1
-	// Cap bounds the shifted requests that run at once, Rate those that
-	// start in any one second. Zero Rate means no bound by the second.
+	// Cap is the maximum number of concurrent shifted requests, Rate the
+	// maximum number that start in any one second. Zero Rate means no limit.
 	Cap  int `json:"cap"`
 	Rate int `json:"rate,omitempty"`
-	// Ramp is the time over which the share rises from zero.
+	// Ramp is the time over which the share increases linearly from zero.
 	Ramp Duration `json:"ramp,omitempty"`
 }
 
-// Drain takes a backend server, a hall or a region out of use. Exactly one is set.
+// Drain takes a backend server, a hall or a region out of service. Exactly one of them is
+// set.
 type Drain struct {
 	Backend string `json:"backend,omitempty"`
 	Hall    string `json:"hall,omitempty"`
 	Region  string `json:"region,omitempty"`
-	// Upstream is what an earlier release called Backend. It is read, never written.
+	// Upstream is the name of Backend in an earlier release. It is accepted but never
+	// written.
 	Upstream string `json:"upstream,omitempty"`
 }
 
@@ -190,15 +194,15 @@
 	MaxName        = 63
 )
 
-// Duration is a time.Duration that is written as text, like "1.5s".
+// Duration is a time.Duration that is serialized as text, such as "1.5s".
 type Duration time.Duration
 
-// MarshalJSON writes the duration as text.
+// MarshalJSON encodes the duration as text.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// UnmarshalJSON reads text such as "250ms".
+// UnmarshalJSON decodes text such as "250ms".
 func (d *Duration) UnmarshalJSON(b []byte) error {
 	var s string
 	if err := json.Unmarshal(b, &s); err != nil {
@@ -212,7 +216,7 @@
 	return nil
 }
 
-// document is the written form of a Resource.
+// document is the serialized form of a Resource.
 type document struct {
 	Kind    string          `json:"kind"`
 	Name    string          `json:"name"`
@@ -220,8 +224,8 @@
 	Spec    json.RawMessage `json:"spec"`
 }
 
-// spec returns the spec field that the kind names, made when make is set; nil
-// for an unknown kind or an unset field.
+// spec returns the spec field for the kind. If it is unset, it is allocated if create is
+// set. spec returns nil for an unknown kind or an unset field.
 func (r *Resource) spec(create bool) any {
 	switch r.Kind {
 	case KindService:
@@ -260,7 +264,7 @@
 	return *field
 }
 
-// MarshalJSON writes the document form.
+// MarshalJSON encodes the resource as a document.
 func (r Resource) MarshalJSON() ([]byte, error) {
 	spec, err := json.Marshal(r.spec(false))
 	if err != nil {
@@ -269,7 +273,7 @@
 	return json.Marshal(document{Kind: string(r.Kind), Name: r.Name, Version: r.Version, Spec: spec})
 }
 
-// UnmarshalJSON reads the document form and refuses unknown fields.
+// UnmarshalJSON decodes a document and rejects unknown fields.
 func (r *Resource) UnmarshalJSON(b []byte) error {
 	var d document
 	if err := strictJSON(b, &d); err != nil {
@@ -302,11 +306,11 @@
 	return dec.Decode(v)
 }
 
-// MaxDocuments bounds the documents in one change.
+// MaxDocuments is the maximum number of documents in one change.
 const MaxDocuments = 2000
 
-// Parse reads resources from YAML documents divided by "---" lines, or from
-// JSON, which is YAML too.
+// Parse reads resources from YAML documents separated by "---" lines. JSON is accepted as
+// a subset of YAML.
 func Parse(b []byte) ([]Resource, error) {
 	var rs []Resource
 	for i, part := range splitDocuments(b) {
@@ -332,7 +336,7 @@
 	return rs, nil
 }
 
-// splitDocuments cuts at lines that consist of "---".
+// splitDocuments splits at lines that consist of "---".
 func splitDocuments(b []byte) [][]byte {
 	var parts [][]byte
 	var part []byte
--- a/version/rollout.go
+++ b/version/rollout.go
@@ -4,18 +4,18 @@
 
 import "time"
 
-// Rollout asks for the requests of a service to be moved to backend servers that run
-// another version of its software, beside the present ones. There is at most one for
-// a service.
+// Rollout moves the requests of a service to backend servers that run another version
+// of its software, next to those of the present version. A service has at most one.
 type Rollout struct {
 	Service string `json:"service"`
-	// Target is the version of the software that is to serve.
+	// Target is the version of the software to move to.
 	Target string `json:"target"`
-	// Within is the time that there is for it. Then all requests have moved, or none.
+	// Within is the time limit. When it ends, either all requests have moved or none.
 	Within Duration `json:"within"`
 }
 
-// MaxRollout bounds Rollout.Within: what is not decided in a day is not watched.
+// MaxRollout is the maximum of Rollout.Within: nobody watches a roll-out that takes
+// more than a day.
 const MaxRollout = 24 * time.Hour
 
 func (k *checker) rollout(r *Rollout) {
@@ -24,12 +24,12 @@
 	k.require(r.Within > 0 && time.Duration(r.Within) <= MaxRollout, "spec.within", "must be above 0 and at most 24h")
 }
 
-// Software says which versions of a service's software may get requests. Backend
-// servers of any other version get none, however ready they say they are.
+// Software holds the versions of a service's software that may get requests. Backend
+// servers of other versions get none, even if they report that they are ready.
 type Software struct {
-	// InForce is the version that serves.
+	// InForce is the version that serves by default.
 	InForce string
-	// Target is that of a roll-out which runs. It gets the requests that are chosen
-	// for it (see balance.Query.Target). "": there is none.
+	// Target is the target version of a roll-out in progress; empty if there is none.
+	// It gets the requests that are selected for it (see balance.Query.Target).
 	Target string
 }
--- a/version/route.go
+++ b/version/route.go
@@ -11,64 +11,63 @@
 )
 
 // Route directs the requests of one host below a path prefix to one or more
-// services. It is a resource of its own; a ServiceRoute, by contrast, is part
-// of a service.
+// services. It is a resource, whereas a ServiceRoute is part of a service.
 type Route struct {
 	// Host is the value of the Host header, without a port.
 	Host string `json:"host"`
-	// Prefix begins and ends with a slash. Of the routes of a host the one
-	// with the longest prefix that begins the path is used.
+	// Prefix begins and ends with a slash. The route of a host with the longest
+	// prefix that matches the path is used.
 	Prefix string `json:"prefix"`
-	// Class orders requests when there is not room for all.
+	// Class determines which requests are served first under overload.
 	Class request.Class `json:"class"`
-	// Repeatable allows a request to run more than once.
+	// Repeatable is set if a request may be executed more than once.
 	Repeatable bool `json:"repeatable"`
-	// Timeout is the longest that a request is held.
+	// Timeout is the maximum time from the arrival of a request to the response.
 	Timeout Duration `json:"timeout"`
-	// Objective is the time within which an answer is of full worth. Zero
-	// means the timeout.
+	// Objective is the latency objective: the time within which a response is of full
+	// value. Zero means the timeout.
 	Objective Duration `json:"objective,omitempty"`
-	// Attempts bounds the backend servers that one request is sent to. Zero means 1.
+	// Attempts is the maximum number of backend servers that one request is sent to.
+	// Zero means 1.
 	Attempts int `json:"attempts,omitempty"`
-	// Priority is the rank among the routes of a service, 0 the most urgent.
+	// Priority ranks the routes of a service; 0 is the most urgent.
 	Priority int `json:"priority,omitempty"`
 	// Sticky sends the requests for one object to the same backend server, which
-	// then works faster.
+	// serves objects that it has seen before faster.
 	Sticky bool `json:"sticky,omitempty"`
-	// Homes are the only regions in which requests may be served. Empty
-	// means all.
+	// Homes are the regions in which requests may be served. Empty means all.
 	Homes []string `json:"homes,omitempty"`
-	// Anonymous serves requests without a key, too, where there are workspaces.
+	// Anonymous admits requests without a key if there are workspaces.
 	Anonymous bool `json:"anonymous,omitempty"`
-	// Split divides the requests among services by weight.
+	// Split distributes the requests among services by weight.
 	Split []WeightedService `json:"split"`
 }
 
-// Weighted is one part of a route's split.
+// WeightedService is one entry of a route's split.
 type WeightedService struct {
 	Service string `json:"service"`
-	// Weight is the share of the requests relative to the other parts.
+	// Weight is the share of the requests relative to the other entries.
 	Weight float64 `json:"weight"`
 }
 
-// Limits bounds what callers may send. There is at most one.
+// Limits restricts what callers may send. There is at most one resource of this kind.
 type Limits struct {
-	MaxHeader int64    `json:"maxHeader,omitempty"` // bytes, zero: no bound
-	MaxBody   int64    `json:"maxBody,omitempty"`   // bytes, zero: no bound
-	Header    Duration `json:"header,omitempty"`    // to send the headers in
-	Idle      Duration `json:"idle,omitempty"`      // between requests
+	MaxHeader int64    `json:"maxHeader,omitempty"` // bytes; zero: no limit
+	MaxBody   int64    `json:"maxBody,omitempty"`   // bytes; zero: no limit
+	Header    Duration `json:"header,omitempty"`    // timeout for receiving the header
+	Idle      Duration `json:"idle,omitempty"`      // timeout for an idle connection between requests
 }
 
-// Warming says how much a backend server bears right after its start.
+// Warming limits the load of a backend server right after its start.
 type Warming struct {
-	// Time is how long a backend server stays cold.
+	// Time is the time for which a backend server counts as cold.
 	Time Duration `json:"time"`
-	// Rate is the number of requests a second that a cold backend server bears,
-	// over all instances. Zero means no bound.
+	// Rate is the number of requests per second that a cold backend server can take,
+	// over all instances. Zero means no limit.
 	Rate float64 `json:"rate"`
 }
 
-// MaxRouteAttempts bounds Route.Attempts.
+// MaxRouteAttempts is the maximum of Route.Attempts.
 const MaxRouteAttempts = 8
 
 func (k *checker) route(r *Route) {
@@ -108,7 +107,7 @@
 	k.require(w.Rate >= 0, "spec.warming.rate", "must not be negative")
 }
 
-// routed reports whether a route resource names the service.
+// hasRoute reports whether a route resource refers to the service.
 func (c *Config) hasRoute(service string) bool {
 	for _, r := range c.Resources {
 		if r.Route == nil {
--- a/version/routing.go
+++ b/version/routing.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// Routing is a Config compiled for the choice of a backend server by route
-// resources. It is never changed after CompileRouting.
+// Routing is a Config compiled for choosing backend servers by route resources. It
+// is immutable after CompileRouting, apart from its caches.
 type Routing struct {
 	Seq      int64
 	Regions  []string
 	Services []RoutedService
 	Backends []RoutedBackend
 	Limits   Limits
-	// Workspaces finds who a caller is by its key.
+	// Workspaces identifies callers by their keys.
 	Workspaces *Workspaces
 
 	hosts   map[string]*hostRoutes
 	regions map[string]int32
-	halls   map[string]int32 // to region
-	// narrowed are the views of routes within homes of workspaces, by narrowing.
+	halls   map[string]int32 // index of the region
+	// restricted caches the results of RestrictRoute, by restriction.
 	restricted sync.Map
-	// shared are the weights that routes have in common, by weighing.
+	// weightCache holds the weights that several routes have in common, by weightKey.
 	weightCache sync.Map
 }
 
@@ -34,9 +34,9 @@
 type RouteView struct {
 	Route
 	Name string
-	// Parts are the services of the split, by rising bound.
+	// Parts are the services of the split, in the order of Route.Split.
 	Parts []RoutePart
-	// Home tells by region whether it may serve; nil: all may.
+	// HomeRegions tells by region whether it may serve. Nil if all may.
 	HomeRegions []bool
 }
 
@@ -44,73 +44,72 @@
 type RoutePart struct {
 	Service int32
 	Weight  float64
-	// Weights of the service's backend servers, by the region that a request comes
-	// from.
+	// Weights are the weights of the service's backend servers, by the region that a
+	// request comes from.
 	Weights []Weights
-	// Software is the version of the software of a Target.
+	// Software is the version of the software, set only for a Target.
 	Software string
-	// Target is the same part for the requests that go to the target of a roll-out of
-	// the service. Nil: none runs.
+	// Target is this part for the requests that go to the target of a roll-out of the
+	// service. Nil if no roll-out is in progress.
 	Target *RoutePart
 }
 
 // RoutedService is a service with its backend servers.
 type RoutedService struct {
 	Name string
-	// Software is the version that its backend servers run. It says nothing for a
-	// service that Config.Software does not name. The target of a roll-out is a
-	// service of its own here, with the name of the same service, so that shares and
-	// homes of objects are computed within a version.
+	// Software is the version that its backend servers run. It is meaningless for a
+	// service without an entry in Config.Software. The target of a roll-out is a separate
+	// RoutedService with the same name, so that shares and the assignment of objects are
+	// computed within a version.
 	Software string
-	// OfTarget is set for such a service.
+	// IsTarget is set for the target of a roll-out.
 	IsTarget bool
-	// Target is the index of the service with the backend servers of a roll-out's
-	// target. None: there is none.
+	// Target is the index of the service that holds the backend servers of a roll-out's
+	// target, or None.
 	Target   int32
 	Backends []int32
-	// Groups are the same by group.
+	// Groups holds the backend servers by group.
 	Groups         *Groups
 	Warming        Warming
 	MaxConnections int
-	// MostUrgent and LeastUrgent are the ranks of the requests that may come for
-	// the service, see Route.Priority and Workspace.Priority.
+	// MostUrgent and LeastUrgent are the lowest and the highest priority number that
+	// requests for the service can have (see Route.Priority and Workspace.Priority).
 	MostUrgent, LeastUrgent int
 }
 
-// RoutedBackend is one backend server as the choice sees it.
+// RoutedBackend is a backend server with names replaced by indexes.
 type RoutedBackend struct {
 	Name    string
 	Address string
 	Service int32
-	// Software is the version of the software that it runs.
+	// Software is the version of the software that the backend server runs.
 	Software string
-	// Incarnation tells its starts apart. Zero: it does not say.
+	// Incarnation identifies one start of the server. Zero if it reports none.
 	Incarnation int64
 	Hall        string
 	Region      int32
 	Slots       int
-	// Leaving is set for one whose row says that it leaves.
+	// Leaving is set if its resource or row marks it as leaving.
 	Leaving bool
-	// Closed is set for a backend server that is leaving or in a drained place.
+	// Closed is set if it gets no requests since it is leaving or drained.
 	Closed bool
-	// Drained is set when a drain of its place closes it.
+	// Drained is set if a drain covers the server, its hall or its region.
 	Drained bool
 	Cold    time.Duration
-	// Hash identifies the backend server in rankings.
+	// Hash is the hash of the name, used in rendezvous hashing.
 	Hash uint64
-	// Life identifies its present start in what is learnt of it. It is Hash where the
-	// backend server does not tell its starts apart.
+	// IncarnationHash identifies the present start of the server in measurements and
+	// observations. It equals Hash if the server reports no incarnation.
 	IncarnationHash uint64
 }
 
-// lifeOf returns Life of a backend server.
+// incarnationHash returns RoutedBackend.IncarnationHash for the hash of a name.
 func incarnationHash(hash uint64, incarnation int64) uint64 {
 	return hash ^ uint64(incarnation)*0x9e3779b97f4a7c15
 }
 
-// CompileRouting builds the routing of a configuration. References must have
-// been checked. What the configuration has in common with that of old, which may
-// be nil, is taken from there.
+// CompileRouting builds the routing of a configuration whose references were checked.
+// Workspaces that did not change are taken over from old, which may be nil.
 func CompileRouting(c *Config, old *Routing) *Routing {
 	r := &Routing{
 		Seq:     c.Seq,
@@ -154,8 +153,8 @@
 	return services
 }
 
-// addTarget adds the service for the backend servers of a roll-out's target. One that
-// is in force already is none.
+// addTarget adds the service for the backend servers of a roll-out's target, unless that
+// version is already in force.
 func (r *Routing) addTarget(service int32, software string) {
 	s := r.Services[service]
 	if software == "" || software == s.Software {
@@ -166,59 +165,59 @@
 	r.Services = append(r.Services, s)
 }
 
-// serviceOf returns the service that a backend server works for, or None if there is no
-// such service, or it runs a version of the software that may get no requests.
+// serviceOf returns the index of the service that a backend server belongs to. It is None
+// if the service does not exist or the server runs a version that may get no requests.
 func (r *Routing) serviceOf(b *Backend, services map[string]int32, software map[string]Software) int32 {
 	i, known := services[b.Service]
-	admitted, bound := software[b.Service]
+	admitted, restricted := software[b.Service]
 	switch {
 	case !known:
 		return None
-	case !bound || b.Software == admitted.InForce:
+	case !restricted || b.Software == admitted.InForce:
 		return i
 	case b.Software == admitted.Target:
-		return r.Services[i].Target // None where no target is asked for
+		return r.Services[i].Target // None without a target
 	}
 	return None
 }
 
 func (r *Routing) addBackends(c *Config, services map[string]int32) {
 	drains := c.List(KindDrain)
-	all := c.Backends()
+	backends := c.Backends()
 	if !c.BackendsAreInstances {
-		all = newestByAddress(all)
+		backends = newestByAddress(backends)
 	}
-	r.Backends = make([]RoutedBackend, 0, len(all))
-	for _, x := range all {
+	r.Backends = make([]RoutedBackend, 0, len(backends))
+	for _, x := range backends {
 		service := r.serviceOf(x.Backend, services, c.Software)
 		if service == None {
 			continue
 		}
-		u := RoutedBackend{
+		b := RoutedBackend{
 			Name: x.Name, Address: x.address, Service: service, Software: x.Backend.Software,
 			Incarnation: x.Backend.Incarnation,
 			Hall:        x.Backend.Hall, Region: r.halls[x.Backend.Hall], Slots: x.Backend.Slots,
 			Leaving: x.Backend.Leaving, Closed: x.Backend.Leaving, Cold: time.Duration(x.Backend.Cold), Hash: x.hash,
 		}
-		u.IncarnationHash = incarnationHash(u.Hash, u.Incarnation)
+		b.IncarnationHash = incarnationHash(b.Hash, b.Incarnation)
 		for _, d := range drains {
-			if d.Drain.Backend == u.Name || d.Drain.Hall == u.Hall || d.Drain.Region == r.Regions[u.Region] {
-				u.Drained = true
-				u.Closed = true
+			if d.Drain.Backend == b.Name || d.Drain.Hall == b.Hall || d.Drain.Region == r.Regions[b.Region] {
+				b.Drained = true
+				b.Closed = true
 			}
 		}
-		s := &r.Services[u.Service]
+		s := &r.Services[b.Service]
 		s.Backends = append(s.Backends, int32(len(r.Backends)))
-		r.Backends = append(r.Backends, u)
+		r.Backends = append(r.Backends, b)
 	}
 	for i := range r.Services {
 		r.Services[i].Groups = r.groupBackends(&r.Services[i])
 	}
 }
 
-// Find returns the index of the backend server of a name, or None.
+// FindBackend returns the index of the backend server with the name, or None.
 func (r *Routing) FindBackend(name string) int32 {
-	i, found := slices.BinarySearchFunc(r.Backends, name, func(u RoutedBackend, name string) int { return cmp.Compare(u.Name, name) })
+	i, found := slices.BinarySearchFunc(r.Backends, name, func(b RoutedBackend, name string) int { return cmp.Compare(b.Name, name) })
 	if !found {
 		return None
 	}
@@ -244,7 +243,7 @@
 	h.add(v)
 }
 
-// workspaces returns those of a routing that may be nil.
+// workspaces returns the workspaces of a routing that may be nil.
 func (r *Routing) workspaces() *Workspaces {
 	if r == nil {
 		return nil
@@ -252,7 +251,7 @@
 	return r.Workspaces
 }
 
-// rank sets the ranks of the requests that may come for each service.
+// computeUrgency sets MostUrgent and LeastUrgent of each service.
 func (r *Routing) computeUrgency() {
 	for i := range r.Services {
 		r.Services[i].MostUrgent, r.Services[i].LeastUrgent = math.MaxInt, 0
@@ -271,19 +270,19 @@
 	}
 }
 
-// ranked notes that requests of a rank may come.
+// addPriority extends the range of priorities by one that requests can have.
 func (s *RoutedService) addPriority(priority int) {
 	s.MostUrgent = min(s.MostUrgent, priority)
 	s.LeastUrgent = max(s.LeastUrgent, priority)
 }
 
-// Urgent reports whether less urgent requests may come for the service than those of
-// a rank, and none that are more urgent.
+// Urgent reports whether a priority is the most urgent one of the service, and less urgent
+// ones exist.
 func (s *RoutedService) Urgent(priority int) bool {
 	return priority == s.MostUrgent && priority < s.LeastUrgent
 }
 
-// eachPart calls f for the parts of all routes that get requests.
+// eachPart calls f for each part of a route that has a weight above zero.
 func (r *Routing) eachPart(f func(v *RouteView, p *RoutePart)) {
 	for _, h := range r.hosts {
 		for _, v := range h.routes {
@@ -296,13 +295,13 @@
 	}
 }
 
-// HasService reports whether there is a service of a name.
+// HasService reports whether a service with the name exists.
 func (r *Routing) HasService(name string) bool {
 	return slices.ContainsFunc(r.Services, func(s RoutedService) bool { return s.Name == name })
 }
 
-// RegionOfHall returns the index of the region of a hall, or None.
+// RegionOfHall returns the index of the region that a hall belongs to, or None.
 func (r *Routing) RegionOfHall(name string) int32 { return indexOf(r.halls, name) }
 
-// Region returns the index of a region, or None.
+// Region returns the index of the region with the name, or None.
 func (r *Routing) Region(name string) int32 { return indexOf(r.regions, name) }
--- a/version/view.go
+++ b/version/view.go
@@ -9,39 +9,40 @@
 	"time"
 )
 
-// None is the index of nothing.
+// None is the index that stands for no element.
 const None int32 = -1
 
-// PoolKind says what one token of a pool stands for.
+// PoolKind is what one token of a pool stands for.
 type PoolKind uint8
 
 const (
 	// PoolSlots has one token for each slot of a backend server.
 	PoolSlots PoolKind = iota
-	// PoolLink has one token for each request that may be on a link at once.
+	// PoolLink has one token for each concurrent request that a link allows.
 	PoolLink
-	// PoolShift has one token for each shifted request that may run at once.
+	// PoolShift has one token for each concurrent shifted request that a shift allows.
 	PoolShift
-	// PoolRate has one token for each shifted request that may start in a second.
+	// PoolRate has one token for each shifted request that may start per second.
 	PoolRate
 )
 
-// Pool is one limit of the configuration, as a number of tokens.
+// Pool is a limit of the configuration, expressed as a number of tokens.
 type Pool struct {
-	Name     string // same name in every version in which the limit exists
+	Name     string // stable across versions
 	Kind     PoolKind
 	Size     int
-	Region   int32         // the region whose instances need the tokens
-	Deadline time.Duration // the longest deadline of a request that holds one
+	Region   int32         // region whose instances use the tokens
+	Deadline time.Duration // longest deadline of a request that holds a token
 }
 
-// slotsPool returns the name of the pool of a backend server's slots. It keeps the word
-// of an earlier release: the name stands in the rows that say who holds which token,
-// and instances of both releases that named it differently would each use all slots.
+// slotPoolName returns the name of the pool of a backend server's slots. It contains the
+// deprecated kind: the name is stored in the rows that record which instance holds which
+// token, and if instances of an earlier release and of this one named the pool differently,
+// each of the two groups would use all slots.
 func slotPoolName(backend string) string { return deprecatedKindBackend + "/" + backend }
 
-// Backend returns the name of the backend server whose slots the pool has. It is of no
-// use for a pool of another kind.
+// Backend returns the name of the backend server that the pool belongs to. It is only
+// valid for pools of kind PoolSlots.
 func (p *Pool) Backend() string { return strings.TrimPrefix(p.Name, deprecatedKindBackend+"/") }
 
 // BackendView is a backend server with names replaced by indexes.
@@ -55,27 +56,27 @@
 	Drained bool // by a drain resource
 }
 
-// HallView is a hall with its region.
+// HallView is a hall with names replaced by indexes.
 type HallView struct {
 	Name   string
 	Region int32
 }
 
-// Crossing is the way from one region to another.
+// LinkView is a link with names replaced by indexes.
 type LinkView struct {
 	To      int32
 	Pool    int32
 	Latency time.Duration
 }
 
-// ShiftView is a shift with indexes. Pool is None where there is no shift.
+// ShiftView is a shift with names replaced by indexes. Pool is None if there is no shift.
 type ShiftView struct {
 	Name     string
 	To       int32
 	Share    float64
 	Ramp     time.Duration
 	Pool     int32
-	RatePool int32 // None without a rate
+	RatePool int32 // None if the rate is not limited
 }
 
 // ServiceView is a service with its backend servers grouped by region.
@@ -83,12 +84,12 @@
 	Name     string
 	Routes   []ServiceRoute
 	Queue    int
-	Deadline time.Duration // the longest of its routes
+	Deadline time.Duration // longest deadline of its routes
 	ByRegion [][]int32     // backend servers by region
-	Shifts   []ShiftView   // by the region they are from
+	Shifts   []ShiftView   // by source region
 }
 
-// View is a Config compiled for decisions. It never changes.
+// View is a Config compiled for decisions. It is immutable.
 type View struct {
 	Seq      int64
 	Config   *Config
@@ -96,7 +97,7 @@
 	Halls    []HallView
 	Services []ServiceView
 	Backends []BackendView
-	Links    [][]LinkView // by region, nearest first
+	Links    [][]LinkView // by source region, lowest latency first
 	Pools    []Pool
 	Blocks   BlockTable // client address to hall
 
@@ -106,18 +107,19 @@
 	halls    map[string]int32
 }
 
-// Service returns the index of the service with this name, or None.
+// Service returns the index of the service with the name, or None.
 func (v *View) Service(name string) int32 { return indexOf(v.services, name) }
 
-// Host returns the index of the service with this host, or None.
+// Host returns the index of the service that is selected by the host, or None.
 func (v *View) Host(host string) int32 { return indexOf(v.hosts, host) }
 
-// Region returns the index of the region, or None.
+// Region returns the index of the region with the name, or None.
 func (v *View) Region(name string) int32 { return indexOf(v.regions, name) }
 
-// Hall returns the index of the hall, or None.
+// Hall returns the index of the hall with the name, or None.
 func (v *View) Hall(name string) int32 { return indexOf(v.halls, name) }
 
+// indexOf returns the index of a name, or None.
 func indexOf(m map[string]int32, name string) int32 {
 	if i, ok := m[name]; ok {
 		return i
@@ -125,7 +127,7 @@
 	return None
 }
 
-// Route returns the first route of a service that matches, or nil.
+// Route returns the first route of the service that matches method and path, or nil.
 func (s *ServiceView) Route(method, path string) *ServiceRoute {
 	for i := range s.Routes {
 		r := &s.Routes[i]
@@ -139,7 +141,7 @@
 	return nil
 }
 
-// Compile builds the view of a checked configuration.
+// Compile builds the view of a configuration that passed Check.
 func Compile(c *Config) (*View, error) {
 	v := &View{
 		Seq:      c.Seq,
@@ -219,16 +221,16 @@
 }
 
 func (v *View) addLinks(c *Config) {
-	longest := v.longestDeadline()
+	deadline := v.longestDeadline()
 	for _, r := range c.List(KindLink) {
 		from := v.Region(r.Link.From)
-		pool := v.addPool(Pool{Name: r.Key.String(), Kind: PoolLink, Size: r.Link.Cap, Region: from, Deadline: longest})
+		pool := v.addPool(Pool{Name: r.Key.String(), Kind: PoolLink, Size: r.Link.Cap, Region: from, Deadline: deadline})
 		v.Links[from] = append(v.Links[from], LinkView{
 			To: v.Region(r.Link.To), Pool: pool, Latency: time.Duration(r.Link.Latency),
 		})
 	}
-	for _, cs := range v.Links {
-		slices.SortStableFunc(cs, func(a, b LinkView) int { return cmp.Compare(a.Latency, b.Latency) })
+	for _, links := range v.Links {
+		slices.SortStableFunc(links, func(a, b LinkView) int { return cmp.Compare(a.Latency, b.Latency) })
 	}
 }
 
@@ -263,11 +265,11 @@
 func (v *View) addDrains(c *Config) {
 	for _, r := range c.List(KindDrain) {
 		for i := range v.Backends {
-			u := &v.Backends[i]
-			named := u.Name == r.Drain.Backend ||
-				v.Halls[u.Hall].Name == r.Drain.Hall ||
-				v.Regions[u.Region] == r.Drain.Region
-			u.Drained = u.Drained || named
+			b := &v.Backends[i]
+			covered := b.Name == r.Drain.Backend ||
+				v.Halls[b.Hall].Name == r.Drain.Hall ||
+				v.Regions[b.Region] == r.Drain.Region
+			b.Drained = b.Drained || covered
 		}
 	}
 }
--- a/version/weight.go
+++ b/version/weight.go
@@ -2,15 +2,15 @@
 
 package version
 
-// leastWeight is the weight of a backend server in a region that should get nothing
-// of another region's requests: it comes last in every order.
+// minWeight is the weight of a backend server whose region should get none of the
+// requests of another region, so that it is ranked last for every object.
 const minWeight = 1e-6
 
-// regionShares divides the requests of each region among the regions, first
-// index from, second to. Regions are assumed to send equally much. A region
-// keeps what its own share of the capacity allows; what is left goes to the
-// regions with room to spare, in proportion to it. So all backend servers are used
-// alike while as little as possible leaves its region.
+// regionShares divides the requests of each region (first index) among the regions
+// that serve them (second index). Regions are assumed to send equally many requests.
+// A region serves its own requests up to its share of the total capacity; the rest
+// goes to the regions with spare capacity, in proportion to it. All backend servers
+// are then equally utilized, with as few requests as possible leaving their region.
 func regionShares(capacity []float64) [][]float64 {
 	total := 0.0
 	for _, c := range capacity {
@@ -39,6 +39,7 @@
 	return shares
 }
 
+// unlessEqual returns 1 if i and j differ, otherwise 0.
 func unlessEqual(i, j int) float64 {
 	if i == j {
 		return 0
@@ -46,62 +47,61 @@
 	return 1
 }
 
-// weighing names the weights of a service's backend servers for routes with one set of
-// homes.
+// weightKey identifies the weights of a service's backend servers for routes with the same
+// home regions.
 type weightKey struct {
 	service int32
-	homes   string // a byte for each region; "": all may serve
+	regions string // one byte for each region; empty if all may serve
 }
 
-func newWeightKey(service int32, home []bool) weightKey {
-	homes := make([]byte, len(home))
-	for i, ok := range home {
-		homes[i] = '0'
+func newWeightKey(service int32, allowed []bool) weightKey {
+	regions := make([]byte, len(allowed))
+	for i, ok := range allowed {
+		regions[i] = '0'
 		if ok {
-			homes[i] = '1'
+			regions[i] = '1'
 		}
 	}
-	return weightKey{service, string(homes)}
+	return weightKey{service, string(regions)}
 }
 
-// weigh sets the weights of a part, and of the part for a roll-out's target.
-func (r *Routing) setWeights(p *RoutePart, home []bool) {
-	p.Weights = r.cachedWeights(p.Service, home)
+// setWeights sets the weights of a part, and those for a roll-out's target.
+func (r *Routing) setWeights(p *RoutePart, allowed []bool) {
+	p.Weights = r.cachedWeights(p.Service, allowed)
 	p.Target = nil
 	if target := r.Services[p.Service].Target; target != None {
-		p.Target = &RoutePart{Service: target, Weight: p.Weight, Software: r.Services[target].Software, Weights: r.cachedWeights(target, home)}
+		p.Target = &RoutePart{Service: target, Weight: p.Weight, Software: r.Services[target].Software, Weights: r.cachedWeights(target, allowed)}
 	}
 }
 
-// Weights are those of a service's backend servers for requests of one region.
+// Weights are the weights of a service's backend servers for requests from one region.
 type Weights struct {
-	// Backends has them by index in RoutedService.Backends.
+	// Backends holds the weights in the order of RoutedService.Backends.
 	Backends []float64
-	// Groups are the sums over the members of groups that are not closed.
+	// Groups holds, by group, the sum of the weights of the open members.
 	Groups [GroupCount]float64
 }
 
-// weights returns, for each region that requests come from, those of a service's
-// backend servers, in the order of RoutedService.Backends. They are the same for all
-// routes with the same homes, and computed once for these: a version of 1,000 routes
-// takes 2.5 ms and not 18 ms to be compiled, and 1 MB and not 8 (BenchmarkCompileManyRoutes), which an
-// instance does whenever a backend server comes or goes.
-func (r *Routing) cachedWeights(service int32, home []bool) []Weights {
-	key := newWeightKey(service, home)
-	if known, ok := r.weightCache.Load(key); ok {
-		return known.([]Weights)
+// cachedWeights returns the weights of a service's backend servers, by the region that
+// requests come from. All routes with the same home regions share them: compiling a
+// version with 1,000 routes, which an instance does whenever a backend server is added or
+// removed, takes 2.5 ms and 1 MB instead of 18 ms and 8 MB (BenchmarkCompileManyRoutes).
+func (r *Routing) cachedWeights(service int32, allowed []bool) []Weights {
+	key := newWeightKey(service, allowed)
+	if cached, ok := r.weightCache.Load(key); ok {
+		return cached.([]Weights)
 	}
-	known, _ := r.weightCache.LoadOrStore(key, r.computeWeights(service, home))
-	return known.([]Weights)
+	cached, _ := r.weightCache.LoadOrStore(key, r.computeWeights(service, allowed))
+	return cached.([]Weights)
 }
 
-func (r *Routing) computeWeights(service int32, home []bool) []Weights {
+func (r *Routing) computeWeights(service int32, allowed []bool) []Weights {
 	s := &r.Services[service]
 	capacity := make([]float64, len(r.Regions))
 	for _, i := range s.Backends {
-		u := &r.Backends[i]
-		if !u.Closed && (home == nil || home[u.Region]) {
-			capacity[u.Region] += float64(u.Slots)
+		b := &r.Backends[i]
+		if !b.Closed && (allowed == nil || allowed[b.Region]) {
+			capacity[b.Region] += float64(b.Slots)
 		}
 	}
 	shares := regionShares(capacity)
@@ -110,27 +110,27 @@
 		w := &out[from]
 		w.Backends = make([]float64, len(s.Backends))
 		for k, i := range s.Backends {
-			u := &r.Backends[i]
+			b := &r.Backends[i]
 			w.Backends[k] = minWeight
-			if c := capacity[u.Region]; c > 0 {
-				w.Backends[k] = max(minWeight, shares[from][u.Region]*float64(u.Slots)/c)
+			if c := capacity[b.Region]; c > 0 {
+				w.Backends[k] = max(minWeight, shares[from][b.Region]*float64(b.Slots)/c)
 			}
-			if !u.Closed {
-				w.Groups[s.Group(u)] += w.Backends[k]
+			if !b.Closed {
+				w.Groups[s.Group(b)] += w.Backends[k]
 			}
 		}
 	}
 	return out
 }
 
-// Distance returns the place of a backend server in an object's order: the backend server
-// with the lowest distance is the first choice, and the share of objects for
-// which it is grows with its weight (weighted rendezvous hashing). It is the
-// same at every instance.
-func (u *RoutedBackend) Distance(object uint64, weight float64) float64 {
-	return u.UnitDistance(object) / weight
+// Distance ranks the backend servers for an object by weighted rendezvous hashing: the
+// one with the lowest distance is the first choice, and the share of objects for which a
+// server is the first choice is proportional to its weight. All instances compute the
+// same distances.
+func (b *RoutedBackend) Distance(object uint64, weight float64) float64 {
+	return b.UnitDistance(object) / weight
 }
 
-// Draw returns the distance for a weight of 1. It is exponentially distributed
-// over objects.
-func (u *RoutedBackend) UnitDistance(object uint64) float64 { return unitDistance(object ^ u.Hash) }
+// UnitDistance returns the distance from an object for a weight of 1. It is exponentially
+// distributed over objects.
+func (b *RoutedBackend) UnitDistance(object uint64) float64 { return unitDistance(object ^ b.Hash) }
--- a/version/workspace.go
+++ b/version/workspace.go
@@ -11,33 +11,34 @@
 	"github.com/juju/errors"
 )
 
-// Workspace is a team whose callers show a key with each request. It is a resource
-// of its own. Where there is at least one, a request needs the key of a workspace,
-// unless its route is anonymous.
+// Workspace is a team whose callers authenticate each request with a key. It is a
+// resource. If there is at least one workspace, a request needs the key of one, unless
+// its route is anonymous.
 type Workspace struct {
-	// Keys are the hashes of the keys of the workspace's callers. A key is in no
-	// two workspaces.
+	// Keys are the hashes of the keys of the workspace's callers. A key belongs to at
+	// most one workspace.
 	Keys []KeyHash `json:"keys,omitempty"`
-	// Priority is the rank of the workspace's requests among those of a service, 0
-	// the most urgent. It holds in place of that of the route.
+	// Priority ranks the workspace's requests among those of a service; 0 is the most
+	// urgent. It overrides the priority of the route.
 	Priority int `json:"priority,omitempty"`
-	// Rate bounds the requests a second of the workspace over all instances, and
-	// Burst what may come beyond it at once. Zero Rate means no bound.
+	// Rate is the maximum number of requests per second of the workspace over all
+	// instances, and Burst the number that may exceed it at once. Zero Rate means no
+	// limit.
 	Rate  float64 `json:"rate,omitempty"`
 	Burst float64 `json:"burst,omitempty"`
-	// Homes are the only regions in which the workspace's requests may be served.
-	// Empty means all. Where the route has homes too, both bind.
+	// Homes are the regions in which the workspace's requests may be served. Empty
+	// means all. If the route has homes as well, only regions in both may serve.
 	Homes []string `json:"homes,omitempty"`
 }
 
-// KeyHash stands for a caller's key: its SHA-256, so that neither memory nor
-// documents hold the key itself. Its written form is hexadecimal.
+// KeyHash is the SHA-256 of a caller's key, so that neither memory nor documents
+// contain the key itself. Its text form is hexadecimal.
 type KeyHash [sha256.Size]byte
 
-// longestKey is the length up to which a key is hashed without allocating.
+// maxStackKey is the length in bytes up to which a key is hashed without allocating.
 const maxStackKey = 128
 
-// HashKey returns the hash of a key.
+// HashKey returns the hash of a caller's key.
 func HashKey(key string) KeyHash {
 	var buf [maxStackKey]byte
 	if len(key) > len(buf) {
@@ -46,15 +47,15 @@
 	return sha256.Sum256(buf[:copy(buf[:], key)])
 }
 
-// MarshalText writes the hash.
+// MarshalText encodes the hash as hexadecimal digits.
 func (h KeyHash) MarshalText() ([]byte, error) {
 	return hex.AppendEncode(nil, h[:]), nil
 }
 
-// UnmarshalText reads the hash.
+// UnmarshalText decodes 64 hexadecimal digits.
 func (h *KeyHash) UnmarshalText(b []byte) error {
 	if len(b) != hex.EncodedLen(len(h)) {
-		return errors.New("a key is written as the SHA-256 of it, 64 hexadecimal digits")
+		return errors.New("a key must be given as its SHA-256 hash, 64 hexadecimal digits")
 	}
 	_, err := hex.Decode(h[:], b)
 	return errors.Annotate(err, "hash of a key")
@@ -69,12 +70,13 @@
 	}
 }
 
-// checkKeys refuses a key that two workspaces have. The error does not show it.
+// checkUniqueKeys checks that no two workspaces have the same key. The error contains
+// neither the key nor its hash.
 func (c *Config) checkUniqueKeys() error {
 	owners := make(map[KeyHash]Key)
 	for _, r := range c.List(KindWorkspace) {
 		for i, h := range r.Workspace.Keys {
-			if other, taken := owners[h]; taken && other != r.Key {
+			if other, used := owners[h]; used && other != r.Key {
 				return &FieldError{Key: r.Key, Field: fmt.Sprintf("spec.keys[%d]", i), Rule: "is already used by " + other.String()}
 			}
 			owners[h] = r.Key
@@ -83,51 +85,50 @@
 	return nil
 }
 
-// Workspaces finds the workspace of a caller's key. It is never changed once
-// compiled, and shared by the versions that change no workspace. The zero value
-// has none.
+// Workspaces finds the workspace of a caller's key. It is immutable and shared by
+// versions between which no workspace changes. The zero value is empty.
 //
-// A key is found by its hash in a map, so finding it costs the same for 80 as for
-// 100,000 keys, and how long it takes tells nothing of the keys that there are: a
-// caller can't choose hashes that come near one. Go seeds its maps at random, so
-// that hashes that collide can't be chosen either.
+// Keys are looked up by their hash in a map, so a lookup costs the same for 80 as for
+// 100,000 keys, and its duration reveals nothing about existing keys: a caller cannot
+// choose a key whose hash is close to that of another. Go seeds its maps at random, so
+// a caller cannot cause collisions either.
 type Workspaces struct {
 	views   []WorkspaceView
 	byKey   map[KeyHash]int32
-	sources []*Workspace // what views was compiled from, in the same order
+	sources []*Workspace // the resources that views was compiled from, in the same order
 	regions []string
 }
 
-// WorkspaceView is a workspace as the way of a request sees it.
+// WorkspaceView is a workspace compiled for requests.
 type WorkspaceView struct {
 	Name        string
 	Priority    int
 	Rate, Burst float64
-	// Home tells by region whether it may serve; nil: all may.
+	// HomeRegions tells by region whether it may serve. Nil if all may.
 	HomeRegions []bool
-	// homeSet numbers the different values of Home.
+	// homeSetID is the same for all workspaces with equal HomeRegions.
 	homeSetID int
 }
 
-// compileWorkspaces compiles the workspaces of a configuration, ordered by name. It
-// returns old, if that was compiled from the same ones.
+// compileWorkspaces compiles the workspaces of a configuration, which are ordered by
+// name. It returns old if that was compiled from the same ones.
 func compileWorkspaces(list []Resource, regions []string, old *Workspaces) *Workspaces {
 	if old.compiledFrom(list, regions) {
 		return old
 	}
 	w := &Workspaces{regions: regions, byKey: make(map[KeyHash]int32, len(list))}
-	sets := make(map[string]int)
+	homeSetIDs := make(map[string]int)
 	for i, x := range list {
-		home := homeRegions(x.Workspace.Homes, regions)
-		set, known := sets[fmt.Sprint(home)]
+		allowed := homeRegions(x.Workspace.Homes, regions)
+		id, known := homeSetIDs[fmt.Sprint(allowed)]
 		if !known {
-			set = len(sets)
-			sets[fmt.Sprint(home)] = set
+			id = len(homeSetIDs)
+			homeSetIDs[fmt.Sprint(allowed)] = id
 		}
 		w.sources = append(w.sources, x.Workspace)
 		w.views = append(w.views, WorkspaceView{
 			Name: x.Name, Priority: x.Workspace.Priority, Rate: x.Workspace.Rate, Burst: x.Workspace.Burst,
-			HomeRegions: home, homeSetID: set,
+			HomeRegions: allowed, homeSetID: id,
 		})
 		for _, h := range x.Workspace.Keys {
 			w.byKey[h] = int32(i)
@@ -136,8 +137,8 @@
 	return w
 }
 
-// compiledFrom reports whether the workspaces were compiled from these documents,
-// which are never changed once made.
+// compiledFrom reports whether the workspaces were compiled from these resources. It
+// compares pointers, since specs are immutable.
 func (w *Workspaces) compiledFrom(list []Resource, regions []string) bool {
 	if w == nil || !slices.Equal(w.regions, regions) {
 		return false
@@ -145,7 +146,8 @@
 	return slices.EqualFunc(w.sources, list, func(s *Workspace, r Resource) bool { return s == r.Workspace })
 }
 
-// homeOf returns by region whether it is among the homes; nil if there are none.
+// homeRegions tells by region whether it is among the homes. It returns nil if there are
+// no homes.
 func homeRegions(homes, regions []string) []bool {
 	if len(homes) == 0 {
 		return nil
@@ -157,10 +159,10 @@
 	return out
 }
 
-// None reports whether there are no workspaces, so that requests need no key.
+// Empty reports whether there are no workspaces. Requests then need no key.
 func (w *Workspaces) Empty() bool { return w == nil || len(w.views) == 0 }
 
-// Find returns the workspace of a key, or nil.
+// Find returns the workspace that a caller's key belongs to, or nil.
 func (w *Workspaces) Find(key string) *WorkspaceView {
 	if w == nil {
 		return nil
@@ -182,33 +184,33 @@
 	}
 }
 
-// narrowing names a route within the homes of workspaces.
+// restriction identifies a route that is restricted to a set of home regions.
 type restriction struct {
 	route   *RouteView
 	homeSet int
 }
 
-// Within returns the view of a route for the requests of a workspace: where the
-// workspace has homes, only the backend servers there are left. Such a view is compiled
-// when it is first asked for, once for all workspaces with the same homes. A nil
-// workspace has no homes.
+// RestrictRoute returns the view of a route for the requests of a workspace. If the
+// workspace has homes, only backend servers in them may serve. Such a view is compiled on
+// first use, once for all workspaces with the same homes. A nil workspace has no homes.
 func (r *Routing) RestrictRoute(v *RouteView, w *WorkspaceView) *RouteView {
 	if w == nil || w.HomeRegions == nil {
 		return v
 	}
 	key := restriction{v, w.homeSetID}
-	if known, ok := r.restricted.Load(key); ok {
-		return known.(*RouteView)
+	if cached, ok := r.restricted.Load(key); ok {
+		return cached.(*RouteView)
 	}
 	n := &RouteView{Route: v.Route, Name: v.Name, HomeRegions: intersectRegions(v.HomeRegions, w.HomeRegions), Parts: slices.Clone(v.Parts)}
 	for i := range n.Parts {
 		r.setWeights(&n.Parts[i], n.HomeRegions)
 	}
-	known, _ := r.restricted.LoadOrStore(key, n)
-	return known.(*RouteView)
+	cached, _ := r.restricted.LoadOrStore(key, n)
+	return cached.(*RouteView)
 }
 
-// both returns the regions that are in both sets; nil is the set of all.
+// intersectRegions returns the regions that are in both sets. A nil a stands for all
+// regions.
 func intersectRegions(a, b []bool) []bool {
 	if a == nil {
 		return b
