--- a/version/block_test.go
+++ b/version/block_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// naiveLookup tries every block.
+// naiveLookup is a linear search over all blocks.
 func naiveLookup(blocks []Block, a netip.Addr) uint16 {
 	site, bits := NoSite, -1
 	for _, b := range blocks {
@@ -23,7 +23,8 @@
 	return site
 }
 
-func TestBlockTableLikeNaive(t *testing.T) {
+// TestBlockTableMatchesLinearSearch compares lookups in random tables with a linear search.
+func TestBlockTableMatchesLinearSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		addr := rapid.Custom(func(t *rapid.T) netip.Addr {
 			if rapid.Bool().Draw(t, "v6") {
@@ -34,17 +35,17 @@
 			}
 			return netip.AddrFrom4([4]byte{10, rapid.SampledFrom([]byte{0, 1, 255}).Draw(t, "b"), 0, rapid.Byte().Draw(t, "d")})
 		})
-		seen := map[netip.Prefix]bool{}
+		used := map[netip.Prefix]bool{}
 		var blocks []Block
 		for i := range rapid.IntRange(0, 20).Draw(t, "blocks") {
 			a := addr.Draw(t, "block")
-			most := 32
+			maxBits := 32
 			if a.Is6() {
-				most = 64
+				maxBits = 64
 			}
-			p := netip.PrefixFrom(a, rapid.IntRange(0, most).Draw(t, "bits")).Masked()
-			if !seen[p] {
-				seen[p] = true
+			p := netip.PrefixFrom(a, rapid.IntRange(0, maxBits).Draw(t, "bits")).Masked()
+			if !used[p] {
+				used[p] = true
 				blocks = append(blocks, Block{Prefix: p, Site: uint16(i)})
 			}
 		}
@@ -57,8 +58,8 @@
 	})
 }
 
-// letterBlocks returns n blocks of 256 addresses over 110 sites.
-func letterBlocks(n int) []Block {
+// testBlocks returns n blocks of 256 addresses, distributed over 110 sites.
+func testBlocks(n int) []Block {
 	blocks := make([]Block, n)
 	for i := range blocks {
 		var b [4]byte
@@ -68,11 +69,11 @@
 	return blocks
 }
 
-// BenchmarkBlocks measures a look-up and the bytes of a table at three sizes.
-func BenchmarkBlocks(b *testing.B) {
+// BenchmarkBlockLookup measures a lookup and the memory of a table at three sizes.
+func BenchmarkBlockLookup(b *testing.B) {
 	for _, n := range []int{65_000, 325_000, 650_000} {
-		b.Run(netSize(n), func(b *testing.B) {
-			blocks := letterBlocks(n)
+		b.Run(sizeName(n), func(b *testing.B) {
+			blocks := testBlocks(n)
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
@@ -82,11 +83,11 @@
 			runtime.ReadMemStats(&after)
 			bytes := float64(after.HeapAlloc - before.HeapAlloc)
 			b.ReportAllocs()
-			at := uint32(1)
+			random := uint32(1)
 			for b.Loop() {
-				at = at*1664525 + 1013904223
+				random = random*1664525 + 1013904223
 				var a [4]byte
-				binary.BigEndian.PutUint32(a[:], 0x0A000000+at%uint32(n*256*7))
+				binary.BigEndian.PutUint32(a[:], 0x0A000000+random%uint32(n*256*7))
 				table.Lookup(netip.AddrFrom4(a))
 			}
 			b.ReportMetric(bytes/float64(n), "B/block")
@@ -96,12 +97,11 @@
 	}
 }
 
-// BenchmarkBlockBuild measures the building of a table, as each change of a
-// block does today.
+// BenchmarkBlockBuild measures building a table, which each change of a block requires.
 func BenchmarkBlockBuild(b *testing.B) {
 	for _, n := range []int{65_000, 325_000, 650_000} {
-		b.Run(netSize(n), func(b *testing.B) {
-			blocks := letterBlocks(n)
+		b.Run(sizeName(n), func(b *testing.B) {
+			blocks := testBlocks(n)
 			for b.Loop() {
 				_, err := NewBlockTable(blocks)
 				assert.NilError(b, err)
@@ -110,6 +110,6 @@
 	}
 }
 
-func netSize(n int) string {
+func sizeName(n int) string {
 	return map[int]string{65_000: "65k", 325_000: "325k", 650_000: "650k"}[n]
 }
--- a/version/config_test.go
+++ b/version/config_test.go
@@ -34,7 +34,9 @@
 spec: {service: catalogue, hall: north-1, address: "127.0.0.1:9000", slots: 4}
 `
 
-func TestChecksNameFieldAndRule(t *testing.T) {
+// TestErrorsReportFieldAndRule checks that the error for an invalid document names the
+// resource, the field and the rule.
+func TestErrorsReportFieldAndRule(t *testing.T) {
 	for _, tc := range []struct{ replace, with, want string }{
 		{"kind: region", "kind: zebra", "kind: must be one of"},
 		{"name: north\n", "name: North\n", "name: must be"},
@@ -60,7 +62,9 @@
 	}
 }
 
-func TestConflictTellsPresent(t *testing.T) {
+// TestConflictReportsPresentResource checks that a change against an outdated version fails
+// and that the error holds the present resource.
+func TestConflictReportsPresentResource(t *testing.T) {
 	rs, err := version.Parse([]byte(valid))
 	assert.NilError(t, err)
 	c, _, err := (&version.Config{}).Propose(version.Change{Operation: "o", Puts: rs})
@@ -74,16 +78,16 @@
 	assert.ErrorContains(t, err, `names region "north", which does not exist`)
 }
 
-func TestDocumentsSurviveRoundTrip(t *testing.T) {
+func TestDocumentRoundTrip(t *testing.T) {
 	rs, err := version.Parse([]byte(valid))
 	assert.NilError(t, err)
 	for _, r := range rs {
 		b, err := json.Marshal(r)
 		assert.NilError(t, err)
-		var back version.Resource
-		assert.NilError(t, json.Unmarshal(b, &back))
-		assert.DeepEqual(t, back.Key, r.Key)
-		again, err := json.Marshal(back)
+		var decoded version.Resource
+		assert.NilError(t, json.Unmarshal(b, &decoded))
+		assert.DeepEqual(t, decoded.Key, r.Key)
+		again, err := json.Marshal(decoded)
 		assert.NilError(t, err)
 		assert.Equal(t, string(again), string(b))
 	}
@@ -104,14 +108,15 @@
 			return
 		}
 		if _, err := version.Compile(c); err != nil {
-			t.Fatalf("checked, but does not compile: %v", err)
+			t.Fatalf("valid, but does not compile: %v", err)
 		}
 	})
 }
 
-// TestWordsOfTheReleaseBeforeAreRead checks that documents and references that an
-// earlier release wrote are read, and that their writers can be warned.
-func TestWordsOfTheReleaseBeforeAreRead(t *testing.T) {
+// TestDeprecatedNamesAreAccepted checks that documents and references written for an
+// earlier release are accepted, that the deprecated names are reported, and that they are
+// not written again.
+func TestDeprecatedNamesAreAccepted(t *testing.T) {
 	rs, err := version.Parse([]byte(`{"kind":"upstream","name":"b-1","spec":{"service":"s","hall":"h","address":"10.0.0.1:80","slots":2}}
 ---
 {"kind":"drain","name":"d","spec":{"upstream":"b-1"}}
--- a/version/decide_test.go
+++ b/version/decide_test.go
@@ -14,8 +14,8 @@
 	"shalewick/version"
 )
 
-// caroni returns the view of Caroni's fleet.
-func caroni(t testing.TB) *version.View {
+// testView returns the view of the fleet that fleet.Caroni describes.
+func testView(t testing.TB) *version.View {
 	t.Helper()
 	s := fleet.Caroni()
 	var addresses []netip.AddrPort
@@ -30,7 +30,7 @@
 }
 
 func BenchmarkDecide(b *testing.B) {
-	v := caroni(b)
+	v := testView(b)
 	n := version.NewCounters(v)
 	for i := range n.Free {
 		n.Free[i].Store(2)
@@ -40,20 +40,20 @@
 	for b.Loop() {
 		q.Random += 0x9E3779B97F4A7C15
 		if c := v.Decide(&q, n); c.Backend == version.None {
-			b.Fatal("nothing found")
+			b.Fatal("no backend server found")
 		}
 	}
 }
 
-func TestDecideAllocatesNothing(t *testing.T) {
-	v := caroni(t)
+func TestDecideDoesNotAllocate(t *testing.T) {
+	v := testView(t)
 	n := version.NewCounters(v)
 	q := version.Query{Service: 0, Exclude: [2]int32{version.None, version.None}}
 	assert.Equal(t, testing.AllocsPerRun(100, func() { v.Decide(&q, n) }), 0.0)
 }
 
-// generated draws a small valid configuration.
-func generated(t *rapid.T) *version.Config {
+// randomConfig generates a small valid configuration.
+func randomConfig(t *rapid.T) *version.Config {
 	var rs []version.Resource
 	add := func(kind version.Kind, name string, set func(*version.Resource)) {
 		r := version.Resource{Key: version.Key{Kind: kind, Name: name}}
@@ -105,10 +105,10 @@
 	return cfg
 }
 
-// naiveDecide is the decision written on the resources, by names, with no
-// regard to speed. It returns all backend servers that are equally right, and the
-// pools that are needed besides the backend server's.
-func naiveDecide(c *version.Config, from string, shifted bool, free, cost map[string]int, closed map[string]bool) (ups map[string]bool, pools []string) {
+// naiveDecide is a slow reference implementation of Decide that works on resources and
+// names. It returns all backend servers that are equally good, and the pools that are
+// needed in addition to the backend server's.
+func naiveDecide(c *version.Config, from string, shifted bool, free, cost map[string]int, closed map[string]bool) (backends map[string]bool, pools []string) {
 	within := func(region string) map[string]bool {
 		best, out := 0, map[string]bool{}
 		for _, r := range c.List(version.KindBackend) {
@@ -179,11 +179,11 @@
 	return nil, nil
 }
 
-// TestDecideLikeNaive compares the compiled view and its decision with the
-// naive one over generated configurations and loads.
-func TestDecideLikeNaive(t *testing.T) {
+// TestDecideMatchesReference compares decisions on the compiled view with those of
+// naiveDecide, over random configurations and counters.
+func TestDecideMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := generated(t)
+		cfg := randomConfig(t)
 		v, err := version.Compile(cfg)
 		assert.NilError(t, err)
 		n := version.NewCounters(v)
@@ -199,8 +199,8 @@
 			n.Closed[i].Store(closed[u.Name])
 		}
 		shifted := rapid.Bool().Draw(t, "shifted")
-		// Low bits that are not a multiple of the explore rate; high bits
-		// below or above the share.
+		// The low bits must not be a multiple of exploreInterval, so that the decision
+		// does not explore; the high bits are below or above the share.
 		random := uint64(rapid.IntRange(0, 1000).Draw(t, "start"))*64 + 1
 		if !shifted {
 			random |= 0xC0000000 << 32
@@ -208,13 +208,13 @@
 		region := rapid.IntRange(0, len(v.Regions)-1).Draw(t, "from")
 		q := version.Query{Service: 0, Region: int32(region), Random: random, Exclude: [2]int32{version.None, version.None}}
 		got := v.Decide(&q, n)
-		ups, pools := naiveDecide(cfg, v.Regions[region], shifted, free, cost, closed)
+		backends, pools := naiveDecide(cfg, v.Regions[region], shifted, free, cost, closed)
 		if got.Backend == version.None {
-			assert.Equal(t, len(ups), 0)
+			assert.Equal(t, len(backends), 0)
 			return
 		}
 		name := v.Backends[got.Backend].Name
-		assert.Assert(t, ups[name], "chose %s, right are %v", name, ups)
+		assert.Assert(t, backends[name], "chose %s, want one of %v", name, backends)
 		need := map[string]bool{"upstream/" + name: true}
 		for _, p := range pools {
 			need[p] = true
--- a/version/host_test.go
+++ b/version/host_test.go
@@ -14,12 +14,13 @@
 	"shalewick/version"
 )
 
-// TestLongestPrefixOfManyIsFound compares the look-up of a route with trying all of them.
-func TestLongestPrefixOfManyIsFound(t *testing.T) {
+// TestRouteMatchesLinearSearch compares the lookup of a route with a linear search over
+// random prefixes.
+func TestRouteMatchesLinearSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		part := rapid.StringMatching(`[ab]{0,2}`)
+		segment := rapid.StringMatching(`[ab]{0,2}`)
 		path := func(label string) string {
-			return "/" + strings.Join(rapid.SliceOfN(part, 0, 4).Draw(t, label), "/")
+			return "/" + strings.Join(rapid.SliceOfN(segment, 0, 4).Draw(t, label), "/")
 		}
 		c := &version.Config{Seq: 1, Resources: map[version.Key]version.Resource{}}
 		service := version.Key{Kind: version.KindService, Name: "s"}
@@ -37,19 +38,19 @@
 				Split: []version.WeightedService{{Service: "s", Weight: 1}},
 			}}
 		}
-		asked := path("asked")
+		requested := path("requested")
 		want := ""
 		for prefix := range prefixes {
-			if strings.HasPrefix(asked, prefix) && len(prefix) > len(want) {
+			if strings.HasPrefix(requested, prefix) && len(prefix) > len(want) {
 				want = prefix
 			}
 		}
 		got := ""
-		if v := version.CompileRouting(c, nil).Route("a.example:80", asked); v != nil {
+		if v := version.CompileRouting(c, nil).Route("a.example:80", requested); v != nil {
 			got = v.Prefix
 		}
 		if got != want {
-			t.Fatalf("%q: found %q, right is %q, of %v", asked, got, want, prefixes)
+			t.Fatalf("%q: got %q, want %q, of %v", requested, got, want, prefixes)
 		}
 	})
 }
--- a/version/many_routes_test.go
+++ b/version/many_routes_test.go
@@ -12,8 +12,8 @@
 	"shalewick/version"
 )
 
-// manyRoutes is a configuration of a service with so many routes of one host and so many
-// backend servers in three regions.
+// manyRoutes returns a configuration of one service with the given number of routes, all of
+// one host, and of backend servers, in three regions.
 func manyRoutes(routes, backends int) *version.Config {
 	c := &version.Config{Seq: 1, Resources: map[version.Key]version.Resource{}}
 	add := func(r version.Resource) { c.Resources[r.Key] = r }
@@ -38,8 +38,8 @@
 	return c
 }
 
-// BenchmarkCompileManyRoutes measures how long a version takes to be compiled, which an
-// instance does whenever a backend server comes or goes.
+// BenchmarkCompileManyRoutes measures compiling a version, which an instance does whenever a
+// backend server is added or removed.
 func BenchmarkCompileManyRoutes(b *testing.B) {
 	for _, routes := range []int{4, 100, 1000} {
 		c := manyRoutes(routes, 270)
@@ -52,7 +52,7 @@
 	}
 }
 
-// BenchmarkFindManyRoutes measures how long a request's route takes to be found.
+// BenchmarkFindManyRoutes measures finding the route of a request.
 func BenchmarkFindManyRoutes(b *testing.B) {
 	for _, routes := range []int{4, 100, 1000} {
 		r := version.CompileRouting(manyRoutes(routes, 3), nil)
--- a/version/page_test.go
+++ b/version/page_test.go
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestDocumentsOfThePageAreAccepted checks each document that docs/OPERATIONS.md
-// shows by the rules of the resource API.
-func TestDocumentsOfThePageAreAccepted(t *testing.T) {
+// TestDocumentedExamplesAreValid checks that each YAML example in docs/OPERATIONS.md passes
+// the validation of the resource API.
+func TestDocumentedExamplesAreValid(t *testing.T) {
 	page, err := os.ReadFile("../docs/OPERATIONS.md")
 	assert.NilError(t, err)
 	blocks := strings.Split(string(page), "```yaml\n")[1:]
--- a/version/rollout_test.go
+++ b/version/rollout_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// softwareDocs are places, routes and backend servers of the service ledger, of which
-// each of the versions given runs two in each region.
+// softwareDocs returns the documents of regions, halls, routes and the backend servers of
+// the service ledger: two in each region for each of the given versions.
 func softwareDocs(versions ...string) string {
 	docs := routedPlaces + routedRoutes
 	port := 0
@@ -25,7 +25,7 @@
 	return docs
 }
 
-// compileWith compiles documents for the versions of ledger that may get requests.
+// compileWith compiles documents with the given versions of ledger admitted.
 func compileWith(t *testing.T, docs string, software Software) *Routing {
 	t.Helper()
 	c, err := propose(t, docs)
@@ -51,13 +51,13 @@
 	return nil
 }
 
-// TestOnlyAdmittedVersionsAreCompiled checks which backend servers a routing has of each
-// version of a service's software.
-func TestOnlyAdmittedVersionsAreCompiled(t *testing.T) {
+// TestOnlyAdmittedVersionsAreRouted checks which backend servers a routing contains for each
+// combination of a version in force and a target.
+func TestOnlyAdmittedVersionsAreRouted(t *testing.T) {
 	docs := softwareDocs("v1", "v2", "v3")
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		software        Software
-		inForce, target string // the first backend server; "": there is none
+		inForce, target string // name of the first backend server, empty if there is none
 		backends        int
 	}{
 		{Software{InForce: "v1"}, "v1-0", "", 4},
@@ -69,18 +69,18 @@
 		{Software{InForce: "absent"}, "", "", 0},
 		{Software{}, "", "", 0},
 	} {
-		r := compileWith(t, docs, x.software)
+		r := compileWith(t, docs, tc.software)
 		s := r.serviceNamed("ledger")
-		assert.Equal(t, first(r.names(s)), x.inForce, "%v", x.software)
-		assert.Equal(t, len(r.Backends), x.backends, "%v", x.software)
+		assert.Equal(t, first(r.names(s)), tc.inForce, "%v", tc.software)
+		assert.Equal(t, len(r.Backends), tc.backends, "%v", tc.software)
 		assert.Assert(t, !s.IsTarget)
 		if s.Target == None {
-			assert.Equal(t, x.target, "")
+			assert.Equal(t, tc.target, "")
 			continue
 		}
 		target := &r.Services[s.Target]
-		assert.Equal(t, first(r.names(target)), x.target, "%v", x.software)
-		assert.Equal(t, target.Software, x.software.Target)
+		assert.Equal(t, first(r.names(target)), tc.target, "%v", tc.software)
+		assert.Equal(t, target.Software, tc.software.Target)
 		assert.Equal(t, target.Name, "ledger")
 		assert.Assert(t, target.IsTarget && target.Target == None)
 		assert.DeepEqual(t, target.Warming, s.Warming)
@@ -95,9 +95,9 @@
 	return names[0]
 }
 
-// TestServiceWithoutVersionsHasAllItsBackends checks that a service that nothing is said
-// of is compiled as a whole.
-func TestServiceWithoutVersionsHasAllItsBackends(t *testing.T) {
+// TestServiceWithoutAdmittedVersionsKeepsAllBackends checks that a service without an entry
+// in Config.Software gets all its backend servers.
+func TestServiceWithoutAdmittedVersionsKeepsAllBackends(t *testing.T) {
 	c, err := propose(t, softwareDocs("v1", "v2"))
 	assert.NilError(t, err)
 	c.Software = map[string]Software{"intake": {InForce: "v1"}}
@@ -107,9 +107,9 @@
 	assert.Assert(t, r.Route("a.example", "/bids/").Parts[0].Target == nil)
 }
 
-// TestBackendOfNoServiceIsLeftOut checks that a backend server whose service is gone
-// works for no other.
-func TestBackendOfNoServiceIsLeftOut(t *testing.T) {
+// TestBackendOfRemovedServiceIsIgnored checks that a backend server whose service was
+// removed is not assigned to another service.
+func TestBackendOfRemovedServiceIsIgnored(t *testing.T) {
 	c, err := propose(t, softwareDocs("v1"))
 	assert.NilError(t, err)
 	delete(c.Resources, Key{KindService, "ledger"})
@@ -117,9 +117,10 @@
 	assert.Equal(t, len(CompileRouting(c, nil).Backends), 0)
 }
 
-// TestTargetThatStandsByMovesNothing compares the routing of the version in force with
-// and without a target, which has more backend servers in one region than in the other.
-func TestTargetThatStandsByMovesNothing(t *testing.T) {
+// TestTargetDoesNotChangeWeights checks that adding a target, whose backend servers may be
+// distributed differently over the regions, does not change the weights of the version in
+// force.
+func TestTargetDoesNotChangeWeights(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		docs := routedPlaces + routedRoutes
 		port := 0
@@ -131,12 +132,12 @@
 			}
 		}
 		alone := compileWith(t, docs, Software{InForce: "v1"})
-		beside := compileWith(t, docs, Software{InForce: "v1", Target: "v2"})
+		withTarget := compileWith(t, docs, Software{InForce: "v1", Target: "v2"})
 		for _, path := range []string{"/bids/", "/"} {
-			a, b := alone.Route("a.example", path), beside.Route("a.example", path)
+			a, b := alone.Route("a.example", path), withTarget.Route("a.example", path)
 			for i := range a.Parts {
-				sa, sb := &alone.Services[a.Parts[i].Service], &beside.Services[b.Parts[i].Service]
-				assert.DeepEqual(t, alone.names(sa), beside.names(sb))
+				sa, sb := &alone.Services[a.Parts[i].Service], &withTarget.Services[b.Parts[i].Service]
+				assert.DeepEqual(t, alone.names(sa), withTarget.names(sb))
 				assert.DeepEqual(t, a.Parts[i].Weights, b.Parts[i].Weights)
 				assert.Equal(t, sa.MostUrgent, sb.MostUrgent)
 				assert.Equal(t, sa.LeastUrgent, sb.LeastUrgent)
@@ -145,9 +146,9 @@
 	})
 }
 
-// TestTargetIsInNarrowedViews checks that a workspace's homes bind the target as well,
-// and that the view of the route itself stays as it is.
-func TestTargetIsInNarrowedViews(t *testing.T) {
+// TestRestrictedRouteRestrictsTarget checks that a workspace's homes apply to the target as
+// well, and that the unrestricted route is not modified.
+func TestRestrictedRouteRestrictsTarget(t *testing.T) {
 	c, err := propose(t, softwareDocs("v1", "v2")+"---\nkind: workspace\nname: w\nspec: {homes: [north]}\n")
 	assert.NilError(t, err)
 	c.Resources[Key{KindWorkspace, "w"}].Workspace.Keys = []KeyHash{HashKey("k")}
@@ -155,24 +156,25 @@
 	c.Software = map[string]Software{"ledger": {InForce: "v1", Target: "v2"}}
 	r := CompileRouting(c, nil)
 	route := r.Route("a.example", "/bids/")
-	whole := route.Parts[0].Target
-	narrowed := r.RestrictRoute(route, r.Workspaces.Find("k"))
-	target := narrowed.Parts[0].Target
-	assert.Assert(t, target != nil && target != whole && route.Parts[0].Target == whole)
-	assert.Equal(t, target.Service, whole.Service)
+	unrestricted := route.Parts[0].Target
+	restricted := r.RestrictRoute(route, r.Workspaces.Find("k"))
+	target := restricted.Parts[0].Target
+	assert.Assert(t, target != nil && target != unrestricted && route.Parts[0].Target == unrestricted)
+	assert.Equal(t, target.Service, unrestricted.Service)
 	assert.Equal(t, target.Software, "v2")
 	south := r.Region("south")
 	for k, i := range r.Services[target.Service].Backends {
 		inside := r.Backends[i].Region == r.Region("north")
 		assert.Equal(t, target.Weights[south].Backends[k] > minWeight, inside, "%s", r.Backends[i].Name)
-		assert.Assert(t, whole.Weights[south].Backends[k] > minWeight || inside)
+		assert.Assert(t, unrestricted.Weights[south].Backends[k] > minWeight || inside)
 	}
-	assert.Assert(t, narrowed.Parts[1].Target == nil, "intake has no roll-out")
+	assert.Assert(t, restricted.Parts[1].Target == nil, "intake has no roll-out")
 }
 
-// TestNewestBackendHasTheAddressAcrossVersions checks that a backend server whose address
-// one of another version has taken gets nothing, whichever version is in force.
-func TestNewestBackendHasTheAddressAcrossVersions(t *testing.T) {
+// TestNewestBackendOfAddressAcrossVersions checks that a backend server whose address was
+// taken over by one of another software version gets no requests, even if its own version
+// is the one in force.
+func TestNewestBackendOfAddressAcrossVersions(t *testing.T) {
 	c, err := propose(t, softwareDocs("v1"))
 	assert.NilError(t, err)
 	later := *c.Resources[Key{KindBackend, "v1-0"}].Backend
@@ -183,10 +185,10 @@
 	assert.DeepEqual(t, r.names(r.serviceNamed("ledger")), []string{"v1-1", "v1-2", "v1-3"})
 }
 
-func TestRolloutIsChecked(t *testing.T) {
+func TestRolloutValidation(t *testing.T) {
 	const docs = routedPlaces + routedRoutes
-	order := func(name, spec string) string { return "---\nkind: rollout\nname: " + name + "\nspec: " + spec + "\n" }
-	for _, x := range []struct{ spec, want string }{
+	rolloutDoc := func(name, spec string) string { return "---\nkind: rollout\nname: " + name + "\nspec: " + spec + "\n" }
+	for _, tc := range []struct{ spec, want string }{
 		{"{service: ledger, target: v2, within: 24h}", ""},
 		{"{service: none, target: v2, within: 30s}", `rollout/r: spec.service: names service "none", which does not exist`},
 		{"{target: v2, within: 30s}", "rollout/r: spec.service: names service"},
@@ -199,25 +201,25 @@
 		{"{service: ledger, target: v2, within: 30}", "a duration is text"},
 		{"{service: ledger, target: v2, within: 30s, share: 5}", "unknown field"},
 	} {
-		_, err := propose(t, docs+order("r", x.spec))
-		if x.want == "" {
+		_, err := propose(t, docs+rolloutDoc("r", tc.spec))
+		if tc.want == "" {
 			assert.NilError(t, err)
 			continue
 		}
-		assert.ErrorContains(t, err, x.want, x.spec)
+		assert.ErrorContains(t, err, tc.want, tc.spec)
 	}
 	const spec = "{service: ledger, target: v2, within: 30s}"
-	_, err := propose(t, docs+order("r", spec)+order("s", spec))
+	_, err := propose(t, docs+rolloutDoc("r", spec)+rolloutDoc("s", spec))
 	assert.ErrorContains(t, err, "rollout/s: spec.service: roll-out of ledger is already used by rollout/r")
-	_, err = propose(t, docs+order("r", spec)+order("s", "{service: intake, target: v2, within: 30s}"))
+	_, err = propose(t, docs+rolloutDoc("r", spec)+rolloutDoc("s", "{service: intake, target: v2, within: 30s}"))
 	assert.NilError(t, err)
 }
 
-func TestRolloutSurvivesRoundTrip(t *testing.T) {
+func TestRolloutRoundTrip(t *testing.T) {
 	r := Resource{Key: Key{KindRollout, "r"}, Rollout: &Rollout{Service: "s", Target: "v2", Within: Duration(MaxRollout)}}
 	text, err := json.Marshal(r)
 	assert.NilError(t, err)
-	var back Resource
-	assert.NilError(t, json.Unmarshal(text, &back))
-	assert.DeepEqual(t, back.Rollout, r.Rollout)
+	var decoded Resource
+	assert.NilError(t, json.Unmarshal(text, &decoded))
+	assert.DeepEqual(t, decoded.Rollout, r.Rollout)
 }
--- a/version/routing_test.go
+++ b/version/routing_test.go
@@ -74,11 +74,11 @@
 	return c, err
 }
 
-func backendDoc(name, hall string, port int, more string) string {
-	return fmt.Sprintf("---\nkind: backend\nname: %s\nspec: {service: ledger, hall: %s, address: \"10.0.0.1:%d\", slots: 6%s}\n", name, hall, port, more)
+func backendDoc(name, hall string, port int, extra string) string {
+	return fmt.Sprintf("---\nkind: backend\nname: %s\nspec: {service: ledger, hall: %s, address: \"10.0.0.1:%d\", slots: 6%s}\n", name, hall, port, extra)
 }
 
-func TestRouteOfLongestPrefix(t *testing.T) {
+func TestRouteWithLongestPrefixIsUsed(t *testing.T) {
 	c, err := propose(t, routedPlaces+routedRoutes)
 	assert.NilError(t, err)
 	r := CompileRouting(c, nil)
@@ -97,7 +97,7 @@
 	assert.Equal(t, r.Limits.MaxBody, int64(1000))
 }
 
-func TestRouteRulesAreChecked(t *testing.T) {
+func TestRouteValidation(t *testing.T) {
 	for _, x := range []struct{ name, route, want string }{
 		{"prefix", "{host: a, prefix: /x, class: read, timeout: 1s, split: [{service: intake, weight: 1}]}", "spec.prefix"},
 		{"host", "{prefix: /x/, class: read, timeout: 1s, split: [{service: intake, weight: 1}]}", "spec.host"},
@@ -113,7 +113,7 @@
 		assert.ErrorContains(t, err, x.want, x.name)
 	}
 	_, err := propose(t, routedPlaces)
-	assert.ErrorContains(t, err, "must have at least one route", "a service that no route names")
+	assert.ErrorContains(t, err, "must have at least one route", "a service without a route")
 }
 
 func TestDrainedAndLeavingBackendsAreClosed(t *testing.T) {
@@ -127,12 +127,9 @@
 	assert.Equal(t, r.Backends[2].Cold, 2*time.Second)
 }
 
-// TestRegionSharesUseCapacityAlike checks that each region's requests are
-// divided whole, that all capacity is used alike, and that nothing leaves a
-// region that has room.
-// TestNewestBackendHasTheAddress checks that of two backend servers that announced
-// the same address only the later one gets requests.
-func TestNewestBackendHasTheAddress(t *testing.T) {
+// TestNewestBackendOfAddressIsUsed checks that of two backend servers with the same address
+// only the newer one gets requests.
+func TestNewestBackendOfAddressIsUsed(t *testing.T) {
 	c := &Config{Seq: 1, Resources: make(map[Key]Resource)}
 	put := func(r Resource) { c.Resources[r.Key] = r }
 	put(Resource{Key: Key{KindRegion, "north"}, Region: &Region{}})
@@ -149,7 +146,10 @@
 	assert.Equal(t, len(r.Services[0].Backends), 0)
 }
 
-func TestRegionSharesUseCapacityAlike(t *testing.T) {
+// TestRegionSharesUtilizeCapacityEqually checks that the shares of each region sum up to 1,
+// that all capacity is utilized equally, and that no request leaves a region that has
+// enough capacity.
+func TestRegionSharesUtilizeCapacityEqually(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.SliceOfN(rapid.Float64Range(0, 50), 1, 6).Draw(t, "capacity")
 		total := 0.0
@@ -169,10 +169,10 @@
 				load[j] += s * even
 			}
 			if math.Abs(sum-1) > 1e-6 {
-				t.Fatalf("region %d divides %f of its requests", i, sum)
+				t.Fatalf("the shares of region %d sum up to %f", i, sum)
 			}
 			if capacity[i] >= even && row[i] < 1-1e-9 {
-				t.Fatalf("region %d has room and keeps %f", i, row[i])
+				t.Fatalf("region %d has enough capacity and keeps only %f", i, row[i])
 			}
 		}
 		for j, l := range load {
@@ -183,15 +183,17 @@
 	})
 }
 
+// TestDistanceFollowsWeights checks that the share of objects that rank a backend server
+// first is proportional to its weight.
 func TestDistanceFollowsWeights(t *testing.T) {
-	ups := []RoutedBackend{{Hash: 11}, {Hash: 222}, {Hash: 3333}}
+	backends := []RoutedBackend{{Hash: 11}, {Hash: 222}, {Hash: 3333}}
 	weights := []float64{1, 2, 5}
-	first := make([]float64, len(ups))
+	first := make([]float64, len(backends))
 	const objects = 40000
 	for o := range objects {
 		best := 0
-		for i := range ups {
-			if ups[i].Distance(uint64(o)*0x9e3779b97f4a7c15, weights[i]) < ups[best].Distance(uint64(o)*0x9e3779b97f4a7c15, weights[best]) {
+		for i := range backends {
+			if backends[i].Distance(uint64(o)*0x9e3779b97f4a7c15, weights[i]) < backends[best].Distance(uint64(o)*0x9e3779b97f4a7c15, weights[best]) {
 				best = i
 			}
 		}
@@ -203,9 +205,9 @@
 	}
 }
 
-// TestLossMovesOnlyItsObjects checks that a lost backend server's objects move and
-// hardly any others do.
-func TestLossMovesOnlyItsObjects(t *testing.T) {
+// TestRemovalMovesFewOtherObjects checks that removing a backend server moves its objects
+// and fewer than 5% of the others.
+func TestRemovalMovesFewOtherObjects(t *testing.T) {
 	docs := routedPlaces + routedRoutes
 	for i := range 10 {
 		docs += backendDoc(fmt.Sprintf("u%d", i), []string{"north-1", "south-1"}[i%2], i+1, "")
@@ -228,15 +230,15 @@
 		return r.Backends[best].Name
 	}
 	a, b := CompileRouting(before, nil), CompileRouting(after, nil)
-	moved, of := 0, 0
+	moved, total := 0, 0
 	for o := range uint64(2000) {
 		object := o * 0x9e3779b97f4a7c15
 		if x := first(a, object); x != "u4" {
-			of++
+			total++
 			if first(b, object) != x {
 				moved++
 			}
 		}
 	}
-	assert.Assert(t, moved*20 < of, "%d of %d moved", moved, of)
+	assert.Assert(t, moved*20 < total, "%d of %d moved", moved, total)
 }
--- a/version/workspace_test.go
+++ b/version/workspace_test.go
@@ -14,7 +14,7 @@
 	"shalewick/request"
 )
 
-// keyedConfig is a configuration with a route, three regions and workspaces.
+// keyedConfig returns a configuration with a route, three regions and the given workspaces.
 func keyedConfig(workspaces map[string]*Workspace) *Config {
 	c := &Config{Seq: 1, Resources: make(map[Key]Resource)}
 	put := func(r Resource) { c.Resources[r.Key] = r }
@@ -33,17 +33,17 @@
 	return c
 }
 
-// TestKeysFindTheirWorkspace compares the compiled look-up with a plain table, over
-// versions that come in any order.
-func TestKeysFindTheirWorkspace(t *testing.T) {
+// TestFindMatchesMap compares the lookup of keys with a plain map, over sequences of versions
+// that reuse each other's workspaces.
+func TestFindMatchesMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var old *Routing
 		for range rapid.IntRange(1, 4).Draw(t, "versions") {
-			naive := make(map[string]string) // key to workspace
+			workspaceOf := make(map[string]string) // key to workspace
 			workspaces := make(map[string]*Workspace)
 			for _, key := range rapid.SliceOfNDistinct(rapid.StringN(1, 200, -1), 0, 20, rapid.ID).Draw(t, "keys") {
 				name := fmt.Sprintf("w%d", rapid.IntRange(0, 5).Draw(t, "workspace"))
-				naive[key] = name
+				workspaceOf[key] = name
 				if workspaces[name] == nil {
 					workspaces[name] = &Workspace{}
 				}
@@ -52,11 +52,11 @@
 			c := keyedConfig(workspaces)
 			assert.NilError(t, c.CheckRoutes())
 			r := CompileRouting(c, old)
-			for key, name := range naive {
+			for key, name := range workspaceOf {
 				assert.Equal(t, r.Workspaces.Find(key).Name, name)
 			}
 			other := rapid.String().Draw(t, "other")
-			if naive[other] == "" {
+			if workspaceOf[other] == "" {
 				assert.Assert(t, r.Workspaces.Find(other) == nil)
 			}
 			assert.Equal(t, r.Workspaces.Empty(), len(workspaces) == 0)
@@ -65,9 +65,9 @@
 	})
 }
 
-// TestKeyOfTwoWorkspacesIsRefused checks that, and that the error tells neither the
-// key nor its hash.
-func TestKeyOfTwoWorkspacesIsRefused(t *testing.T) {
+// TestDuplicateKeyIsRejected checks that a key of two workspaces is rejected, and that the
+// error does not contain its hash.
+func TestDuplicateKeyIsRejected(t *testing.T) {
 	shared := HashKey("key")
 	c := keyedConfig(map[string]*Workspace{"a": {Keys: []KeyHash{shared}}, "b": {Keys: []KeyHash{shared}}})
 	err := c.CheckRoutes()
@@ -76,7 +76,7 @@
 	assert.Assert(t, !strings.Contains(err.Error(), string(hash)))
 }
 
-func TestWorkspaceIsChecked(t *testing.T) {
+func TestWorkspaceValidation(t *testing.T) {
 	for field, w := range map[string]*Workspace{
 		"spec.rate":     {Rate: -1},
 		"spec.burst":    {Burst: -1},
@@ -87,9 +87,9 @@
 	}
 }
 
-// TestHomesOfRouteAndWorkspaceBothBind checks the regions that may serve, and that
-// workspaces with the same homes share a view.
-func TestHomesOfRouteAndWorkspaceBothBind(t *testing.T) {
+// TestHomesOfRouteAndWorkspaceIntersect checks that only regions that are homes of both the
+// route and the workspace may serve, and that workspaces with the same homes share a view.
+func TestHomesOfRouteAndWorkspaceIntersect(t *testing.T) {
 	c := keyedConfig(map[string]*Workspace{
 		"a": {Keys: []KeyHash{HashKey("a")}, Homes: []string{"r1", "r2"}},
 		"b": {Keys: []KeyHash{HashKey("b")}, Homes: []string{"r2", "r1"}},
@@ -97,17 +97,17 @@
 	})
 	r := CompileRouting(c, nil)
 	route := r.Route("a", "/x")
-	narrow := func(key string) *RouteView { return r.RestrictRoute(route, r.Workspaces.Find(key)) }
-	assert.DeepEqual(t, narrow("a").HomeRegions, []bool{false, true, false})
-	assert.Assert(t, narrow("a") == narrow("b"))
-	assert.Assert(t, narrow("c") == route)
+	restrict := func(key string) *RouteView { return r.RestrictRoute(route, r.Workspaces.Find(key)) }
+	assert.DeepEqual(t, restrict("a").HomeRegions, []bool{false, true, false})
+	assert.Assert(t, restrict("a") == restrict("b"))
+	assert.Assert(t, restrict("c") == route)
 	assert.Assert(t, r.RestrictRoute(route, nil) == route)
 	assert.DeepEqual(t, route.HomeRegions, []bool{true, true, false})
 }
 
-// TestVersionThatChangesNoWorkspaceSharesThem checks that they are compiled anew
-// only when one has changed.
-func TestVersionThatChangesNoWorkspaceSharesThem(t *testing.T) {
+// TestUnchangedWorkspacesAreShared checks that workspaces are compiled again only if one of
+// them has changed.
+func TestUnchangedWorkspacesAreShared(t *testing.T) {
 	same := &Workspace{Keys: []KeyHash{HashKey("a")}}
 	one := CompileRouting(keyedConfig(map[string]*Workspace{"a": same}), nil)
 	two := CompileRouting(keyedConfig(map[string]*Workspace{"a": same}), one)
@@ -116,26 +116,28 @@
 	assert.Assert(t, three.Workspaces.Find("a") == nil)
 }
 
-// TestWorkspaceRanksBeforeItsRoute checks whose requests count as urgent.
-func TestWorkspaceRanksBeforeItsRoute(t *testing.T) {
+// TestWorkspacePriorityOverridesRoute checks which priorities count as urgent with and
+// without workspaces.
+func TestWorkspacePriorityOverridesRoute(t *testing.T) {
 	r := CompileRouting(keyedConfig(map[string]*Workspace{"a": {Priority: 1}, "b": {Priority: 3}}), nil)
 	s := &r.Services[0]
 	assert.Assert(t, s.Urgent(1) && !s.Urgent(3) && !s.Urgent(0))
 	r = CompileRouting(keyedConfig(nil), nil)
-	assert.Assert(t, !r.Services[0].Urgent(0), "there are no others")
+	assert.Assert(t, !r.Services[0].Urgent(0), "there is only one priority")
 }
 
-func TestKeyHashIsWrittenAndRead(t *testing.T) {
+func TestKeyHashRoundTrip(t *testing.T) {
 	r := Resource{Key: Key{KindWorkspace, "a"}, Workspace: &Workspace{Keys: []KeyHash{HashKey("k")}, Rate: 2}}
 	text, err := json.Marshal(r)
 	assert.NilError(t, err)
-	var back Resource
-	assert.NilError(t, json.Unmarshal(text, &back))
-	assert.DeepEqual(t, back.Workspace, r.Workspace)
-	assert.ErrorContains(t, json.Unmarshal([]byte(`{"kind":"workspace","name":"a","spec":{"keys":["short"]}}`), &back), "64 hexadecimal digits")
+	var decoded Resource
+	assert.NilError(t, json.Unmarshal(text, &decoded))
+	assert.DeepEqual(t, decoded.Workspace, r.Workspace)
+	assert.ErrorContains(t, json.Unmarshal([]byte(`{"kind":"workspace","name":"a","spec":{"keys":["short"]}}`), &decoded), "64 hexadecimal digits")
 }
 
-// BenchmarkFindKey shows that finding a key costs the same however many there are.
+// BenchmarkFindKey measures finding a key among few and among many; both should cost the
+// same.
 func BenchmarkFindKey(b *testing.B) {
 	for _, n := range []int{80, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
