--- a/clock/boot.go
+++ b/clock/boot.go
@@ -10,90 +10,91 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since the machine was started, with the time in which it was
-// suspended. Neither steps of the time of day move it nor is any of it left out, as Go's
-// monotonic time leaves a suspension out; so it is the clock of all that has to be old after
-// one: leases, tables, what is believed of others.
+// Now returns the time since the machine was booted, including the time for which it was
+// suspended. It is not affected by changes of the wall clock, and unlike Go's monotonic time it
+// continues during a suspension. It is therefore used for everything that has to expire after a
+// suspension: leases, tables, and state received from other instances.
 //
-// The kernel is asked once a second, and whenever the time of day and Go's monotonic time have
-// moved apart, as they do by a suspension. In between time.Now tells it, which is no
-// system call.
+// The kernel clock is read at most once per maxSampleAge, and whenever wall clock and monotonic
+// time have diverged, as they do during a suspension. Between these readings, Now adds the
+// elapsed time of time.Now, which needs no system call.
 func Now() time.Duration {
 	t := time.Now()
 	return defaultClock.now(t.Sub(reference()), t.UnixNano(), bootTime)
 }
 
-// bootTime asks the kernel.
+// bootTime reads the kernel clock.
 func bootTime() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return fallback() // kernels before 2.6.39 lack the clock
+		return fallback() // the clock requires Linux 2.6.39
 	}
 	return time.Duration(ts.Nano())
 }
 
 const (
-	// maxSampleAge is how long an answer of the kernel is good for, by Go's monotonic time.
+	// maxSampleAge is the maximum age of a reading of the kernel clock, in monotonic time.
 	maxSampleAge = time.Second
-	// minDivergence is by how much the time of day and monotonic time move apart in a suspension
-	// that matters; adjustments of the time of day stay far below it within askPause.
+	// minDivergence is the divergence of wall clock and monotonic time from which a suspension
+	// is assumed. Gradual adjustments of the wall clock are far smaller within maxSampleAge.
 	minDivergence = 10 * time.Millisecond
 )
 
-// sampledClock is a clock that is asked seldom. The zero value is ready.
+// sampledClock extrapolates a clock from infrequent readings. The zero value is ready to use.
 type sampledClock struct{ last atomic.Pointer[sample] }
 
-// sample is an answer of the kernel with the readings of the other clocks at that moment.
+// sample is a reading of the kernel clock, with simultaneous readings of the other clocks.
 type sample struct {
 	boot, monotonic time.Duration
-	wall            int64 // time of day, ns
+	wall            int64 // nanoseconds since the Unix epoch
 }
 
 var defaultClock sampledClock
 
-// now returns the time at a reading of the other clocks: Go's monotonic one, and the time of day
-// in nanoseconds.
-func (s *sampledClock) now(steady time.Duration, wall int64, ask func() time.Duration) time.Duration {
+// now returns the boot time for the given monotonic time and wall clock time in nanoseconds. It
+// calls read if the last reading is outdated.
+func (s *sampledClock) now(monotonic time.Duration, wall int64, read func() time.Duration) time.Duration {
 	if last := s.last.Load(); last != nil {
-		passed := steady - last.monotonic
-		apart := time.Duration(wall-last.wall) - passed
-		if passed >= 0 && passed < maxSampleAge && apart.Abs() < minDivergence {
-			return last.boot + passed
+		elapsed := monotonic - last.monotonic
+		divergence := time.Duration(wall-last.wall) - elapsed
+		if elapsed >= 0 && elapsed < maxSampleAge && divergence.Abs() < minDivergence {
+			return last.boot + elapsed
 		}
 	}
-	boot := ask()
-	s.last.Store(&sample{boot: boot, monotonic: steady, wall: wall})
+	boot := read()
+	s.last.Store(&sample{boot: boot, monotonic: monotonic, wall: wall})
 	return boot
 }
 
+// reference is the time of the first call, from which monotonic time is counted.
 var reference = sync.OnceValue(time.Now)
 
-// fallback is a clock that leaves suspensions out.
+// fallback returns a monotonic time that does not include suspensions.
 func fallback() time.Duration { return time.Since(reference()) + time.Hour }
 
-// SuspensionDetector finds the suspensions of a machine by comparing Now with a clock that leaves
-// them out. The zero value is ready.
+// SuspensionDetector detects suspensions of the machine by comparing Now with a clock that does
+// not include them. The zero value is ready to use.
 type SuspensionDetector struct {
 	known     bool
 	monotonic time.Time
 	now       time.Duration
 }
 
-// minSuspension is what two readings of the clocks one after the other may differ by since
-// the thread was held up in between.
+// minSuspension is the shortest suspension that is detected. Shorter differences can result from
+// a stall of the thread between the readings of the two clocks.
 const minSuspension = 100 * time.Millisecond
 
-// Observe compares the clocks, and returns how long the machine was suspended since the last
-// call; zero: it was not.
-func (s *SuspensionDetector) Observe(now time.Duration, steady time.Time) time.Duration {
+// Observe compares readings of the clocks. It returns for how long the machine was suspended since
+// the last call, or zero if it was not.
+func (s *SuspensionDetector) Observe(now time.Duration, monotonic time.Time) time.Duration {
 	if !s.known {
-		s.known, s.now, s.monotonic = true, now, steady
+		s.known, s.now, s.monotonic = true, now, monotonic
 		return 0
 	}
-	lost := (now - s.now) - steady.Sub(s.monotonic)
-	if lost < minSuspension {
+	suspended := (now - s.now) - monotonic.Sub(s.monotonic)
+	if suspended < minSuspension {
 		return 0
 	}
-	s.now, s.monotonic = now, steady
-	return lost
+	s.now, s.monotonic = now, monotonic
+	return suspended
 }
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
 
-// Package clock waits, for code that may be told to stop waiting.
+// Package clock provides waits that end with a context, a clock that includes the time for which
+// the machine was suspended, and measurements of suspensions and of scheduling delay.
 package clock
 
 import (
@@ -10,9 +11,9 @@
 	"time"
 )
 
-// Sleep waits for d, or until the context ends. It reports whether it waited
-// for all of d; a d of zero or less is over at once, and reports whether the
-// context still lasts.
+// Sleep waits for d or until the context is done. It reports whether it waited
+// for all of d. If d is zero or less, it returns immediately and reports whether
+// the context is not done.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -27,13 +28,13 @@
 	}
 }
 
-// phase is where the grid of SleepAligned begins in this process, so that processes that start
-// together do not all wake at the same moments.
+// phase is the random offset of the wake-up times of SleepAligned in this process, so that
+// processes that start together do not all wake up at the same time.
 var phase = sync.OnceValue(func() time.Duration { return rand.N(time.Second) })
 
-// SleepAligned waits for the next multiple of a period, and reports whether the context goes on.
-// Loops that only look whether there is something to do wake together by it: each wake-up by
-// itself costs more than what most of them do.
+// SleepAligned waits until the next multiple of a period, and reports whether the context is not
+// done. It is for loops that poll: those with the same period wake up together, since a separate
+// wake-up costs more than the work that most of them do.
 func SleepAligned(ctx context.Context, period time.Duration) bool {
 	return Sleep(ctx, period-(Now()+phase())%period)
 }
--- a/clock/late_test.go
+++ b/clock/late_test.go
@@ -9,43 +9,43 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestLatenessIsTheGreatestOfTheLastSecond checks waits that end in time, one that ends late, one
-// that is overdue, one that is over, and that a second later nothing of it counts.
-func TestLatenessIsTheGreatestOfTheLastSecond(t *testing.T) {
+// TestMaxSchedulingDelayOfWindow checks waits that end in time, one that ends late and one that is
+// overdue, and that delays expire after the window.
+func TestMaxSchedulingDelayOfWindow(t *testing.T) {
 	const pause = 50 * time.Millisecond
-	var l SchedulingDelay
+	var d SchedulingDelay
 	now := time.Hour
-	assert.Equal(t, l.Max(now), time.Duration(0), "nothing waits")
+	assert.Equal(t, d.Max(now), time.Duration(0), "no wait was recorded")
 	wait := func(late time.Duration) {
-		l.BeginWait(now + pause)
+		d.BeginWait(now + pause)
 		now += pause + late
-		l.EndWait(now)
+		d.EndWait(now)
 	}
 	wait(0)
 	wait(30 * time.Millisecond)
 	wait(0)
-	assert.Equal(t, l.Max(now), 30*time.Millisecond)
-	assert.Equal(t, l.Max(now+time.Second/2), 30*time.Millisecond, "the loop does not wait")
-	l.BeginWait(now + pause)
-	assert.Equal(t, l.Max(now+pause+time.Minute), time.Minute, "whoever asks first after a suspension")
+	assert.Equal(t, d.Max(now), 30*time.Millisecond)
+	assert.Equal(t, d.Max(now+time.Second/2), 30*time.Millisecond, "the loop does not wait")
+	d.BeginWait(now + pause)
+	assert.Equal(t, d.Max(now+pause+time.Minute), time.Minute, "a caller that is scheduled before the loop after a suspension")
 	for range int(delayWindow/pause) + 2 {
 		wait(0)
 	}
-	assert.Equal(t, l.Max(now), time.Duration(0))
+	assert.Equal(t, d.Max(now), time.Duration(0))
 }
 
-// BenchmarkLateness measures a wait and a question.
-func BenchmarkLateness(b *testing.B) {
-	var l SchedulingDelay
+// BenchmarkSchedulingDelay measures recording a wait and a call of Max.
+func BenchmarkSchedulingDelay(b *testing.B) {
+	var d SchedulingDelay
 	b.Run("wait", func(b *testing.B) {
 		for b.Loop() {
-			l.BeginWait(Now())
-			l.EndWait(Now())
+			d.BeginWait(Now())
+			d.EndWait(Now())
 		}
 	})
-	b.Run("most", func(b *testing.B) {
+	b.Run("max", func(b *testing.B) {
 		for b.Loop() {
-			l.Max(time.Hour)
+			d.Max(time.Hour)
 		}
 	})
 }
--- a/process/logging/async.go
+++ b/process/logging/async.go
@@ -7,10 +7,10 @@
 	"sync/atomic"
 )
 
-// maxQueuedLines bounds the lines that wait to be written.
+// maxQueuedLines is the maximum number of lines that wait to be written.
 const maxQueuedLines = 1024
 
-// AsyncWriter is a writer that never blocks its caller. Lines that find no room are
+// AsyncWriter is a writer that never blocks its caller. If the queue is full, lines are
 // dropped and counted.
 type AsyncWriter struct {
 	out     io.Writer
@@ -19,14 +19,14 @@
 	Dropped atomic.Int64
 }
 
-// NewAsyncWriter returns a writer that passes lines on to out.
+// NewAsyncWriter returns a writer that writes lines to out in a separate goroutine.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
 	a := &AsyncWriter{out: out, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go a.run()
 	return a
 }
 
-// Write queues one line.
+// Write queues one line. It copies the line and never fails.
 func (a *AsyncWriter) Write(p []byte) (int, error) {
 	line := append([]byte(nil), p...)
 	select {
@@ -40,11 +40,11 @@
 func (a *AsyncWriter) run() {
 	defer close(a.done)
 	for line := range a.lines {
-		_, _ = a.out.Write(line) // a log that can not be written has no reader
+		_, _ = a.out.Write(line) // there is nowhere to report a failure to write the log
 	}
 }
 
-// Close writes what is queued. Nothing may be written afterwards.
+// Close writes the queued lines. Write must not be called afterwards.
 func (a *AsyncWriter) Close() {
 	close(a.lines)
 	<-a.done
--- a/process/logging/limit.go
+++ b/process/logging/limit.go
@@ -9,20 +9,20 @@
 	"github.com/rs/zerolog"
 )
 
-// Bounds of lines, in lines a second and kind.
+// Rate limits in lines per second, for each event.
 const (
 	defaultRate = 100
-	// successRate is that of events that tell of something that went well.
+	// successRate is the limit of successEvents.
 	successRate = 5
 )
 
-// successEvents are the events that are bounded more than others, so that
-// failures and refusals have room.
+// successEvents are the events that report a success. They have a lower limit than
+// others, so that lines of failures and rejections are kept.
 var successEvents = map[string]bool{"answered": true}
 
-// RateLimiter bounds the lines of each kind of event, a hook of zerolog. The first line
-// of a kind after some were left out tells how many, in the field leftOut. Debug
-// lines are not bounded. Use NewLimit.
+// RateLimiter is a zerolog hook that limits the rate of lines for each event. The first
+// line of an event after some were suppressed has their number in the field leftOut.
+// Debug lines are not limited. Create one with NewRateLimiter.
 type RateLimiter struct {
 	now func() time.Time
 
@@ -31,47 +31,48 @@
 	suppressed int64
 }
 
-// eventCount counts the lines of one kind in the present second.
+// eventCount counts the lines of one event in the current second.
 type eventCount struct {
 	second     int64
 	written    int
 	suppressed int
 }
 
-// NewRateLimiter returns a limit on a clock.
+// NewRateLimiter returns a rate limiter that reads the time from now.
 func NewRateLimiter(now func() time.Time) *RateLimiter {
 	return &RateLimiter{now: now, events: make(map[string]*eventCount)}
 }
 
-// Run decides on one line.
+// Run implements zerolog.Hook. It discards the line if the event has reached its limit.
 func (l *RateLimiter) Run(e *zerolog.Event, level zerolog.Level, event string) {
 	if level < zerolog.InfoLevel {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.events[event]
-	if k == nil {
-		k = &eventCount{}
-		l.events[event] = k
+	c := l.events[event]
+	if c == nil {
+		c = &eventCount{}
+		l.events[event] = c
 	}
-	if second := l.now().Unix(); second != k.second {
-		k.second = second
-		k.written = 0
+	if second := l.now().Unix(); second != c.second {
+		c.second = second
+		c.written = 0
 	}
-	if k.written >= maxRate(event) {
-		k.suppressed++
+	if c.written >= maxRate(event) {
+		c.suppressed++
 		l.suppressed++
 		e.Discard()
 		return
 	}
-	k.written++
-	if k.suppressed > 0 {
-		e.Int("leftOut", k.suppressed)
-		k.suppressed = 0
+	c.written++
+	if c.suppressed > 0 {
+		e.Int("leftOut", c.suppressed)
+		c.suppressed = 0
 	}
 }
 
+// maxRate returns the limit of an event in lines per second.
 func maxRate(event string) int {
 	if successEvents[event] {
 		return successRate
@@ -79,7 +80,7 @@
 	return defaultRate
 }
 
-// Suppressed returns the number of lines that were left out.
+// Suppressed returns the total number of suppressed lines.
 func (l *RateLimiter) Suppressed() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/process/logging/limit_test.go
+++ b/process/logging/limit_test.go
@@ -11,9 +11,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestLinesAreBoundedByKind writes many lines of one kind, and checks that
-// those of another are written, and that the lines left out are told.
-func TestLinesAreBoundedByKind(t *testing.T) {
+// TestRateIsLimitedByEvent checks that many lines of one event do not suppress those of
+// another, and that the number of suppressed lines is logged.
+func TestRateIsLimitedByEvent(t *testing.T) {
 	var out bytes.Buffer
 	now := time.Unix(1000, 0)
 	limit := NewRateLimiter(func() time.Time { return now })
--- a/process/logging/logging.go
+++ b/process/logging/logging.go
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
 
-// Package logging writes logs of one line of key=value pairs for each event.
+// Package logging provides a logger that writes one line of key=value pairs for each event,
+// a rate limit for its lines, and a writer that does not block.
 package logging
 
 import (
@@ -12,8 +13,7 @@
 	"github.com/rs/zerolog"
 )
 
-// New returns a logger that writes one line of key=value pairs for each
-// event.
+// New returns a logger that writes one line of key=value pairs to w for each event.
 func New(w io.Writer) zerolog.Logger {
 	pair := func(key string) zerolog.Formatter {
 		return func(v any) string {
@@ -34,5 +34,5 @@
 	return zerolog.New(out).With().Timestamp().Logger()
 }
 
-// setTimeFormat sets zerolog's own format, which all loggers share, once.
+// setTimeFormat sets zerolog's global time format once.
 var setTimeFormat = sync.OnceFunc(func() { zerolog.TimeFieldFormat = time.RFC3339Nano })
--- a/process/metric/metric.go
+++ b/process/metric/metric.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 
-// Package metric holds an instance's metrics: a histogram of latencies for
-// each service and class, and counters of results, kept with go-metrics. Write
-// prints them in the text form that scrapers read, one sample a line:
+// Package metric records an instance's metrics with go-metrics, among them a latency
+// histogram for each service and class, and counters of results. Write prints them in
+// the text format of metric scrapers, one sample per line:
 //
 //	shalewick_requests_total{service="bids",class="commit",result="OK"} 512
 //	shalewick_latency_us{service="bids",class="commit",quantile="0.99"} 20310
@@ -21,10 +21,10 @@
 	"shalewick/request"
 )
 
-// prefix begins the name of each metric.
+// prefix is the prefix of all metric names.
 const prefix = "shalewick_"
 
-// Set is the metrics of one process.
+// Set holds the metrics of one process.
 type Set struct {
 	registry   metrics.Registry
 	workspaces topWorkspaces
@@ -36,71 +36,72 @@
 	return &Set{registry: metrics.NewRegistry()}
 }
 
-// Sample sizes of histograms; see go-metrics.
+// Parameters of the exponentially decaying samples of histograms; see
+// metrics.NewExpDecaySample.
 const (
 	reservoir = 1028
 	alpha     = 0.015
 )
 
-// Request counts the end of a caller's request.
+// Request records the result and the latency of a caller's request.
 func (s *Set) Request(service string, class request.Class, code request.Code, took time.Duration) {
 	if service == "" {
 		service = "none"
 	}
-	of := fmt.Sprintf("service=%s,class=%s", strconv.Quote(service), strconv.Quote(class.String()))
-	s.Counter("requests_total{" + of + ",result=" + strconv.Quote(code.Info().Name) + "}").Inc(1)
-	s.histogram("latency_us{"+of+"}", reservoir).Update(took.Microseconds())
+	labels := fmt.Sprintf("service=%s,class=%s", strconv.Quote(service), strconv.Quote(class.String()))
+	s.Counter("requests_total{" + labels + ",result=" + strconv.Quote(code.Info().Name) + "}").Inc(1)
+	s.histogram("latency_us{"+labels+"}", reservoir).Update(took.Microseconds())
 }
 
-// Retry counts a further attempt at a request.
+// Retry counts a retry of a request.
 func (s *Set) Retry(service string) {
 	s.Counter("retries_total{service=" + strconv.Quote(service) + "}").Inc(1)
 }
 
-// InvalidLoadReport counts an answer of a backend server of a service whose load report can't be
-// used, or not whole.
+// InvalidLoadReport counts a response of a backend server whose load report is invalid, entirely
+// or in part.
 func (s *Set) InvalidLoadReport(service string) {
 	s.Counter("load_reports_bad_total{service=" + strconv.Quote(service) + "}").Inc(1)
 }
 
-// RateLimit counts an answer in which a backend server of a service names a rate limit.
+// RateLimit counts a response in which a backend server announces a rate limit.
 func (s *Set) RateLimit(service string) {
 	s.Counter("answers_rate_limit_total{service=" + strconv.Quote(service) + "}").Inc(1)
 }
 
-// InvalidRateLimit counts an answer of a backend server of a service whose rate limit can't be used.
+// InvalidRateLimit counts a response of a backend server whose rate limit is invalid.
 func (s *Set) InvalidRateLimit(service string) {
 	s.Counter("rate_limits_bad_total{service=" + strconv.Quote(service) + "}").Inc(1)
 }
 
-// CutOff counts a request that was cut off since the side that a kind names did not send or
-// read.
+// CutOff counts a request that was aborted since one side did not send or read in time. The
+// kind names that side.
 func (s *Set) CutOff(kind string) {
 	s.Counter("requests_cut_off_total{waited_for=" + strconv.Quote(kind) + "}").Inc(1)
 }
 
-// Notice counts an answer in which a backend server of a service says that it leaves, or
-// asks to be left alone for a time.
+// Notice counts a response in which a backend server announces that it is leaving, or
+// requests a backoff.
 func (s *Set) Notice(service string, n request.Notice) {
-	of := "{service=" + strconv.Quote(service) + "}"
+	labels := "{service=" + strconv.Quote(service) + "}"
 	if n.Leaving {
-		s.Counter("answers_leaving_total" + of).Inc(1)
+		s.Counter("answers_leaving_total" + labels).Inc(1)
 	}
 	if n.RetryAfter > 0 {
-		s.Counter("answers_retry_after_total" + of).Inc(1)
+		s.Counter("answers_retry_after_total" + labels).Inc(1)
 	}
 }
 
-// The ends of a request, by which notices are counted.
+// Outcomes of a request, the values of the label end.
 const (
 	EndInTime  = "in-time"
 	EndLate    = "late"
-	EndRefused = "refused" // it has not run
+	EndRefused = "refused" // it was not executed
 	EndFailed  = "failed"
 )
 
-// RequestWithNotice counts the end of a request that met a notice of a backend server of a service: what
-// it costs callers that servers leave or turn away.
+// RequestWithNotice counts the outcome of a request that received a notice from a backend server.
+// It shows how leaving servers and rejections affect callers.
 func (s *Set) RequestWithNotice(service string, n request.Notice, end string) {
 	count := func(notice string) {
 		s.Counter(fmt.Sprintf("requests_noticed_total{service=%q,notice=%q,end=%q}", service, notice, end)).Inc(1)
@@ -113,16 +114,17 @@
 	}
 }
 
-// Counter returns the counter of a name, which may have labels in braces.
+// Counter returns the counter with the name, which may contain labels in braces.
 func (s *Set) Counter(name string) metrics.Counter {
 	return metrics.GetOrRegisterCounter(name, s.registry)
 }
 
-// Gauge returns the gauge of a name, which may have labels in braces.
+// Gauge returns the gauge with the name, which may contain labels in braces.
 func (s *Set) Gauge(name string) metrics.Gauge {
 	return metrics.GetOrRegisterGauge(name, s.registry)
 }
 
+// histogram returns the histogram with the name, which may contain labels in braces.
 func (s *Set) histogram(name string, reservoir int) metrics.Histogram {
 	return s.registry.GetOrRegister(name, func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewExpDecaySample(reservoir, alpha))
@@ -131,7 +133,7 @@
 
 var quantiles = []float64{0.5, 0.99, 0.999}
 
-// Write prints all metrics, ordered by name.
+// Write prints all metrics in sorted order.
 func (s *Set) Write(w io.Writer) error {
 	var lines []string
 	s.registry.Each(func(name string, m any) { lines = append(lines, formatSamples(name, m)...) })
@@ -144,7 +146,7 @@
 	return nil
 }
 
-// formatSamples returns the lines of one metric.
+// formatSamples returns the lines for one metric.
 func formatSamples(name string, m any) []string {
 	switch m := m.(type) {
 	case metrics.Counter:
--- a/process/metric/metric_test.go
+++ b/process/metric/metric_test.go
@@ -14,10 +14,11 @@
 	"shalewick/request"
 )
 
-// sample is the form of a line that scrapers read.
+// sample matches a line of the text format that scrapers read.
 var sample = regexp.MustCompile(`^[a-z_]+(\{[a-z]+="[^"]*"(,[a-z]+="[^"]*")*\})? -?[0-9]+$`)
 
-func TestMetricsAreInTheFormOfScrapers(t *testing.T) {
+// TestTextFormat checks that every line matches the text format, and the values of some.
+func TestTextFormat(t *testing.T) {
 	s := NewSet()
 	for range 10 {
 		s.Request("bids", request.ClassCommit, request.OK, 20*time.Millisecond)
--- a/process/metric/software.go
+++ b/process/metric/software.go
@@ -12,37 +12,37 @@
 )
 
 const (
-	// maxSoftware bounds the versions of a service's software that have metrics of
-	// their own. Origin: two that a roll-out compares, and those of the one before.
+	// maxSoftware is the maximum number of software versions of a service that have
+	// separate metrics: two that a roll-out compares, and two of the roll-out before.
 	maxSoftware = 4
-	// softwareReservoir is the number of samples in the histogram of one.
+	// softwareReservoir is the number of samples in the histogram of a version.
 	softwareReservoir = 256
 )
 
-// otherSoftware is the label of all others of a service.
+// otherSoftware is the label for all other versions of a service.
 const otherSoftware = "(others)"
 
-// softwareKey names a version of a service's software.
+// softwareKey identifies a version of a service's software.
 type softwareKey struct{ service, software string }
 
-// softwareMetrics are those of one version.
+// softwareMetrics holds the metrics of one version.
 type softwareMetrics struct {
 	requests, failures metrics.Counter
 	latency            metrics.Histogram
-	lastUsed           int64 // when it was last looked up
+	lastUsed           int64 // value of softwareVersions.lookups at the last lookup
 }
 
-// softwareVersions are the versions that have metrics of their own. When a new one comes and a
-// service has too many, the one that was not used for longest goes to the others. The
-// zero value is empty.
+// softwareVersions holds the versions that have separate metrics. When a version is added and
+// its service has too many, the least recently used one is merged into otherSoftware. The zero
+// value is empty.
 type softwareVersions struct {
 	mu      sync.Mutex
 	metrics map[softwareKey]*softwareMetrics
 	lookups int64
 }
 
-// Software counts an answer, or the lack of one, of a backend server that runs a version
-// of a service's software. "" is none.
+// Software records the result and the latency of a request to a backend server that runs a
+// version of a service's software. It does nothing if software is empty.
 func (s *Set) Software(service, software string, failed bool, took time.Duration) {
 	if software == "" {
 		return
@@ -56,7 +56,7 @@
 	m.latency.Update(took.Microseconds())
 }
 
-// software returns the metrics of a version.
+// software returns the metrics of a version and marks it as used.
 func (s *Set) software(key softwareKey) *softwareMetrics {
 	v := &s.versions
 	v.mu.Lock()
@@ -70,32 +70,32 @@
 	return m
 }
 
-// addSoftware makes the metrics of a version. The caller holds the lock.
+// addSoftware adds the metrics of a version. The caller holds the lock.
 func (s *Set) addSoftware(key softwareKey) *softwareMetrics {
 	v := &s.versions
 	if v.metrics == nil {
 		v.metrics = make(map[softwareKey]*softwareMetrics)
 	}
 	others := softwareKey{key.service, otherSoftware}
-	oldest, known := softwareKey{}, 0
+	oldest, count := softwareKey{}, 0
 	for k, m := range v.metrics {
 		if k.service != key.service || k == others {
 			continue
 		}
-		known++
-		if known == 1 || m.lastUsed < v.metrics[oldest].lastUsed {
+		count++
+		if count == 1 || m.lastUsed < v.metrics[oldest].lastUsed {
 			oldest = k
 		}
 	}
-	if known >= maxSoftware {
+	if count >= maxSoftware {
 		s.mergeSoftware(oldest, others)
 	}
 	v.metrics[key] = s.newSoftware(key)
 	return v.metrics[key]
 }
 
-// mergeSoftware adds the counts of a version to those of the others of its service. The
-// caller holds the lock.
+// mergeSoftware adds the metrics of a version to those of the other versions of its service,
+// and removes it. The caller holds the lock.
 func (s *Set) mergeSoftware(key, others softwareKey) {
 	v := &s.versions
 	sum := v.metrics[others]
@@ -103,10 +103,10 @@
 		sum = s.newSoftware(others)
 		v.metrics[others] = sum
 	}
-	gone := v.metrics[key]
-	sum.requests.Inc(gone.requests.Count())
-	sum.failures.Inc(gone.failures.Count())
-	for _, took := range gone.latency.Sample().Values() {
+	merged := v.metrics[key]
+	sum.requests.Inc(merged.requests.Count())
+	sum.failures.Inc(merged.failures.Count())
+	for _, took := range merged.latency.Sample().Values() {
 		sum.latency.Update(took)
 	}
 	for _, name := range softwareNames(key) {
@@ -115,6 +115,7 @@
 	delete(v.metrics, key)
 }
 
+// newSoftware registers the metrics of a version.
 func (s *Set) newSoftware(key softwareKey) *softwareMetrics {
 	names := softwareNames(key)
 	return &softwareMetrics{
@@ -122,8 +123,8 @@
 	}
 }
 
-// softwareNames returns the names of requests, failures and latency of a version.
+// softwareNames returns the names of the metrics of a version: requests, failures, latency.
 func softwareNames(key softwareKey) [3]string {
-	of := fmt.Sprintf("{service=%s,software=%s}", strconv.Quote(key.service), strconv.Quote(key.software))
-	return [...]string{"software_requests_total" + of, "software_failures_total" + of, "software_latency_us" + of}
+	labels := fmt.Sprintf("{service=%s,software=%s}", strconv.Quote(key.service), strconv.Quote(key.software))
+	return [...]string{"software_requests_total" + labels, "software_failures_total" + labels, "software_latency_us" + labels}
 }
--- a/process/metric/software_test.go
+++ b/process/metric/software_test.go
@@ -20,9 +20,9 @@
 	return out.String()
 }
 
-// TestVersionsAreCounted checks the metrics of two versions of a service's software, and
-// that software that is not known has none.
-func TestVersionsAreCounted(t *testing.T) {
+// TestSoftwareMetrics checks the metrics of two versions of a service's software, and that an
+// empty version has none.
+func TestSoftwareMetrics(t *testing.T) {
 	s := NewSet()
 	s.Software("bids", "v1", false, 20*time.Millisecond)
 	s.Software("bids", "v2", true, 90*time.Millisecond)
@@ -43,9 +43,9 @@
 	assert.Equal(t, strings.Count(got, "software_requests_total"), 2)
 }
 
-// TestVersionsAreBoundedByService checks that the ones used last have names, that no
-// count is lost, and that one service takes nothing from another.
-func TestVersionsAreBoundedByService(t *testing.T) {
+// TestSoftwareVersionsAreLimitedByService checks that the most recently used versions have
+// separate metrics, that merging loses no counts, and that one service does not affect another.
+func TestSoftwareVersionsAreLimitedByService(t *testing.T) {
 	s := NewSet()
 	s.Software("calm", "v0", false, time.Millisecond)
 	for i := range 3 * maxSoftware {
@@ -69,17 +69,18 @@
 	}
 }
 
-// TestVersionsMayBeCountedFromSeveralSides counts and prints side by side.
-func TestVersionsMayBeCountedFromSeveralSides(t *testing.T) {
+// TestSoftwareMetricsAreSafeForConcurrentUse records and prints metrics concurrently, for the
+// race detector.
+func TestSoftwareMetricsAreSafeForConcurrentUse(t *testing.T) {
 	s := NewSet()
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for i := range 4 {
-		all.Go(func() {
+		group.Go(func() {
 			for n := range 500 {
 				s.Software("s", fmt.Sprint("v", (n/50+i)%6), n%3 == 0, time.Millisecond)
 			}
 		})
 	}
-	all.Go(func() { _ = text(t, s) })
-	all.Wait()
+	group.Go(func() { _ = text(t, s) })
+	group.Wait()
 }
--- a/process/metric/workspace_test.go
+++ b/process/metric/workspace_test.go
@@ -14,9 +14,9 @@
 	"shalewick/request"
 )
 
-// TestBusiestWorkspacesHaveNames checks that the metrics are bounded, and that a
-// workspace that turns busy gets its own.
-func TestBusiestWorkspacesHaveNames(t *testing.T) {
+// TestBusiestWorkspacesHaveSeparateMetrics checks that the number of workspaces with separate
+// metrics is limited, and that a workspace that becomes busy gets its own.
+func TestBusiestWorkspacesHaveSeparateMetrics(t *testing.T) {
 	s := NewSet()
 	for i := range 3 * maxWorkspaces {
 		s.Workspace(fmt.Sprintf("w%d", i), request.OK, time.Millisecond)
--- a/process/setting/setting.go
+++ b/process/setting/setting.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 
 // Package setting binds a command's flags to environment variables. Each flag
-// --some-name can also be set as SHALEWICK_SOME_NAME; the flag goes first.
+// --some-name can also be set as SHALEWICK_SOME_NAME; the flag takes precedence.
 package setting
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/spf13/pflag"
 )
 
-// Prefix is the beginning of every environment variable.
+// Prefix is the prefix of all environment variables.
 const Prefix = "SHALEWICK_"
 
-// Variable returns the environment variable of a flag.
+// Variable returns the name of the environment variable for a flag.
 func Variable(flag string) string {
 	return Prefix + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
 
-// FromEnvironment sets the flags that were not given from their variables, and
-// notes the variable in each flag's help.
+// FromEnvironment sets the flags that were not given on the command line from their
+// environment variables. It returns the first error.
 func FromEnvironment(fs *pflag.FlagSet) error {
 	var first error
 	fs.VisitAll(func(f *pflag.Flag) {
@@ -37,7 +37,7 @@
 	return first
 }
 
-// Describe adds the environment variable to the help of each flag.
+// Describe adds the name of the environment variable to the help text of each flag.
 func Describe(fs *pflag.FlagSet) {
 	fs.VisitAll(func(f *pflag.Flag) {
 		if !strings.Contains(f.Usage, Prefix) && f.Name != "help" {
@@ -46,10 +46,10 @@
 	})
 }
 
-// CheckAddress checks that a setting is an IP number and a port.
+// CheckAddress checks that the value of a flag is an IP address and a port.
 func CheckAddress(flag, value string) error {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		return errors.Errorf("--%s: %q is not an IP number and port like 127.0.0.1:8000", flag, value)
+		return errors.Errorf("--%s: %q is not an IP address and port like 127.0.0.1:8000", flag, value)
 	}
 	return nil
 }
--- a/version/check.go
+++ b/version/check.go
@@ -103,7 +103,7 @@
 func (k *checker) backend(b *Backend) {
 	k.requireExists("spec.service", KindService, b.Service)
 	k.requireExists("spec.hall", KindHall, b.Hall)
-	k.require(b.Address.IsValid() && b.Address.Port() != 0, "spec.address", "must be an IP number and a port")
+	k.require(b.Address.IsValid() && b.Address.Port() != 0, "spec.address", "must be an IP address and a port")
 	k.require(b.Cold >= 0, "spec.cold", "must not be negative")
 	k.require(b.Slots >= 1 && b.Slots <= MaxSlots, "spec.slots", "must be 1 to 4096")
 }
--- a/version/resource.go
+++ b/version/resource.go
@@ -293,9 +293,9 @@
 	if err := strictJSON(d.Spec, spec); err != nil {
 		return &FieldError{Key: r.Key, Field: "spec", Rule: err.Error()}
 	}
-	if x := r.Drain; x != nil && x.Upstream != "" {
+	if drain := r.Drain; drain != nil && drain.Upstream != "" {
 		r.Deprecated = append(r.Deprecated, "spec.upstream")
-		x.Backend, x.Upstream = x.Upstream, ""
+		drain.Backend, drain.Upstream = drain.Upstream, ""
 	}
 	return nil
 }
