--- a/process/balance/balance_test.go
+++ b/process/balance/balance_test.go
@@ -237,7 +237,7 @@
 	assert.Equal(t, k.Name, "b")
 	q = p.query(1)
 	home := *q.Route
-	home.HomeRegions = []bool{false, true, false}
+	home.Home = []bool{false, true, false}
 	q.Route = &home
 	k, _ = p.Pick(q)
 	assert.Equal(t, k.Name, "b")
--- a/process/balance/candidate.go
+++ b/process/balance/candidate.go
@@ -214,7 +214,7 @@
 // state tells whether a backend server that is not closed may get the request, and counts why it
 // may not. Nil: nothing is known of it.
 func (x *search) state(v *version.RoutedBackend, u *backend) found {
-	if x.q.Route.HomeRegions != nil && !x.q.Route.HomeRegions[v.Region] {
+	if x.q.Route.Home != nil && !x.q.Route.Home[v.Region] {
 		x.why.Foreign++
 		return leftOut
 	}
--- a/process/balance/home.go
+++ b/process/balance/home.go
@@ -84,7 +84,7 @@
 	for k, n := rand.IntN(max(1, len(s.Backends))), 0; n < len(s.Backends); n++ {
 		i := s.Backends[(k+n)%len(s.Backends)]
 		v := &t.routing.Backends[i]
-		if !v.Closed && (q.Route.HomeRegions == nil || q.Route.HomeRegions[v.Region]) && t.takes(i, now) {
+		if !v.Closed && (q.Route.Home == nil || q.Route.Home[v.Region]) && t.takes(i, now) {
 			return v.Hash, true
 		}
 	}
@@ -119,7 +119,7 @@
 			}
 			near := v.UnitDistance(q.Object) / w.of(k)
 			nearest = min(nearest, near)
-			if (q.Route.HomeRegions == nil || q.Route.HomeRegions[v.Region]) && near < firstNear && among(i) {
+			if (q.Route.Home == nil || q.Route.Home[v.Region]) && near < firstNear && among(i) {
 				first, firstNear = i, near
 			}
 		}
--- a/process/edge/directory.go
+++ b/process/edge/directory.go
@@ -44,7 +44,7 @@
 // homeRegions returns the names of the regions that may serve all routes of a
 // host, or nil when all may.
 func homeRegions(r *version.Routing, host string) map[string]bool {
-	homes := r.HostHomeRegions(host)
+	homes := r.HostHomes(host)
 	if homes == nil {
 		return nil
 	}
--- a/version/host.go
+++ b/version/host.go
@@ -27,15 +27,15 @@
 		h.byPrefix[v.Prefix] = v
 	}
 	h.maxPrefix = max(h.maxPrefix, len(v.Prefix))
-	if v.HomeRegions == nil {
+	if v.Home == nil {
 		return
 	}
 	if h.homeRegions == nil {
-		h.homeRegions = slices.Clone(v.HomeRegions)
+		h.homeRegions = slices.Clone(v.Home)
 		return
 	}
 	for i := range h.homeRegions {
-		h.homeRegions[i] = h.homeRegions[i] && v.HomeRegions[i]
+		h.homeRegions[i] = h.homeRegions[i] && v.Home[i]
 	}
 }
 
@@ -69,9 +69,9 @@
 	return h.find(path)
 }
 
-// HostHomeRegions tells by region whether all routes of a host that have homes may be
+// HostHomes tells by region whether all routes of a host that have homes may be
 // served there; nil if no route of the host has homes. The result must not be modified.
-func (r *Routing) HostHomeRegions(host string) []bool {
+func (r *Routing) HostHomes(host string) []bool {
 	h := r.hosts[host]
 	if h == nil {
 		return nil
--- a/version/routing.go
+++ b/version/routing.go
@@ -36,8 +36,8 @@
 	Name string
 	// Parts are the services of the split, in the order of Route.Split.
 	Parts []RoutePart
-	// HomeRegions tells by region whether it may serve. Nil if all may.
-	HomeRegions []bool
+	// Home tells by region whether it may serve. Nil if all may.
+	Home []bool
 }
 
 // RoutePart is one service of a route's split.
@@ -231,9 +231,9 @@
 	for _, w := range v.Split {
 		v.Parts = append(v.Parts, RoutePart{Service: services[w.Service], Weight: w.Weight})
 	}
-	v.HomeRegions = homeRegions(v.Homes, r.Regions)
+	v.Home = homeRegions(v.Homes, r.Regions)
 	for i := range v.Parts {
-		r.setWeights(&v.Parts[i], v.HomeRegions)
+		r.setWeights(&v.Parts[i], v.Home)
 	}
 	h := r.hosts[v.Host]
 	if h == nil {
--- a/version/routing_test.go
+++ b/version/routing_test.go
@@ -93,7 +93,7 @@
 		}
 		assert.Equal(t, got, x.want, "%s%s", x.host, x.path)
 	}
-	assert.DeepEqual(t, r.HostHomeRegions("a.example"), []bool{true, false})
+	assert.DeepEqual(t, r.HostHomes("a.example"), []bool{true, false})
 	assert.Equal(t, r.Limits.MaxBody, int64(1000))
 }
 
--- a/version/workspace.go
+++ b/version/workspace.go
@@ -55,7 +55,7 @@
 // UnmarshalText decodes 64 hexadecimal digits.
 func (h *KeyHash) UnmarshalText(b []byte) error {
 	if len(b) != hex.EncodedLen(len(h)) {
-		return errors.New("a key must be given as its SHA-256 hash, 64 hexadecimal digits")
+		return errors.New("a key is written as the SHA-256 of it, 64 hexadecimal digits")
 	}
 	_, err := hex.Decode(h[:], b)
 	return errors.Annotate(err, "hash of a key")
@@ -104,9 +104,9 @@
 	Name        string
 	Priority    int
 	Rate, Burst float64
-	// HomeRegions tells by region whether it may serve. Nil if all may.
-	HomeRegions []bool
-	// homeSetID is the same for all workspaces with equal HomeRegions.
+	// Home tells by region whether it may serve. Nil if all may.
+	Home []bool
+	// homeSetID is the same for all workspaces with equal Home.
 	homeSetID int
 }
 
@@ -128,7 +128,7 @@
 		w.sources = append(w.sources, x.Workspace)
 		w.views = append(w.views, WorkspaceView{
 			Name: x.Name, Priority: x.Workspace.Priority, Rate: x.Workspace.Rate, Burst: x.Workspace.Burst,
-			HomeRegions: allowed, homeSetID: id,
+			Home: allowed, homeSetID: id,
 		})
 		for _, h := range x.Workspace.Keys {
 			w.byKey[h] = int32(i)
@@ -194,16 +194,16 @@
 // workspace has homes, only backend servers in them may serve. Such a view is compiled on
 // first use, once for all workspaces with the same homes. A nil workspace has no homes.
 func (r *Routing) RestrictRoute(v *RouteView, w *WorkspaceView) *RouteView {
-	if w == nil || w.HomeRegions == nil {
+	if w == nil || w.Home == nil {
 		return v
 	}
 	key := restriction{v, w.homeSetID}
 	if cached, ok := r.restricted.Load(key); ok {
 		return cached.(*RouteView)
 	}
-	n := &RouteView{Route: v.Route, Name: v.Name, HomeRegions: intersectRegions(v.HomeRegions, w.HomeRegions), Parts: slices.Clone(v.Parts)}
+	n := &RouteView{Route: v.Route, Name: v.Name, Home: intersectRegions(v.Home, w.Home), Parts: slices.Clone(v.Parts)}
 	for i := range n.Parts {
-		r.setWeights(&n.Parts[i], n.HomeRegions)
+		r.setWeights(&n.Parts[i], n.Home)
 	}
 	cached, _ := r.restricted.LoadOrStore(key, n)
 	return cached.(*RouteView)
--- a/version/workspace_test.go
+++ b/version/workspace_test.go
@@ -98,11 +98,11 @@
 	r := CompileRouting(c, nil)
 	route := r.Route("a", "/x")
 	restrict := func(key string) *RouteView { return r.RestrictRoute(route, r.Workspaces.Find(key)) }
-	assert.DeepEqual(t, restrict("a").HomeRegions, []bool{false, true, false})
+	assert.DeepEqual(t, restrict("a").Home, []bool{false, true, false})
 	assert.Assert(t, restrict("a") == restrict("b"))
 	assert.Assert(t, restrict("c") == route)
 	assert.Assert(t, r.RestrictRoute(route, nil) == route)
-	assert.DeepEqual(t, route.HomeRegions, []bool{true, true, false})
+	assert.DeepEqual(t, route.Home, []bool{true, true, false})
 }
 
 // TestUnchangedWorkspacesAreShared checks that workspaces are compiled again only if one of
