--- a/clock/boot.go
+++ b/clock/boot.go
@@ -15,9 +15,9 @@
 // continues during a suspension. It is therefore used for everything that has to expire after a
 // suspension: leases, tables, and state received from other instances.
 //
-// The kernel clock is read at most once per maxSampleAge, and whenever wall clock and monotonic
-// time have diverged, as they do during a suspension. Between these readings, Now adds the
-// elapsed time of time.Now, which needs no system call.
+// The kernel clock is only read if the last reading is older than maxSampleAge, or if wall clock and
+// monotonic time have diverged since, as they do during a suspension. Otherwise Now adds the time
+// that has elapsed according to time.Now, which needs no system call.
 func Now() time.Duration {
 	t := time.Now()
 	return defaultClock.now(t.Sub(reference()), t.UnixNano(), bootTime)
--- a/process/metric/metric.go
+++ b/process/metric/metric.go
@@ -94,17 +94,17 @@
 
 // Outcomes of a request, the values of the label end.
 const (
-	EndInTime  = "in-time"
-	EndLate    = "late"
-	EndRefused = "refused" // it was not executed
-	EndFailed  = "failed"
+	OutcomeInTime   = "in-time"
+	OutcomeLate     = "late"
+	OutcomeRejected = "refused" // it was not executed
+	OutcomeFailed   = "failed"
 )
 
 // RequestWithNotice counts the outcome of a request that received a notice from a backend server.
 // It shows how leaving servers and rejections affect callers.
-func (s *Set) RequestWithNotice(service string, n request.Notice, end string) {
+func (s *Set) RequestWithNotice(service string, n request.Notice, outcome string) {
 	count := func(notice string) {
-		s.Counter(fmt.Sprintf("requests_noticed_total{service=%q,notice=%q,end=%q}", service, notice, end)).Inc(1)
+		s.Counter(fmt.Sprintf("requests_noticed_total{service=%q,notice=%q,end=%q}", service, notice, outcome)).Inc(1)
 	}
 	if n.Leaving {
 		count("leaving")
--- a/process/proxy/answer.go
+++ b/process/proxy/answer.go
@@ -49,9 +49,9 @@
 	}
 	took := time.Since(c.began)
 	p.measure(c, c.route.Class, code, took)
-	end := metric.EndInTime
+	end := metric.OutcomeInTime
 	if took > time.Duration(c.route.Objective) {
-		end = metric.EndLate
+		end = metric.OutcomeLate
 	}
 	p.Metrics.RequestWithNotice(c.service, c.met, end)
 	if err != nil && a.ex != nil {
@@ -84,9 +84,9 @@
 	if res.Ran == request.RanNo && status >= http.StatusInternalServerError {
 		status = http.StatusServiceUnavailable
 	}
-	end := metric.EndFailed
+	end := metric.OutcomeFailed
 	if res.Ran == request.RanNo {
-		end = metric.EndRefused
+		end = metric.OutcomeRejected
 	}
 	p.Metrics.RequestWithNotice(c.service, c.met, end)
 	h := c.w.Header()
--- a/process/steer/steer.go
+++ b/process/steer/steer.go
@@ -205,7 +205,7 @@
 		}
 		now := s.Now()
 		query := version.Query{
-			Service: svc, Region: region, Random: rand.Uint64(), InForce: now - b.Since,
+			Service: svc, Region: region, Random: rand.Uint64(), ViewAge: now - b.Since,
 			Exclude: [2]int32{b.backend(a.Tried[0]), b.backend(a.Tried[1])},
 		}
 		c := b.View.Decide(&query, b.Counters)
--- a/version/decide.go
+++ b/version/decide.go
@@ -36,8 +36,8 @@
 	// request belongs to a shifted share, whether the decision explores, and at which
 	// backend server the search starts.
 	Random uint64
-	// InForce is the time since the view was activated, for ramps.
-	InForce time.Duration
+	// ViewAge is the time since the view was activated, for ramps.
+	ViewAge time.Duration
 	// Exclude are the backend servers that were already tried. Unused entries are None.
 	Exclude [2]int32
 }
@@ -110,8 +110,8 @@
 // inShiftedShare reports whether the request belongs to the share that a shift moves.
 func inShiftedShare(shift *ShiftView, q *Query) bool {
 	share := shift.Share
-	if q.InForce < shift.Ramp {
-		share *= float64(q.InForce) / float64(shift.Ramp)
+	if q.ViewAge < shift.Ramp {
+		share *= float64(q.ViewAge) / float64(shift.Ramp)
 	}
 	const scale = 1 << 32
 	return float64(q.Random>>32) < share*scale
--- a/version/resource.go
+++ b/version/resource.go
@@ -38,11 +38,11 @@
 
 // ParseKind converts text to a kind. It accepts the deprecated name of KindBackend and does
 // not check that the kind exists.
-func ParseKind(word string) Kind {
-	if word == deprecatedKindBackend {
+func ParseKind(text string) Kind {
+	if text == deprecatedKindBackend {
 		return KindBackend
 	}
-	return Kind(word)
+	return Kind(text)
 }
 
 // UnmarshalText implements encoding.TextUnmarshaler by ParseKind.
