--- a/process/balance/backoff_model_test.go
+++ b/process/balance/backoff_model_test.go
@@ -39,7 +39,7 @@
 	instances := make([]*fixture, w.instances)
 	for i := range instances {
 		p := newFixture(w.instances)
-		p.route(version.Weighted{Service: "t", Weight: 1})
+		p.route(version.WeightedService{Service: "t", Weight: 1})
 		for k := range w.backends {
 			p.backend(fmt.Sprintf("u%d", k), 0, func(b *version.Backend) { b.Service = "t" })
 		}
--- a/process/balance/candidate.go
+++ b/process/balance/candidate.go
@@ -81,7 +81,7 @@
 	c.rank = rank
 	c.wait = u.expectedWait(now, v.Slots)
 	c.cost = c.wait + time.Duration(rank)*t.Policy.RankCost + work - u.typicalWork()
-	c.unseen = q.Route.Sticky && !t.seen.has(object, v.Life, now, t.Policy.SeenTTL)
+	c.unseen = q.Route.Sticky && !t.seen.has(object, v.IncarnationHash, now, t.Policy.SeenTTL)
 	if rank > 0 && c.unseen {
 		c.cost += time.Duration(t.Policy.UnseenCost * float64(work))
 	}
@@ -125,7 +125,7 @@
 	for g := range version.GroupCount {
 		x.near[g], x.far[g] = math.Inf(1), math.Inf(1)
 		if len(x.s.Groups.Members(g)) > 0 {
-			draw := version.GroupDraw(x.object, g)
+			draw := version.GroupUnitDistance(x.object, g)
 			x.near[g] = groupDistance(draw, groupWeight(x.s, x.weights, g))
 			x.far[g] = groupDistance(draw, x.s.Groups.Slots[g])
 		}
@@ -177,7 +177,7 @@
 			continue
 		}
 		u := x.t.states[i]
-		draw := v.Draw(x.object)
+		draw := v.UnitDistance(x.object)
 		near, far := draw/x.weights.of(k), draw/float64(v.Slots)
 		minNear, minFar = min(minNear, near), min(minFar, far)
 		if u != nil {
--- a/process/balance/choose.go
+++ b/process/balance/choose.go
@@ -109,7 +109,7 @@
 		return nil
 	}
 	s := &r.Services[p.Service]
-	if s.Name != q.Route.Split[q.Part].Service || s.OfTarget {
+	if s.Name != q.Route.Split[q.Part].Service || s.IsTarget {
 		return nil
 	}
 	return s
@@ -211,6 +211,6 @@
 	return &Pick{
 		Name: v.Name, Address: v.Address, Software: v.Software, Incarnation: v.Incarnation, Region: t.routing.Regions[v.Region], Pool: u.pool,
 		Rank: c.rank, Unseen: c.unseen, Cold: now < u.coldUntil, Wait: c.wait, ExpectedTime: t.expectedTime(c, now),
-		table: t, backend: u, object: object, startHash: v.Life, started: now,
+		table: t, backend: u, object: object, startHash: v.IncarnationHash, started: now,
 	}
 }
--- a/process/balance/fixture_test.go
+++ b/process/balance/fixture_test.go
@@ -39,13 +39,13 @@
 		Warming: &version.Warming{Time: version.Duration(3 * time.Second), Rate: 9},
 	}})
 	p.put(version.Resource{Key: version.Key{Kind: version.KindService, Name: "t"}, Service: &version.Service{}})
-	p.route(version.Weighted{Service: "s", Weight: 1})
+	p.route(version.WeightedService{Service: "s", Weight: 1})
 	return p
 }
 
 func (p *fixture) put(r version.Resource) { p.config.Resources[r.Key] = r }
 
-func (p *fixture) route(split ...version.Weighted) {
+func (p *fixture) route(split ...version.WeightedService) {
 	p.put(version.Resource{Key: version.Key{Kind: version.KindRoute, Name: "r"}, Route: &version.Route{
 		Host: "a", Prefix: "/", Class: request.ClassRead, Repeatable: true, Sticky: true, Split: split,
 		Timeout: version.Duration(time.Second), Objective: version.Duration(400 * time.Millisecond), Attempts: 2,
@@ -86,13 +86,13 @@
 }
 
 // stateOf returns the state of a backend server.
-func (p *fixture) stateOf(name string) *backend { return p.state(p.routing.Find(name)) }
+func (p *fixture) stateOf(name string) *backend { return p.state(p.routing.FindBackend(name)) }
 
 // startHashOf returns the hash that identifies the present incarnation of a backend server.
 func (p *fixture) startHashOf(name string) uint64 {
 	for i := range p.routing.Backends {
 		if p.routing.Backends[i].Name == name {
-			return p.routing.Backends[i].Life
+			return p.routing.Backends[i].IncarnationHash
 		}
 	}
 	return 0
--- a/process/balance/home.go
+++ b/process/balance/home.go
@@ -116,13 +116,13 @@
 			if v.Closed {
 				continue
 			}
-			near := v.Draw(q.Object) / w.of(k)
+			near := v.UnitDistance(q.Object) / w.of(k)
 			minNear = min(minNear, near)
 			if (q.Route.Home == nil || q.Route.Home[v.Region]) && near < firstDistance && accept(i) {
 				first, firstDistance = i, near
 			}
 		}
-		if near := groupDistance(version.GroupDraw(q.Object, g), groupWeight(s, w, g)) * firstDistance / minNear; first != version.None && near < minDistance {
+		if near := groupDistance(version.GroupUnitDistance(q.Object, g), groupWeight(s, w, g)) * firstDistance / minNear; first != version.None && near < minDistance {
 			best, minDistance = first, near
 		}
 	}
--- a/process/balance/limit.go
+++ b/process/balance/limit.go
@@ -17,7 +17,7 @@
 
 // rateLimitBackend returns the incarnation of a backend server as the rate limiter identifies it.
 func (t *Table) rateLimitBackend(v *version.RoutedBackend) ratelimit.Backend {
-	return ratelimit.Backend{Start: v.Life, Name: v.Name, Region: t.routing.Regions[v.Region]}
+	return ratelimit.Backend{Start: v.IncarnationHash, Name: v.Name, Region: t.routing.Regions[v.Region]}
 }
 
 // overLimit reports whether a backend server's rate limit excludes it for the request.
@@ -26,9 +26,9 @@
 		return false
 	}
 	if q.SkipLimited {
-		return t.Limits.Limited(v.Life)
+		return t.Limits.Limited(v.IncarnationHash)
 	}
-	return t.Limits.Blocked(v.Life, q.Priority) > 0
+	return t.Limits.Blocked(v.IncarnationHash, q.Priority) > 0
 }
 
 // minLimitLeft returns the shortest time until the rate limit of one of some backend servers may
@@ -39,7 +39,7 @@
 		return shortest
 	}
 	for _, i := range backends {
-		left := t.Limits.Blocked(t.routing.Backends[i].Life, q.Priority)
+		left := t.Limits.Blocked(t.routing.Backends[i].IncarnationHash, q.Priority)
 		if left > 0 && (shortest == 0 || left < shortest) {
 			shortest = left
 		}
@@ -53,7 +53,7 @@
 	if t.Limits == nil {
 		return 0, false
 	}
-	at, announce := t.Limits.LastLimited(t.routing.Backends[index].Life)
+	at, announce := t.Limits.LastLimited(t.routing.Backends[index].IncarnationHash)
 	return byte((now - at) / observationUnit), announce
 }
 
--- a/process/balance/notice.go
+++ b/process/balance/notice.go
@@ -113,7 +113,7 @@
 // reconcileRows compares notices with the rows of a new routing. The caller holds the lock.
 func (t *Table) reconcileRows(now time.Duration) {
 	for start, n := range t.notices {
-		i := t.routing.Find(start.name)
+		i := t.routing.FindBackend(start.name)
 		if i == version.None || startKeyOf(&t.routing.Backends[i]) != start {
 			continue
 		}
--- a/process/balance/observe.go
+++ b/process/balance/observe.go
@@ -93,7 +93,7 @@
 // appendEntry appends an entry for a backend server: a time, whose meaning depends on the load
 // byte, and the load byte.
 func (t *Table) appendEntry(out []byte, index int32, units, load byte) []byte {
-	out = binary.LittleEndian.AppendUint32(out, uint32(t.routing.Backends[index].Life))
+	out = binary.LittleEndian.AppendUint32(out, uint32(t.routing.Backends[index].IncarnationHash))
 	return append(out, units, load)
 }
 
@@ -230,7 +230,7 @@
 func indexByHash(r *version.Routing) map[uint32]int32 {
 	out := make(map[uint32]int32, len(r.Backends))
 	for i := range r.Backends {
-		out[uint32(r.Backends[i].Life)] = int32(i)
+		out[uint32(r.Backends[i].IncarnationHash)] = int32(i)
 	}
 	return out
 }
--- a/process/balance/refusal_test.go
+++ b/process/balance/refusal_test.go
@@ -29,7 +29,7 @@
 		maxRefused = 27
 	)
 	p := newFixture(1)
-	p.route(version.Weighted{Service: "t", Weight: 1})
+	p.route(version.WeightedService{Service: "t", Weight: 1})
 	for i := range backends {
 		p.backend(fmt.Sprintf("u%d", i), 0, func(b *version.Backend) { b.Service = "t" })
 	}
--- a/process/balance/software.go
+++ b/process/balance/software.go
@@ -60,7 +60,7 @@
 func (t *Table) inherit(s *version.RoutedService) {
 	combined := t.services[softwareKey{service: s.Name}]
 	key := softwareKey{s.Name, s.Software}
-	if combined != nil && t.services[key] == nil && !s.OfTarget {
+	if combined != nil && t.services[key] == nil && !s.IsTarget {
 		t.services[key] = combined
 	}
 }
@@ -102,7 +102,7 @@
 		return "", false
 	}
 	for i := range t.routing.Services {
-		if s := &t.routing.Services[i]; s.OfTarget && s.Name == service {
+		if s := &t.routing.Services[i]; s.IsTarget && s.Name == service {
 			return s.Software, true
 		}
 	}
--- a/process/logging/async.go
+++ b/process/logging/async.go
@@ -7,27 +7,27 @@
 	"sync/atomic"
 )
 
-// asyncLines bounds the lines that wait to be written.
-const asyncLines = 1024
+// maxQueuedLines is the maximum number of lines that wait to be written.
+const maxQueuedLines = 1024
 
-// Async is a writer that never blocks its caller. Lines that find no room are
+// AsyncWriter is a writer that never blocks its caller. If the queue is full, lines are
 // dropped and counted.
-type Async struct {
+type AsyncWriter struct {
 	out     io.Writer
 	lines   chan []byte
 	done    chan struct{}
 	Dropped atomic.Int64
 }
 
-// NewAsync returns a writer that passes lines on to out.
-func NewAsync(out io.Writer) *Async {
-	a := &Async{out: out, lines: make(chan []byte, asyncLines), done: make(chan struct{})}
+// NewAsyncWriter returns a writer that writes lines to out in a separate goroutine.
+func NewAsyncWriter(out io.Writer) *AsyncWriter {
+	a := &AsyncWriter{out: out, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go a.run()
 	return a
 }
 
-// Write queues one line.
-func (a *Async) Write(p []byte) (int, error) {
+// Write queues one line. It copies the line and never fails.
+func (a *AsyncWriter) Write(p []byte) (int, error) {
 	line := append([]byte(nil), p...)
 	select {
 	case a.lines <- line:
@@ -37,15 +37,15 @@
 	return len(p), nil
 }
 
-func (a *Async) run() {
+func (a *AsyncWriter) run() {
 	defer close(a.done)
 	for line := range a.lines {
-		_, _ = a.out.Write(line) // a log that can not be written has no reader
+		_, _ = a.out.Write(line) // there is nowhere to report a failure to write the log
 	}
 }
 
-// Close writes what is queued. Nothing may be written afterwards.
-func (a *Async) Close() {
+// Close writes the queued lines. Write must not be called afterwards.
+func (a *AsyncWriter) Close() {
 	close(a.lines)
 	<-a.done
 }
--- a/process/metric/software.go
+++ b/process/metric/software.go
@@ -12,42 +12,42 @@
 )
 
 const (
-	// mostSoftware bounds the versions of a service's software that have metrics of
-	// their own. Origin: two that a roll-out compares, and those of the one before.
-	mostSoftware = 4
-	// softwareReservoir is the number of samples in the histogram of one.
+	// maxSoftware is the maximum number of software versions of a service that have
+	// separate metrics: two that a roll-out compares, and two of the roll-out before.
+	maxSoftware = 4
+	// softwareReservoir is the number of samples in the histogram of a version.
 	softwareReservoir = 256
 )
 
-// otherSoftware is the label of all others of a service.
+// otherSoftware is the label for all other versions of a service.
 const otherSoftware = "(others)"
 
-// softwareOf names a version of a service's software.
-type softwareOf struct{ service, software string }
+// softwareKey identifies a version of a service's software.
+type softwareKey struct{ service, software string }
 
-// softwareMetrics are those of one version.
+// softwareMetrics holds the metrics of one version.
 type softwareMetrics struct {
 	requests, failures metrics.Counter
 	latency            metrics.Histogram
-	used               int64 // when it was last looked up
+	lastUsed           int64 // value of softwareVersions.lookups at the last lookup
 }
 
-// versions are the versions that have metrics of their own. When a new one comes and a
-// service has too many, the one that was not used for longest goes to the others. The
-// zero value is empty.
-type versions struct {
-	mu    sync.Mutex
-	of    map[softwareOf]*softwareMetrics
-	looks int64
+// softwareVersions holds the versions that have separate metrics. When a version is added and
+// its service has too many, the least recently used one is merged into otherSoftware. The zero
+// value is empty.
+type softwareVersions struct {
+	mu      sync.Mutex
+	metrics map[softwareKey]*softwareMetrics
+	lookups int64
 }
 
-// Software counts an answer, or the lack of one, of a backend server that runs a version
-// of a service's software. "" is none.
+// Software records the result and the latency of a request to a backend server that runs a
+// version of a service's software. It does nothing if software is empty.
 func (s *Set) Software(service, software string, failed bool, took time.Duration) {
 	if software == "" {
 		return
 	}
-	m := s.software(softwareOf{service, software})
+	m := s.software(softwareKey{service, software})
 	m.requests.Inc(1)
 	if failed {
 		m.failures.Inc(1)
@@ -56,74 +56,75 @@
 	m.latency.Update(took.Microseconds())
 }
 
-// software returns the metrics of a version.
-func (s *Set) software(key softwareOf) *softwareMetrics {
+// software returns the metrics of a version and marks it as used.
+func (s *Set) software(key softwareKey) *softwareMetrics {
 	v := &s.versions
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.looks++
-	m := v.of[key]
+	v.lookups++
+	m := v.metrics[key]
 	if m == nil {
 		m = s.addSoftware(key)
 	}
-	m.used = v.looks
+	m.lastUsed = v.lookups
 	return m
 }
 
-// addSoftware makes the metrics of a version. The caller holds the lock.
-func (s *Set) addSoftware(key softwareOf) *softwareMetrics {
+// addSoftware adds the metrics of a version. The caller holds the lock.
+func (s *Set) addSoftware(key softwareKey) *softwareMetrics {
 	v := &s.versions
-	if v.of == nil {
-		v.of = make(map[softwareOf]*softwareMetrics)
+	if v.metrics == nil {
+		v.metrics = make(map[softwareKey]*softwareMetrics)
 	}
-	others := softwareOf{key.service, otherSoftware}
-	oldest, known := softwareOf{}, 0
-	for k, m := range v.of {
+	others := softwareKey{key.service, otherSoftware}
+	oldest, count := softwareKey{}, 0
+	for k, m := range v.metrics {
 		if k.service != key.service || k == others {
 			continue
 		}
-		known++
-		if known == 1 || m.used < v.of[oldest].used {
+		count++
+		if count == 1 || m.lastUsed < v.metrics[oldest].lastUsed {
 			oldest = k
 		}
 	}
-	if known >= mostSoftware {
-		s.foldSoftware(oldest, others)
+	if count >= maxSoftware {
+		s.mergeSoftware(oldest, others)
 	}
-	v.of[key] = s.newSoftware(key)
-	return v.of[key]
+	v.metrics[key] = s.newSoftware(key)
+	return v.metrics[key]
 }
 
-// foldSoftware adds the counts of a version to those of the others of its service. The
-// caller holds the lock.
-func (s *Set) foldSoftware(key, others softwareOf) {
+// mergeSoftware adds the metrics of a version to those of the other versions of its service,
+// and removes it. The caller holds the lock.
+func (s *Set) mergeSoftware(key, others softwareKey) {
 	v := &s.versions
-	sum := v.of[others]
+	sum := v.metrics[others]
 	if sum == nil {
 		sum = s.newSoftware(others)
-		v.of[others] = sum
+		v.metrics[others] = sum
 	}
-	gone := v.of[key]
-	sum.requests.Inc(gone.requests.Count())
-	sum.failures.Inc(gone.failures.Count())
-	for _, took := range gone.latency.Sample().Values() {
+	merged := v.metrics[key]
+	sum.requests.Inc(merged.requests.Count())
+	sum.failures.Inc(merged.failures.Count())
+	for _, took := range merged.latency.Sample().Values() {
 		sum.latency.Update(took)
 	}
 	for _, name := range softwareNames(key) {
 		s.registry.Unregister(name)
 	}
-	delete(v.of, key)
+	delete(v.metrics, key)
 }
 
-func (s *Set) newSoftware(key softwareOf) *softwareMetrics {
+// newSoftware registers the metrics of a version.
+func (s *Set) newSoftware(key softwareKey) *softwareMetrics {
 	names := softwareNames(key)
 	return &softwareMetrics{
 		requests: s.Counter(names[0]), failures: s.Counter(names[1]), latency: s.histogram(names[2], softwareReservoir),
 	}
 }
 
-// softwareNames returns the names of requests, failures and latency of a version.
-func softwareNames(key softwareOf) [3]string {
-	of := fmt.Sprintf("{service=%s,software=%s}", strconv.Quote(key.service), strconv.Quote(key.software))
-	return [...]string{"software_requests_total" + of, "software_failures_total" + of, "software_latency_us" + of}
+// softwareNames returns the names of the metrics of a version: requests, failures, latency.
+func softwareNames(key softwareKey) [3]string {
+	labels := fmt.Sprintf("{service=%s,software=%s}", strconv.Quote(key.service), strconv.Quote(key.software))
+	return [...]string{"software_requests_total" + labels, "software_failures_total" + labels, "software_latency_us" + labels}
 }
--- a/process/proxy/answer.go
+++ b/process/proxy/answer.go
@@ -49,11 +49,11 @@
 	}
 	took := time.Since(c.startedAt)
 	p.recordMetrics(c, c.route.Class, code, took)
-	outcome := metric.EndInTime
+	outcome := metric.OutcomeInTime
 	if took > time.Duration(c.route.Objective) {
-		outcome = metric.EndLate
+		outcome = metric.OutcomeLate
 	}
-	p.Metrics.Noticed(c.service, c.notices, outcome)
+	p.Metrics.RequestWithNotice(c.service, c.notices, outcome)
 	if err != nil && resp.ex != nil {
 		panic(http.ErrAbortHandler)
 	}
@@ -84,11 +84,11 @@
 	if res.Ran == request.RanNo && status >= http.StatusInternalServerError {
 		status = http.StatusServiceUnavailable
 	}
-	outcome := metric.EndFailed
+	outcome := metric.OutcomeFailed
 	if res.Ran == request.RanNo {
-		outcome = metric.EndRefused
+		outcome = metric.OutcomeRejected
 	}
-	p.Metrics.Noticed(c.service, c.notices, outcome)
+	p.Metrics.RequestWithNotice(c.service, c.notices, outcome)
 	h := c.w.Header()
 	h.Set(request.HeaderResult, res.Code.String())
 	h.Set(request.HeaderRan, string(res.Ran))
--- a/process/proxy/attempt.go
+++ b/process/proxy/attempt.go
@@ -270,7 +270,7 @@
 func (t *transaction) loadReport(h http.Header, pick *balance.Pick) *balance.Report {
 	r, err := balance.ParseReport(h.Get(t.p.Names.Load))
 	if err != nil {
-		t.p.Metrics.BadReport(t.c.service)
+		t.p.Metrics.InvalidLoadReport(t.c.service)
 		t.logLine(pick).Err(err).Msg("load-report-skipped")
 	}
 	return r
--- a/process/proxy/caller.go
+++ b/process/proxy/caller.go
@@ -25,7 +25,7 @@
 // authenticate finds the caller's workspace by the key that the request carries. If no workspaces
 // are configured, no key is needed.
 func (p *Proxy) authenticate(c *call, routing *version.Routing) *request.Result {
-	if routing.Workspaces.None() {
+	if routing.Workspaces.Empty() {
 		return nil
 	}
 	c.keysInUse = true
--- a/process/proxy/proxy.go
+++ b/process/proxy/proxy.go
@@ -197,7 +197,7 @@
 	if res := p.authenticate(c, routing); res != nil {
 		return res
 	}
-	c.route = routing.Within(c.route, c.workspace)
+	c.route = routing.RestrictRoute(c.route, c.workspace)
 	limits := routing.Limits
 	if limits.MaxHeader > 0 && headerSize(c.r) > limits.MaxHeader {
 		return notRun(request.HeaderTooLarge, 0)
