--- a/cmd/shalewick-edge/main.go
+++ b/cmd/shalewick-edge/main.go
@@ -118,10 +118,10 @@
 			if s != syscall.SIGHUP {
 				return
 			}
-			e.Reloaded(live.Reload())
+			e.SettingsReloaded(live.Reload())
 		case <-look.C:
 			if live.Changed() {
-				e.Reloaded(live.Reload())
+				e.SettingsReloaded(live.Reload())
 			}
 		}
 	}
--- a/process/edge/belief.go
+++ b/process/edge/belief.go
@@ -51,11 +51,11 @@
 	if len(added)+len(closed)+len(opened)+len(gone) == 0 {
 		return
 	}
-	e.log.Info().Strs("added", few(added)).Strs("closed", few(closed)).Strs("opened", few(opened)).Strs("gone", few(gone)).
+	e.log.Info().Strs("added", firstNames(added)).Strs("closed", firstNames(closed)).Strs("opened", firstNames(opened)).Strs("gone", firstNames(gone)).
 		Int("changed", len(added)+len(closed)+len(opened)+len(gone)).Int("backends", len(now.Backends)).Msg("backends-changed")
 }
 
-func few(names []string) []string { return names[:min(len(names), maxNames)] }
+func firstNames(names []string) []string { return names[:min(len(names), maxNames)] }
 
 // logSuspension writes that a backend server gets nothing for a while after failures
 // in a row, or, with none, that it answers again.
@@ -85,30 +85,30 @@
 }
 
 // storeLost tells the other instances of the region that the store does not answer this one.
-func (e *Edge) storeLost() {
+func (e *Edge) reportStoreLost() {
 	e.log.Info().Bool("relay", e.peers.Relay()).Msg("store-lost")
-	e.beats.SendNear()
+	e.heartbeats.SendNear()
 }
 
 // watchPause is the pause between two looks at which instances are alive.
-const watchPause = time.Second
+const watchMembersInterval = time.Second
 
 // watchMembers writes which instances were lost and found until the context ends, and
 // lets the roll-outs see them while none runs.
 func (e *Edge) watchMembers(ctx context.Context) {
 	var known []cluster.Member
 	relay := false
-	for clock.Sleep(ctx, watchPause) {
+	for clock.Sleep(ctx, watchMembersInterval) {
 		live := e.members.Live()
 		found, lost := compareMembers(known, live)
 		if len(found) > 0 {
-			e.log.Info().Strs("others", few(found)).Int("found", len(found)).Int("live", len(live)).Msg("instances-found")
+			e.log.Info().Strs("others", firstNames(found)).Int("found", len(found)).Int("live", len(live)).Msg("instances-found")
 		}
 		if len(lost) > 0 {
-			e.log.Info().Strs("others", few(lost)).Int("lost", len(lost)).Int("live", len(live)).Msg("instances-lost")
+			e.log.Info().Strs("others", firstNames(lost)).Int("lost", len(lost)).Int("live", len(live)).Msg("instances-lost")
 		}
 		known = live
-		if !e.rolling.open.isOpen() {
+		if !e.rolloutState.active.isOpen() {
 			e.rollouts.Tick()
 		}
 		if now := e.peers.Relay(); now != relay {
--- a/process/edge/configuration.go
+++ b/process/edge/configuration.go
@@ -17,15 +17,15 @@
 	// gatherPerRow is how long changes of backend servers gather before they are taken
 	// up, for each backend server that there is: taking up costs some 2 us of a core for
 	// each, so that changes that come all the time take at most 2 in 100 of one.
-	gatherPerRow = 100 * time.Microsecond
+	coalescePerRow = 100 * time.Microsecond
 	// gatherMost bounds that: backend servers that leave must get nothing more in time.
-	gatherMost = 300 * time.Millisecond
+	maxCoalesce = 300 * time.Millisecond
 )
 
 // takeUp compiles what the tables say whenever they change: at once when the
 // operator changed something or a roll-out took a step, and after a moment when backend
 // servers did.
-func (e *Edge) takeUp(ctx context.Context) {
+func (e *Edge) watchTables(ctx context.Context) {
 	operator := e.follower.Tables[e.deployment.OperatorTable]
 	backends := e.follower.Tables[e.deployment.BackendTable]
 	for ctx.Err() == nil {
@@ -35,19 +35,19 @@
 		case <-operatorChanged:
 		case <-recordsChanged:
 		case <-backendsChanged:
-			e.gather(ctx, operatorChanged)
+			e.coalesceChanges(ctx, operatorChanged)
 		case <-ctx.Done():
 		}
 	}
 }
 
 // gather waits for further changes of backend servers, until the operator's tables change.
-func (e *Edge) gather(ctx context.Context, operatorChanged <-chan struct{}) {
+func (e *Edge) coalesceChanges(ctx context.Context, operatorChanged <-chan struct{}) {
 	routing := e.table.Routing()
 	if routing == nil {
 		return
 	}
-	t := time.NewTimer(min(gatherMost, time.Duration(len(routing.Backends))*gatherPerRow))
+	t := time.NewTimer(min(maxCoalesce, time.Duration(len(routing.Backends))*coalescePerRow))
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -62,30 +62,30 @@
 	backends := e.follower.Tables[e.deployment.BackendTable]
 	_, operatorKnown := operator.Version()
 	_, backendsKnown := backends.Version()
-	spare := e.spare.is.Load()
+	spare := e.spare.active.Load()
 	if !operatorKnown || !backendsKnown && !spare {
 		return
 	}
-	e.compiling.Lock()
-	defer e.compiling.Unlock()
+	e.compileMu.Lock()
+	defer e.compileMu.Unlock()
 	if spare {
 		backends.Forget()
-		e.lapses = lapses{keep: e.lapses.keep}
+		e.expiredRows = expiredRows{keepFor: e.expiredRows.keepFor}
 		e.compile(operator.Rows(), nil, spare)
 		return
 	}
 	now := e.now()
 	present := backends.Rows()
-	rows, again := e.lapses.rows(present, backends.Returned(), now)
+	rows, again := e.expiredRows.merge(present, backends.Returned(), now)
 	if len(rows) > len(present) {
 		e.log.Info().Int("kept", len(rows)-len(present)).Dur("until", again-now).Msg("backends-lapsed")
 	}
 	e.compile(operator.Rows(), rows, spare)
-	if e.lapseEnd != nil {
-		e.lapseEnd.Stop()
+	if e.expiredRowsTimer != nil {
+		e.expiredRowsTimer.Stop()
 	}
 	if again != 0 {
-		e.lapseEnd = time.AfterFunc(again-now, e.recompile)
+		e.expiredRowsTimer = time.AfterFunc(again-now, e.recompile)
 	}
 }
 
@@ -98,18 +98,18 @@
 		return
 	}
 	if e.follower.Tables[e.deployment.BackendTable].Holding() {
-		laterStarts(c.Announced, e.announced)
+		keepLaterStarts(c.Announced, e.lastAnnounced)
 	}
-	e.announced = c.Announced
-	e.spare.keyed.Store(len(c.List(version.KindWorkspace)) > 0)
+	e.lastAnnounced = c.Announced
+	e.spare.usesKeys.Store(len(c.List(version.KindWorkspace)) > 0)
 	old := e.table.Routing()
 	orders, records := e.ordersAndRecords(c)
-	if old == nil && (e.awaitsRecords(orders, records) || e.awaitsQuarantine()) {
+	if old == nil && (e.mustAwaitRecords(orders, records) || e.mustAwaitQuarantine()) {
 		return
 	}
-	e.letThrough(c)
+	e.applyLetThrough(c)
 	if spare {
-		e.spare.addOnward(c) // these serve by whatever software is in force
+		e.spare.addForwardTargets(c) // these serve by whatever software is in force
 	} else {
 		e.admitSoftware(c, orders, records)
 	}
@@ -121,7 +121,7 @@
 	e.table.Install(r)
 	e.rollouts.Install(services)
 	e.quota.Install(r.Workspaces)
-	e.noteRollouts(services, orders, records)
+	e.updateRolloutState(services, orders, records)
 	e.logBackends(old, r)
 	if old == nil || old.Seq != r.Seq {
 		e.log.Info().Int64("version", r.Seq).Int("backends", len(r.Backends)).Msg("version-in-force")
@@ -129,7 +129,7 @@
 }
 
 // otherReason is the reason of a problem that is not of one row.
-const otherReason = "other"
+const reasonOther = "other"
 
 // logSkipped writes which rows can't be used that could before, or are new, a few at a time,
 // and counts all by reason. The caller holds compiling.
@@ -138,7 +138,7 @@
 	counts := make(map[string]int64)
 	turned := 0
 	for _, p := range problems {
-		key, reason := "", otherReason
+		key, reason := "", reasonOther
 		var row *state.RowError
 		if errors.As(p, &row) {
 			key, reason = row.Key, row.Reason
@@ -171,14 +171,14 @@
 
 // Reloaded is told when the adapter has read its settings again, or why it
 // could not.
-func (e *Edge) Reloaded(err error) {
+func (e *Edge) SettingsReloaded(err error) {
 	if err != nil {
 		e.log.Warn().Err(err).Msg("settings-kept")
 		return
 	}
 	e.log.Info().Msg("settings-reloaded")
-	e.compiling.Lock()
-	e.documents.Reread()
-	e.compiling.Unlock()
+	e.compileMu.Lock()
+	e.documents.RetryRejected()
+	e.compileMu.Unlock()
 	e.recompile()
 }
--- a/process/edge/directory.go
+++ b/process/edge/directory.go
@@ -13,12 +13,12 @@
 
 const (
 	// directoryLife is how long a client may keep an answer.
-	directoryLife = 2 * time.Second
+	directoryTTL = 2 * time.Second
 	// maxAddresses bounds the addresses in an answer.
 	maxAddresses = 64
 	// enoughInHall is the number of instances from which those of a client's
 	// hall are named alone.
-	enoughInHall = 2
+	minPerHall = 2
 )
 
 // serveDirectory tells a client which instances to use.
@@ -28,8 +28,8 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	q := e.deployment.ReadQuestion(r.URL.Query())
-	named := nearest(e.members.Live(), q, homeRegions(routing, q.Host))
+	q := e.deployment.ReadDirectoryQuery(r.URL.Query())
+	named := nearestInstances(e.members.Live(), q, homeRegions(routing, q.Host))
 	if len(named) == 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -38,7 +38,7 @@
 	for _, m := range named[:min(len(named), maxAddresses)] {
 		addresses = append(addresses, m.Front)
 	}
-	e.deployment.WriteAddresses(w, addresses, directoryLife)
+	e.deployment.WriteAddresses(w, addresses, directoryTTL)
 }
 
 // homeRegions returns the names of the regions that may serve all routes of a
@@ -60,11 +60,11 @@
 // nearest returns the live instances that a client should use: those of its
 // hall if there are enough, else those of its region, else those of the
 // regions that may serve the host, else all.
-func nearest(live []cluster.Member, q Question, homes map[string]bool) []cluster.Member {
+func nearestInstances(live []cluster.Member, q DirectoryQuery, homes map[string]bool) []cluster.Member {
 	region := inRegion(live, q.Region)
 	hall := filter(region, func(m cluster.Member) bool { return m.Hall == q.Hall })
-	for _, near := range [][]cluster.Member{roomy(hall, region), roomy(region, region), hall} {
-		if len(near) >= enoughInHall {
+	for _, near := range [][]cluster.Member{largeWithCapacity(hall, region), largeWithCapacity(region, region), hall} {
+		if len(near) >= minPerHall {
 			return near
 		}
 	}
@@ -79,7 +79,7 @@
 }
 
 // entries returns how many instances are named to clients while none is busy.
-func entries(live []cluster.Member) int {
+func countListed(live []cluster.Member) int {
 	regions := make(map[string][]cluster.Member)
 	for _, m := range live {
 		m.Busy = false
@@ -87,7 +87,7 @@
 	}
 	n := 0
 	for _, region := range regions {
-		n += len(nearest(region, Question{Region: region[0].Region}, nil))
+		n += len(nearestInstances(region, DirectoryQuery{Region: region[0].Region}, nil))
 	}
 	return n
 }
@@ -97,11 +97,11 @@
 // a small one among large ones would be filled up while those are idle. And
 // what an instance learns of backend servers, it learns from its own requests: few
 // instances that see many know far more than many that see few.
-func roomy(from, region []cluster.Member) []cluster.Member {
+func largeWithCapacity(from, region []cluster.Member) []cluster.Member {
 	most := cluster.Largest(region)
 	large := filter(from, func(m cluster.Member) bool { return most.Fills(&m) })
 	free := filter(large, func(m cluster.Member) bool { return !m.Busy })
-	if len(free) >= enoughInHall || len(free) == len(large) {
+	if len(free) >= minPerHall || len(free) == len(large) {
 		return free
 	}
 	return nil // all are needed
@@ -122,7 +122,7 @@
 }
 
 // serveReady says whether clients may come.
-func (e *Edge) serveReady(w http.ResponseWriter, _ *http.Request) {
+func (e *Edge) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if e.leaving.Load() || e.table.Routing() == nil {
 		w.Header().Set(request.HeaderResult, request.Leaving.String())
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -134,6 +134,6 @@
 // serveMetrics prints the metrics.
 func (e *Edge) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	e.gauges()
+	e.updateGauges()
 	_ = e.metrics.Write(w) // a reader that is gone needs no metrics
 }
--- a/process/edge/directory_test.go
+++ b/process/edge/directory_test.go
@@ -13,7 +13,7 @@
 )
 
 // site returns two regions of two halls, each with so many large and small instances.
-func site(large, small int) []cluster.Member {
+func testFleet(large, small int) []cluster.Member {
 	var out []cluster.Member
 	for _, region := range []string{"north", "south"} {
 		for _, hall := range []string{"a", "b"} {
@@ -29,9 +29,9 @@
 	return out
 }
 
-func named(live []cluster.Member) []string {
+func namedInstances(live []cluster.Member) []string {
 	var out []string
-	for _, m := range nearest(live, Question{Region: "north", Hall: "north-a"}, nil) {
+	for _, m := range nearestInstances(live, DirectoryQuery{Region: "north", Hall: "north-a"}, nil) {
 		out = append(out, m.Name)
 	}
 	return out
@@ -49,38 +49,38 @@
 	})
 }
 
-func TestDirectoryNamesTheLargeInstancesOfTheHall(t *testing.T) {
-	live := site(2, 3)
-	assert.DeepEqual(t, named(live), []string{"north-a-0", "north-a-1"})
+func TestDirectoryListsLargeInstancesOfHall(t *testing.T) {
+	live := testFleet(2, 3)
+	assert.DeepEqual(t, namedInstances(live), []string{"north-a-0", "north-a-1"})
 	one := without(live, "north-a-1")
-	assert.DeepEqual(t, named(one), []string{"north-a-0", "north-b-0", "north-b-1"}) // one is not enough
+	assert.DeepEqual(t, namedInstances(one), []string{"north-a-0", "north-b-0", "north-b-1"}) // one is not enough
 	none := without(one, "north-a-0", "north-b-0", "north-b-1")
-	assert.DeepEqual(t, named(none), []string{"north-a-2", "north-a-3", "north-a-4"}) // no large one is left in the region
+	assert.DeepEqual(t, namedInstances(none), []string{"north-a-2", "north-a-3", "north-a-4"}) // no large one is left in the region
 }
 
-func TestDirectoryNamesAllWhereAllAreAlike(t *testing.T) {
-	assert.DeepEqual(t, named(site(0, 3)), []string{"north-a-0", "north-a-1", "north-a-2"})
-	assert.DeepEqual(t, named(site(3, 0)), []string{"north-a-0", "north-a-1", "north-a-2"})
-	unknown := site(2, 0)
+func TestDirectoryListsAllEqualInstances(t *testing.T) {
+	assert.DeepEqual(t, namedInstances(testFleet(0, 3)), []string{"north-a-0", "north-a-1", "north-a-2"})
+	assert.DeepEqual(t, namedInstances(testFleet(3, 0)), []string{"north-a-0", "north-a-1", "north-a-2"})
+	unknown := testFleet(2, 0)
 	for i := range unknown {
 		unknown[i].Link, unknown[i].Cores = 0, 0
 	}
-	assert.DeepEqual(t, named(unknown), []string{"north-a-0", "north-a-1"})
+	assert.DeepEqual(t, namedInstances(unknown), []string{"north-a-0", "north-a-1"})
 }
 
-func TestEntriesAreTheInstancesThatAreNamed(t *testing.T) {
-	assert.Equal(t, entries(site(2, 3)), 8)
-	assert.Equal(t, entries(site(0, 3)), 12)
-	assert.Equal(t, entries(without(site(2, 3), "north-a-0", "north-a-1", "north-b-0", "north-b-1")), 4+6)
+func TestCountListed(t *testing.T) {
+	assert.Equal(t, countListed(testFleet(2, 3)), 8)
+	assert.Equal(t, countListed(testFleet(0, 3)), 12)
+	assert.Equal(t, countListed(without(testFleet(2, 3), "north-a-0", "north-a-1", "north-b-0", "north-b-1")), 4+6)
 }
 
 // TestLargeInstancesShareAmongThemselves checks the places in what all may give a cold
 // backend server.
-func TestLargeInstancesShareAmongThemselves(t *testing.T) {
-	known := site(2, 3)
+func TestPositionAmongLarge(t *testing.T) {
+	known := testFleet(2, 3)
 	seen := make(map[int]bool)
 	for _, m := range known {
-		place, of := placeAmongLarge(known, m.Name)
+		place, of := positionAmongLarge(known, m.Name)
 		if m.Link < 200 {
 			assert.Equal(t, of, 0)
 			continue
@@ -89,37 +89,37 @@
 		assert.Assert(t, place < 8 && !seen[place])
 		seen[place] = true
 	}
-	all := site(0, 3)
-	_, of := placeAmongLarge(all, all[3].Name)
+	all := testFleet(0, 3)
+	_, of := positionAmongLarge(all, all[3].Name)
 	assert.Equal(t, of, 12, "where all are alike all share")
 }
 
 // TestBusyInstanceStepsBackWhileOthersHaveRoom checks who is named as load rises.
-func TestBusyInstanceStepsBackWhileOthersHaveRoom(t *testing.T) {
-	live := site(3, 3)
+func TestBusyInstanceNotListedWhileOthersHaveCapacity(t *testing.T) {
+	live := testFleet(3, 3)
 	live[0].Busy = true
-	assert.DeepEqual(t, named(live), []string{"north-a-1", "north-a-2"})
+	assert.DeepEqual(t, namedInstances(live), []string{"north-a-1", "north-a-2"})
 	live[1].Busy = true
-	assert.DeepEqual(t, named(live), []string{"north-a-2", "north-b-0", "north-b-1", "north-b-2"}) // the other hall of the region has room
+	assert.DeepEqual(t, namedInstances(live), []string{"north-a-2", "north-b-0", "north-b-1", "north-b-2"}) // the other hall of the region has room
 	for i := range live {
 		live[i].Busy = live[i].Link == 200
 	}
-	assert.Equal(t, len(named(live)), 6, "all of the hall are needed")
+	assert.Equal(t, len(namedInstances(live)), 6, "all of the hall are needed")
 }
 
-func TestUseIsNoticedAndLasts(t *testing.T) {
-	var u use
+func TestUtilizationBusyPersists(t *testing.T) {
+	var u utilization
 	now := time.Hour
 	look := func(mbps float64, late time.Duration) (busy bool) {
 		for range 10 {
-			now += usePause
-			busy = u.note(int64(mbps*1e6/8*usePause.Seconds()), 10, usePause, late, now)
+			now += utilizationInterval
+			busy = u.record(int64(mbps*1e6/8*utilizationInterval.Seconds()), 10, utilizationInterval, late, now)
 		}
 		return busy
 	}
 	assert.Assert(t, !look(5, time.Millisecond))
 	assert.Assert(t, look(9, time.Millisecond))
-	assert.Assert(t, look(1, 0) || now < u.until+2*busyFor)
+	assert.Assert(t, look(1, 0) || now < u.busyUntil+2*minBusyTime)
 	assert.Assert(t, !look(1, 0))
 	assert.Assert(t, look(1, 50*time.Millisecond))
 }
--- a/process/edge/drain.go
+++ b/process/edge/drain.go
@@ -19,12 +19,12 @@
 	// acceptQuiet is how long no connection must have come before a draining
 	// listener closes. A connection that waits to be accepted is reset by the
 	// close, though its client may have sent a request already.
-	acceptQuiet = 20 * time.Millisecond
+	acceptIdleTime = 20 * time.Millisecond
 	// acceptMost bounds how long a listener drains while connections keep coming.
-	acceptMost = 300 * time.Millisecond
+	maxDrainTime = 300 * time.Millisecond
 	// firstRequestTime is how long an open connection may take to its first
 	// request and still holds a planned stop up.
-	firstRequestTime = time.Second
+	firstRequestTimeout = time.Second
 )
 
 // drainListener is a listener that can be closed without a loss: what waits to be
@@ -37,9 +37,9 @@
 // Drain closes the listener once no connection waits to be accepted. It does not
 // wait for that.
 func (l *drainListener) Drain() {
-	until := time.Now().Add(acceptMost)
+	until := time.Now().Add(maxDrainTime)
 	l.until.Store(&until)
-	_ = l.SetDeadline(time.Now().Add(acceptQuiet)) // an error means that it is closed
+	_ = l.SetDeadline(time.Now().Add(acceptIdleTime)) // an error means that it is closed
 }
 
 // Accept returns the next connection. Once the listener has been drained it
@@ -59,19 +59,19 @@
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return nil, net.ErrClosed
 	}
-	_ = l.SetDeadline(time.Now().Add(acceptQuiet)) // an error means that it is closed
+	_ = l.SetDeadline(time.Now().Add(acceptIdleTime)) // an error means that it is closed
 	return c, err
 }
 
 // freshConnections are the open connections of a server on which no request has
 // come yet. The zero value is ready.
-type freshConnections struct {
+type newConnections struct {
 	mu     sync.Mutex
 	opened map[net.Conn]time.Time
 }
 
 // note is the ConnState hook of an http.Server.
-func (f *freshConnections) note(c net.Conn, s http.ConnState) {
+func (f *newConnections) onStateChange(c net.Conn, s http.ConnState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s != http.StateNew {
@@ -85,12 +85,12 @@
 }
 
 // count returns how many of them a planned stop waits for.
-func (f *freshConnections) count() int {
+func (f *newConnections) count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
 	for _, at := range f.opened {
-		if time.Since(at) < firstRequestTime {
+		if time.Since(at) < firstRequestTimeout {
 			n++
 		}
 	}
--- a/process/edge/drain_test.go
+++ b/process/edge/drain_test.go
@@ -14,30 +14,30 @@
 )
 
 // stalled is a listener whose process does not get to accepting for a while.
-type stalled struct {
+type blockedListener struct {
 	*drainListener
-	start <-chan struct{}
+	unblock <-chan struct{}
 }
 
-func (s stalled) Accept() (net.Conn, error) {
-	<-s.start
+func (s blockedListener) Accept() (net.Conn, error) {
+	<-s.unblock
 	return s.drainListener.Accept()
 }
 
 // TestConnectionsThatWaitAreServedBeforeTheListenerCloses lets clients connect and
 // send while the process does not accept, and then stops it as planned: each of
 // them must get its answer.
-func TestConnectionsThatWaitAreServedBeforeTheListenerCloses(t *testing.T) {
+func TestDrainServesWaitingConnections(t *testing.T) {
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	l := &drainListener{TCPListener: inner.(*net.TCPListener)}
 	proceed := make(chan struct{})
-	var open freshConnections
+	var open newConnections
 	s := &http.Server{
 		Handler:   http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "done") }),
-		ConnState: open.note,
+		ConnState: open.onStateChange,
 	}
-	go func() { _ = s.Serve(stalled{l, proceed}) }()
+	go func() { _ = s.Serve(blockedListener{l, proceed}) }()
 	var clients sync.WaitGroup
 	for range 8 {
 		c, err := net.Dial("tcp4", l.Addr().String())
@@ -59,7 +59,7 @@
 			break
 		}
 		assert.NilError(t, c.Close())
-		time.Sleep(3 * acceptQuiet)
+		time.Sleep(3 * acceptIdleTime)
 	}
 	assert.ErrorContains(t, err, "refused")
 	for range 100 {
@@ -74,7 +74,7 @@
 
 // TestDrainEndsWhileConnectionsKeepComing checks that a listener closes although
 // clients go on connecting.
-func TestDrainEndsWhileConnectionsKeepComing(t *testing.T) {
+func TestDrainEndsUnderContinuousConnections(t *testing.T) {
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	l := &drainListener{TCPListener: inner.(*net.TCPListener)}
@@ -97,21 +97,21 @@
 		}
 		_ = c.Close()
 	}
-	assert.Assert(t, time.Since(begun) < 2*acceptMost)
+	assert.Assert(t, time.Since(begun) < 2*maxDrainTime)
 }
 
 // TestSilentConnectionHoldsNoStopUp checks that a connection without a request
 // counts for a bounded time only.
-func TestSilentConnectionHoldsNoStopUp(t *testing.T) {
-	var open freshConnections
+func TestConnectionWithoutRequestDelaysStopBriefly(t *testing.T) {
+	var open newConnections
 	a, b := net.Pipe()
 	defer a.Close()
 	defer b.Close()
-	open.note(a, http.StateNew)
+	open.onStateChange(a, http.StateNew)
 	assert.Equal(t, open.count(), 1)
-	open.opened[a] = time.Now().Add(-firstRequestTime)
+	open.opened[a] = time.Now().Add(-firstRequestTimeout)
 	assert.Equal(t, open.count(), 0)
-	open.note(b, http.StateNew)
-	open.note(b, http.StateActive)
+	open.onStateChange(b, http.StateNew)
+	open.onStateChange(b, http.StateActive)
 	assert.Equal(t, open.count(), 0)
 }
--- a/process/edge/edge.go
+++ b/process/edge/edge.go
@@ -36,71 +36,71 @@
 
 // Times of connections.
 const (
-	dialTimeout    = 400 * time.Millisecond
-	backendSilence = 700 * time.Millisecond
-	peerSilence    = time.Second
-	backendIdle    = 8 * time.Second
-	clientIdle     = 60 * time.Second
-	headerTimeout  = 10 * time.Second
+	dialTimeout        = 400 * time.Millisecond
+	backendAckTimeout  = 700 * time.Millisecond
+	peerAckTimeout     = time.Second
+	backendIdleTimeout = 8 * time.Second
+	clientIdleTimeout  = 60 * time.Second
+	headerTimeout      = 10 * time.Second
 )
 
 // leaveShare divides the time within which leaving backend servers must get nothing more:
 // for so much of it those that say so in their answers may get what no other can take. The
 // rest is for what was already on its way there, and for rows that are late.
-const leaveShare = 2
+const drainNoticeDivisor = 2
 
 // heldShare divides an instance's memory into what may be held of requests and answers. The
 // rest is for what is known of the fleet, for connections without a request, and for garbage.
-const heldShare = 5
+const bufferMemoryDivisor = 5
 
 // Edge is one running instance.
 type Edge struct {
-	settings   Settings
-	deployment Deployment
-	log        zerolog.Logger
-	logLimit   *logging.Limit
-	started    time.Time
-	born       time.Duration // when it was started, by the deployment's clock
-	members    *cluster.Members
-	beats      *cluster.Beats
-	peers      *cluster.Peers
-	follower   *state.Follower
-	table      *balance.Table
-	proxy      *proxy.Proxy
-	quota      *quota.Quota
-	limits     *ratelimit.Limiter
-	rollouts   *rollout.Rollouts
-	rolling    rolling
-	lateness   clock.Lateness // noted while an order waits for its end
-	quarantine *quarantine.Quarantine
+	settings        Settings
+	deployment      Deployment
+	log             zerolog.Logger
+	logLimit        *logging.Limit
+	startTime       time.Time
+	startedAt       time.Duration // when it was started, by the deployment's clock
+	members         *cluster.Members
+	heartbeats      *cluster.Beats
+	peers           *cluster.Peers
+	follower        *state.Follower
+	table           *balance.Table
+	proxy           *proxy.Proxy
+	quota           *quota.Quota
+	limits          *ratelimit.Limiter
+	rollouts        *rollout.Rollouts
+	rolloutState    rolloutState
+	schedulingDelay clock.Lateness // noted while an order waits for its end
+	quarantine      *quarantine.Quarantine
 	// What the store has of it, and whether another instance is being asked for it.
-	quarantineRows quarantineRows
-	asking         asking
-	placed         placed
-	held           *held.Budget // nil: no bound
-	metrics        *metric.Set
-	leaving        atomic.Bool
+	storedEntries storedEntries
+	listFetch     listFetch
+	position      cachedPosition
+	memoryBudget  *held.Budget // nil: no bound
+	metrics       *metric.Set
+	leaving       atomic.Bool
 	// followsInstances is set if the fleet is so large that the table of instances is followed.
 	followsInstances atomic.Bool
 	spare            spare
 	// introduceAgain tells introduce that the store may have lost the own row.
-	introduceAgain chan struct{}
-	compiling      sync.Mutex
-	documents      Documents // guarded by compiling
-	lapses         lapses    // guarded by compiling
+	rewriteRow  chan struct{}
+	compileMu   sync.Mutex
+	documents   DocumentSelector // guarded by compiling
+	expiredRows expiredRows      // guarded by compiling
 	// announced are the backend servers of the last compilation, by name; guarded by compiling.
-	announced []*version.Announced
-	skipped   map[string]string // rows that can't be used now, with the reason; guarded by compiling
+	lastAnnounced []*version.Announced
+	skipped       map[string]string // rows that can't be used now, with the reason; guarded by compiling
 	// skippedCounts are the gauges of such rows by reason; guarded by compiling.
-	skippedCounts map[string]int64
-	lapseEnd      *time.Timer // compiles again when lapsed rows are given up; guarded by compiling
-	learnEnd      *time.Timer // compiles when a start has waited long enough for the quarantine; guarded by compiling
-	front         *http.Server
-	accepting     *drainListener   // of front
-	fresh         freshConnections // of front
-	servers       []*http.Server
-	cancel        context.CancelFunc
-	loops         sync.WaitGroup
+	skippedCounts    map[string]int64
+	expiredRowsTimer *time.Timer // compiles again when lapsed rows are given up; guarded by compiling
+	quarantineTimer  *time.Timer // compiles when a start has waited long enough for the quarantine; guarded by compiling
+	front            *http.Server
+	frontListener    *drainListener // of front
+	newConns         newConnections // of front
+	servers          []*http.Server
+	cancel           context.CancelFunc
+	loops            sync.WaitGroup
 }
 
 // Start starts an instance. Logs go to logTo.
@@ -111,22 +111,22 @@
 	level, _ := zerolog.ParseLevel(s.LogLevel) // checked
 	limit := logging.NewLimit(time.Now)
 	e := &Edge{
-		settings: s, deployment: d, started: time.Now(), metrics: metric.NewSet(), logLimit: limit, introduceAgain: make(chan struct{}, 1),
+		settings: s, deployment: d, startTime: time.Now(), metrics: metric.NewSet(), logLimit: limit, rewriteRow: make(chan struct{}, 1),
 		log: logging.New(logTo).Level(level).Hook(limit).With().Str("instance", s.Instance).Logger(),
 	}
 	if e.deployment.Clock == nil {
 		e.deployment.Clock = clock.Now
 	}
-	e.born = e.deployment.Clock()
+	e.startedAt = e.deployment.Clock()
 	e.members = cluster.NewMembers(cluster.Member{
-		Name: s.Instance, Incarnation: e.started.UnixNano(), Front: s.Front, Peer: s.Peer, Hall: s.Hall, Region: s.Region,
+		Name: s.Instance, Incarnation: e.startTime.UnixNano(), Front: s.Front, Peer: s.Peer, Hall: s.Hall, Region: s.Region,
 		Link: s.Link, Cores: s.Cores,
 	}, e.now)
 	if s.First {
 		e.members.AwaitOthers()
 	}
 	var err error
-	if e.beats, err = cluster.Listen(e.members); err != nil {
+	if e.heartbeats, err = cluster.Listen(e.members); err != nil {
 		return nil, err
 	}
 	e.build()
@@ -141,50 +141,50 @@
 // now is the clock of all that the process believes and promises: tables, leases, quotas,
 // others that live, backend servers that are cold or suspended. A suspension of the machine
 // counts, so all of it is as much older afterwards.
-func (e *Edge) now() time.Duration { return e.age() + time.Hour }
+func (e *Edge) now() time.Duration { return e.uptime() + time.Hour }
 
 // age is how long ago the process was started, with the time in which the machine was suspended.
-func (e *Edge) age() time.Duration { return e.deployment.Clock() - e.born }
+func (e *Edge) uptime() time.Duration { return e.deployment.Clock() - e.startedAt }
 
 // build makes the parts of the process.
 func (e *Edge) build() {
-	e.peers = cluster.NewPeers(e.members, conn.NewDialer(dialTimeout, peerSilence).DialContext)
+	e.peers = cluster.NewPeers(e.members, conn.NewDialer(dialTimeout, peerAckTimeout).DialContext)
 	e.follower = &state.Follower{
 		Store: e.deployment.Store, Peers: e.peers, Log: e.log, Now: e.now, Wanted: e.wantsTable, Instances: e.members.Count,
 		Declines: func(table string) bool { return table == e.deployment.BackendTable && e.isSpare() },
 		Tables: map[string]*state.Table{
-			e.deployment.OperatorTable: state.NewHoldingTable(state.Hold{Missing: holdOperator, Older: holdOperator}),
-			e.deployment.BackendTable:  state.NewHoldingTable(state.Hold{Missing: keepLapsed(e.settings.DrainWithin), Older: holdBackends}),
+			e.deployment.OperatorTable: state.NewHoldingTable(state.Hold{Missing: holdOperatorRows, Older: holdOperatorRows}),
+			e.deployment.BackendTable:  state.NewHoldingTable(state.Hold{Missing: keepExpired(e.settings.DrainWithin), Older: holdBackendRows}),
 			e.deployment.RecordTable:   state.NewHoldingTable(state.Hold{}),
 			e.deployment.InstanceTable: state.NewTable(),
 		},
 	}
 	e.peers.Follower = e.follower
-	e.peers.OnCut = e.storeLost
-	e.documents = Documents{Key: e.deployment.DocumentKey, Translate: e.deployment.Configuration}
-	e.lapses.keep = keepLapsed(e.settings.DrainWithin)
-	dialer := conn.NewDialer(dialTimeout, backendSilence)
+	e.peers.OnCut = e.reportStoreLost
+	e.documents = DocumentSelector{Key: e.deployment.DocumentKey, Translate: e.deployment.Configuration}
+	e.expiredRows.keepFor = keepExpired(e.settings.DrainWithin)
+	dialer := conn.NewDialer(dialTimeout, backendAckTimeout)
 	e.limits = e.newLimits()
 	e.table = &balance.Table{
 		Limits: e.limits,
-		Now:    e.now, Place: e.place, Region: e.settings.Region, Hall: e.settings.Hall, OnSuspend: e.logSuspension,
-		OnNotice: e.logNotice, OnAvoid: e.logAvoided, LeaveWithin: e.settings.DrainWithin / leaveShare,
+		Now:    e.now, Place: e.sharePosition, Region: e.settings.Region, Hall: e.settings.Hall, OnSuspend: e.logSuspension,
+		OnNotice: e.logNotice, OnAvoid: e.logAvoided, LeaveWithin: e.settings.DrainWithin / drainNoticeDivisor,
 		Reach: func(p *conn.Pool) error { return p.Open(context.Background()) },
 		NewPool: func(address string) *conn.Pool {
-			return &conn.Pool{Address: address, Dialer: dialer, IdleTimeout: backendIdle}
+			return &conn.Pool{Address: address, Dialer: dialer, IdleTimeout: backendIdleTimeout}
 		},
 	}
-	e.beats.Observations, e.beats.Hear, e.beats.Ask = e.table.Observations, e.table.Hear, e.askPeer
+	e.heartbeats.Observations, e.heartbeats.Hear, e.heartbeats.Ask = e.table.Observations, e.table.Hear, e.queryPeer
 	e.quota = e.newQuota()
 	e.rollouts = e.newRollouts()
 	e.quarantine = e.newQuarantine()
-	e.beats.Message = e.hearMessage
+	e.heartbeats.Message = e.receiveMessage
 	if e.settings.Memory > 0 {
-		e.held = &held.Budget{Limit: e.settings.Memory / heldShare, Now: e.now, OnCutOff: e.logCutOff}
+		e.memoryBudget = &held.Budget{Limit: e.settings.Memory / bufferMemoryDivisor, Now: e.now, OnCutOff: e.logCutOff}
 	}
 	e.proxy = &proxy.Proxy{
-		Quota: e.quota, Limits: e.limits, Rollouts: e.rollouts, Quarantine: e.quarantine, Memory: e.held,
-		Crashes: &crash.Detector{Now: e.now, OnCrash: e.backendCrashed},
+		Quota: e.quota, Limits: e.limits, Rollouts: e.rollouts, Quarantine: e.quarantine, Memory: e.memoryBudget,
+		Crashes: &crash.Detector{Now: e.now, OnCrash: e.onBackendCrash},
 		Names:   e.deployment.Headers, Table: e.table, Metrics: e.metrics, Log: e.log, Now: e.now, ConfigAge: e.follower.Age,
 		RetryBudget: &retry.Window{
 			Span: e.settings.RetrySpan, Ratio: e.settings.RetryRatio * retryRatioShare,
@@ -196,7 +196,7 @@
 // listen opens the listeners and serves them.
 func (e *Edge) listen() error {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+e.deployment.ReadyPath, e.serveReady)
+	mux.HandleFunc("GET "+e.deployment.ReadyPath, e.serveReadiness)
 	mux.HandleFunc("GET "+e.deployment.DirectoryPath, e.serveDirectory)
 	control := http.NewServeMux()
 	control.Handle("/peer/", e.peers.Handler())
@@ -215,12 +215,12 @@
 		if err != nil {
 			return errors.Annotatef(err, "listen on %s", x.address)
 		}
-		s := &http.Server{Handler: x.handler, IdleTimeout: clientIdle, ReadHeaderTimeout: headerTimeout, ErrorLog: nil}
+		s := &http.Server{Handler: x.handler, IdleTimeout: clientIdleTimeout, ReadHeaderTimeout: headerTimeout, ErrorLog: nil}
 		if e.front == nil {
 			e.front = s
-			s.ConnState = e.fresh.note
-			e.accepting = &drainListener{TCPListener: l.(*net.TCPListener)}
-			l = e.accepting
+			s.ConnState = e.newConns.onStateChange
+			e.frontListener = &drainListener{TCPListener: l.(*net.TCPListener)}
+			l = e.frontListener
 		}
 		e.servers = append(e.servers, s)
 		go func() { _ = s.Serve(l) }() // ends when the server is closed
@@ -233,15 +233,15 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	e.cancel = cancel
 	for _, loop := range []func(context.Context){
-		e.follower.Run, e.beats.Run, e.takeUp, e.introduce, e.followInstances, e.askSeeds, e.watchMembers, e.tickQuota, e.tickLimits, e.watchEpoch, e.watchUse,
-		e.tickRollouts, e.writeSteps, e.checkSilent, e.tickQuarantine, e.learnQuarantine, e.keepQuarantine,
+		e.follower.Run, e.heartbeats.Run, e.watchTables, e.register, e.followInstances, e.querySeeds, e.watchMembers, e.tickQuota, e.tickLimits, e.watchEpoch, e.watchUtilization,
+		e.tickRollouts, e.writeSteps, e.probeUnresponsive, e.tickQuarantine, e.syncQuarantine, e.persistQuarantine,
 	} {
 		e.loops.Go(func() { loop(ctx) })
 	}
 }
 
 // gauges sets the metrics that are read when asked for.
-func (e *Edge) gauges() {
+func (e *Edge) updateGauges() {
 	if r := e.table.Routing(); r != nil {
 		e.metrics.Gauge("version").Update(r.Seq)
 		e.metrics.Gauge("backends").Update(int64(len(r.Backends)))
@@ -249,19 +249,19 @@
 	leaving, backedOff := e.table.Notices()
 	e.metrics.Gauge("backends_leaving").Update(int64(leaving))
 	e.metrics.Gauge("backends_backed_off").Update(int64(backedOff))
-	e.gaugeLimits()
-	e.metrics.Gauge("datagrams_sent").Update(e.beats.Sent())
+	e.updateLimitGauges()
+	e.metrics.Gauge("datagrams_sent").Update(e.heartbeats.Sent())
 	e.metrics.Gauge("spare").Update(0)
-	if e.spare.is.Load() {
+	if e.spare.active.Load() {
 		e.metrics.Gauge("spare").Update(1)
 	}
 	e.metrics.Gauge("instances").Update(int64(e.members.Count()))
 	for _, k := range []held.Kind{held.Requests, held.Bodies, held.Responses} {
-		e.metrics.Gauge("held_bytes{kind=" + strconv.Quote(k.String()) + "}").Update(e.held.Held(k))
+		e.metrics.Gauge("held_bytes{kind=" + strconv.Quote(k.String()) + "}").Update(e.memoryBudget.Held(k))
 	}
 	e.metrics.Gauge("requests_running").Update(e.proxy.InFlight())
 	e.metrics.Gauge("requests_quarantined").Update(int64(e.quarantine.Count()))
-	e.metrics.Gauge("rollouts_running").Update(e.rolling.running.Load())
+	e.metrics.Gauge("rollouts_running").Update(e.rolloutState.running.Load())
 	e.metrics.Gauge("log_lines_left_out").Update(e.logLimit.LeftOut())
 	e.metrics.Gauge("store_epoch").Update(e.deployment.Store.Epoch())
 	e.metrics.Gauge("configuration_age_ms").Update(e.follower.Age().Milliseconds())
--- a/process/edge/introduce.go
+++ b/process/edge/introduce.go
@@ -17,11 +17,11 @@
 
 // Times of the instances' rows and of the search for other instances.
 const (
-	writeTimeout    = 2 * time.Second // of one call of the store
-	rereadInstances = time.Minute
-	firstPause      = 100 * time.Millisecond // after a failure; it doubles
-	seedPause       = 300 * time.Millisecond // until the seeds are asked; it doubles
-	longestPause    = 2 * time.Second
+	storeTimeout   = 2 * time.Second // of one call of the store
+	rereadInterval = time.Minute
+	minRetryPause  = 100 * time.Millisecond // after a failure; it doubles
+	firstSeedPause = 300 * time.Millisecond // until the seeds are asked; it doubles
+	maxRetryPause  = 2 * time.Second
 )
 
 // smallFleet is the number of instances up to which each reads the rows of all, and tells all of
@@ -33,9 +33,9 @@
 // again now and then. When all start for the first time it writes first, so that
 // of two instances that start together at least one finds the other. Otherwise
 // the rows of the others are there, and reading first brings the tables sooner.
-func (e *Edge) introduce(ctx context.Context) {
+func (e *Edge) register(ctx context.Context) {
 	written, read := false, false
-	pause := firstPause
+	pause := minRetryPause
 	for ctx.Err() == nil {
 		if e.settings.First && !written {
 			written = e.storeCall(ctx, e.writeRow) == nil
@@ -48,23 +48,23 @@
 		}
 		if written && read {
 			read = e.followsInstances.Load() // then there is nothing to read again
-			pause = firstPause
-			written = !e.awaitsIntroduction(ctx)
+			pause = minRetryPause
+			written = !e.awaitReread(ctx)
 			continue
 		}
 		clock.Sleep(ctx, pause/2+rand.N(pause))
-		pause = min(2*pause, longestPause)
+		pause = min(2*pause, maxRetryPause)
 	}
 }
 
 // awaitsIntroduction waits until rows are read again, and reports whether the own one has to be
 // written again before.
-func (e *Edge) awaitsIntroduction(ctx context.Context) bool {
+func (e *Edge) awaitReread(ctx context.Context) bool {
 	select {
-	case <-e.introduceAgain:
-		clock.Sleep(ctx, rand.N(longestPause)) // all others write as well
+	case <-e.rewriteRow:
+		clock.Sleep(ctx, rand.N(maxRetryPause)) // all others write as well
 		return true
-	case <-time.After(rereadInstances):
+	case <-time.After(rereadInterval):
 	case <-ctx.Done():
 	}
 	return false
@@ -92,16 +92,16 @@
 		rows = append(rows, near...) // names that follow each other are mostly of one hall
 	}
 	first := !e.members.KnowsOthers()
-	e.learnRows(rows)
+	e.mergeInstanceRows(rows)
 	e.members.Read()
 	if first {
-		e.beats.SendAll()
+		e.heartbeats.SendAll()
 	}
 	return nil
 }
 
 // learnRows takes up rows of instances.
-func (e *Edge) learnRows(rows []state.Row) {
+func (e *Edge) mergeInstanceRows(rows []state.Row) {
 	list := make([]cluster.Member, 0, len(rows))
 	for _, r := range rows {
 		var m cluster.Member
@@ -123,7 +123,7 @@
 	for ctx.Err() == nil {
 		changed := table.Changed()
 		rows := table.Rows()
-		e.learnRows(changedRows(before, rows))
+		e.mergeInstanceRows(changedRows(before, rows))
 		before = rows
 		select {
 		case <-changed:
@@ -148,7 +148,7 @@
 
 // storeCall makes one call of the store within a bounded time.
 func (e *Edge) storeCall(ctx context.Context, f func(context.Context) error) error {
-	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	err := f(ctx)
 	if err != nil {
@@ -159,23 +159,23 @@
 
 // askSeeds learns other instances from the seeds while the store does not tell
 // them, until there is a configuration.
-func (e *Edge) askSeeds(ctx context.Context) {
-	pause := seedPause
+func (e *Edge) querySeeds(ctx context.Context) {
+	pause := firstSeedPause
 	for e.table.Routing() == nil && clock.Sleep(ctx, pause) {
-		pause = min(2*pause, longestPause)
+		pause = min(2*pause, maxRetryPause)
 		if e.members.KnowsOthers() && len(e.members.Sources()) > 0 {
 			continue
 		}
 		for _, seed := range e.settings.Seeds {
 			if seed != e.settings.Control {
-				e.askSeed(ctx, seed)
+				e.querySeed(ctx, seed)
 			}
 		}
 	}
 }
 
 // askPeer asks one instance which others there are.
-func (e *Edge) askPeer(address string) {
+func (e *Edge) queryPeer(address string) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	err := e.peers.Fetch(ctx, address)
@@ -183,12 +183,12 @@
 }
 
 // askSeed asks one instance which others there are, and tells them of this one.
-func (e *Edge) askSeed(ctx context.Context, seed string) {
+func (e *Edge) querySeed(ctx context.Context, seed string) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	if err := e.peers.Fetch(ctx, seed); err != nil {
 		e.log.Debug().Err(err).Str("seed", seed).Msg("seed-failed")
 		return
 	}
-	e.beats.SendAll()
+	e.heartbeats.SendAll()
 }
--- a/process/edge/introduce_test.go
+++ b/process/edge/introduce_test.go
@@ -20,8 +20,8 @@
 // rowStore is a store that has the rows of instances, and counts what is read.
 type rowStore struct {
 	Store
-	rows        []state.Row // by key
-	calls, read int
+	rows            []state.Row // by key
+	calls, rowsRead int
 }
 
 func (s *rowStore) ReadSome(_ context.Context, _, from string, most int) ([]state.Row, bool, error) {
@@ -33,11 +33,11 @@
 	})
 	out := s.rows[at:min(len(s.rows), at+most)]
 	s.calls++
-	s.read += len(out)
+	s.rowsRead += len(out)
 	return out, at+most < len(s.rows), nil
 }
 
-func memberOf(i, halls int) cluster.Member {
+func testMember(i, halls int) cluster.Member {
 	hall := fmt.Sprintf("hall-%d", i%halls)
 	return cluster.Member{
 		Name: fmt.Sprintf("edge-%s-%04d", hall, i), Incarnation: int64(i + 1), Hall: hall, Region: fmt.Sprintf("r%d", i%halls%3),
@@ -46,11 +46,11 @@
 }
 
 // newStarting returns an instance of a fleet that starts, and its store.
-func newStarting(t *testing.T, fleet int) (*Edge, *rowStore) {
+func newStartingInstance(t *testing.T, fleet int) (*Edge, *rowStore) {
 	t.Helper()
 	s := &rowStore{}
 	for i := range fleet {
-		m := memberOf(i, 9)
+		m := testMember(i, 9)
 		value, err := json.Marshal(m)
 		assert.NilError(t, err)
 		s.rows = append(s.rows, state.Row{Key: m.Name, Value: value, Version: int64(i + 1)})
@@ -61,12 +61,12 @@
 		}
 		return 1
 	})
-	self := memberOf(fleet/2, 9)
+	self := testMember(fleet/2, 9)
 	self.Peer = "127.0.0.1:0"
 	e := &Edge{log: zerolog.Nop(), settings: Settings{Instance: self.Name}, deployment: Deployment{Store: s, InstanceTable: "instances", RecordTable: "records"}}
 	e.members = cluster.NewMembers(self, func() time.Duration { return time.Hour })
 	var err error
-	e.beats, err = cluster.Listen(e.members)
+	e.heartbeats, err = cluster.Listen(e.members)
 	assert.NilError(t, err)
 	return e, s
 }
@@ -74,16 +74,16 @@
 // TestStartReadsAndTellsFew checks that what an instance reads of others, and tells others, as it
 // starts does not grow with the fleet. Each read all rows and told all: 240 MB and 970,000
 // datagrams for a start of 985.
-func TestStartReadsAndTellsFew(t *testing.T) {
+func TestStartCostIndependentOfFleetSize(t *testing.T) {
 	for _, x := range []struct {
 		fleet, rows, calls int
 		follows            bool
 	}{{12, 12, 1, false}, {100, 100, 1, false}, {330, 200, 2, true}, {985, 200, 2, true}, {3550, 200, 2, true}} {
-		e, s := newStarting(t, x.fleet)
+		e, s := newStartingInstance(t, x.fleet)
 		assert.NilError(t, e.readRows(context.Background()))
-		assert.Assert(t, s.read <= x.rows && s.calls == x.calls, "%d instances: %d rows in %d calls", x.fleet, s.read, s.calls)
+		assert.Assert(t, s.rowsRead <= x.rows && s.calls == x.calls, "%d instances: %d rows in %d calls", x.fleet, s.rowsRead, s.calls)
 		assert.Equal(t, e.wantsTable("instances"), x.follows)
-		assert.Assert(t, e.beats.Sent() <= cluster.MostIntroduced, "%d instances: %d datagrams", x.fleet, e.beats.Sent())
+		assert.Assert(t, e.heartbeats.Sent() <= cluster.MostIntroduced, "%d instances: %d datagrams", x.fleet, e.heartbeats.Sent())
 		if x.fleet <= smallFleet {
 			assert.Equal(t, len(e.members.Known()), x.fleet)
 		}
@@ -91,7 +91,7 @@
 }
 
 // TestChangedRowsAreFound checks the rows that are decoded when the table of instances changes.
-func TestChangedRowsAreFound(t *testing.T) {
+func TestChangedRows(t *testing.T) {
 	row := func(key string, version int64) state.Row { return state.Row{Key: key, Version: version} }
 	before := []state.Row{row("a", 1), row("c", 1), row("d", 1)}
 	now := []state.Row{row("a", 1), row("b", 1), row("d", 2)}
--- a/process/edge/lapse_test.go
+++ b/process/edge/lapse_test.go
@@ -12,7 +12,7 @@
 	"shalewick/process/state"
 )
 
-func keys(rows []state.Row) []string {
+func rowKeys(rows []state.Row) []string {
 	var out []string
 	for _, r := range rows {
 		out = append(out, r.Key)
@@ -21,7 +21,7 @@
 	return out
 }
 
-func rowsOf(keys ...string) []state.Row {
+func rowsWithKeys(keys ...string) []state.Row {
 	var out []state.Row
 	for _, k := range keys {
 		out = append(out, state.Row{Key: k})
@@ -31,34 +31,34 @@
 
 // TestLapsedRowsAreKeptUntilTheyCouldBeWritten plays a store that comes back
 // without the rows of backend servers that live.
-func TestLapsedRowsAreKeptUntilTheyCouldBeWritten(t *testing.T) {
+func TestExpiredRowsKeptAfterStoreReturns(t *testing.T) {
 	const returned = 10 * time.Second
-	l := lapses{keep: 1600 * time.Millisecond}
-	_, again := l.rows(rowsOf("a", "b", "c"), 0, time.Second)
+	l := expiredRows{keepFor: 1600 * time.Millisecond}
+	_, again := l.merge(rowsWithKeys("a", "b", "c"), 0, time.Second)
 	assert.Equal(t, again, time.Duration(0))
-	rows, again := l.rows(rowsOf("a"), returned, returned)
-	assert.DeepEqual(t, keys(rows), []string{"a", "b", "c"})
-	assert.Equal(t, again, returned+l.keep)
-	rows, _ = l.rows(rowsOf("a", "b"), returned, returned+time.Second)
-	assert.DeepEqual(t, keys(rows), []string{"a", "b", "c"})
-	rows, again = l.rows(rowsOf("a", "b"), returned, returned+l.keep)
-	assert.DeepEqual(t, keys(rows), []string{"a", "b"})
+	rows, again := l.merge(rowsWithKeys("a"), returned, returned)
+	assert.DeepEqual(t, rowKeys(rows), []string{"a", "b", "c"})
+	assert.Equal(t, again, returned+l.keepFor)
+	rows, _ = l.merge(rowsWithKeys("a", "b"), returned, returned+time.Second)
+	assert.DeepEqual(t, rowKeys(rows), []string{"a", "b", "c"})
+	rows, again = l.merge(rowsWithKeys("a", "b"), returned, returned+l.keepFor)
+	assert.DeepEqual(t, rowKeys(rows), []string{"a", "b"})
 	assert.Equal(t, again, time.Duration(0))
 }
 
 // TestLeavingIsTakenUpAtOnce checks that rows which go while the store answers
 // are not kept.
-func TestLeavingIsTakenUpAtOnce(t *testing.T) {
+func TestDeletedRowsNotKept(t *testing.T) {
 	const returned = 10 * time.Second
-	l := lapses{keep: 1600 * time.Millisecond}
-	l.rows(rowsOf("a", "b"), returned, returned+3*time.Second)
-	rows, again := l.rows(rowsOf("a"), returned, returned+4*time.Second)
-	assert.DeepEqual(t, keys(rows), []string{"a"})
+	l := expiredRows{keepFor: 1600 * time.Millisecond}
+	l.merge(rowsWithKeys("a", "b"), returned, returned+3*time.Second)
+	rows, again := l.merge(rowsWithKeys("a"), returned, returned+4*time.Second)
+	assert.DeepEqual(t, rowKeys(rows), []string{"a"})
 	assert.Equal(t, again, time.Duration(0))
 }
 
-func TestLapseEndsBeforeTheDrainBound(t *testing.T) {
-	assert.Equal(t, keepLapsed(2*time.Second), 1600*time.Millisecond)
-	assert.Equal(t, keepLapsed(time.Minute), longestLapse)
-	assert.Equal(t, keepLapsed(100*time.Millisecond), time.Duration(0))
+func TestKeepExpiredBelowDrainWithin(t *testing.T) {
+	assert.Equal(t, keepExpired(2*time.Second), 1600*time.Millisecond)
+	assert.Equal(t, keepExpired(time.Minute), maxExpiredRowTime)
+	assert.Equal(t, keepExpired(100*time.Millisecond), time.Duration(0))
 }
--- a/process/edge/limit.go
+++ b/process/edge/limit.go
@@ -12,7 +12,7 @@
 // newLimits returns the rate limits that backend servers name, kept together with the other instances.
 func (e *Edge) newLimits() *ratelimit.Limiter {
 	return &ratelimit.Limiter{
-		Now: e.now, Owner: e.limitOwner, Instances: e.members.Count, Send: e.beats.SendMessage, OnLimit: e.logLimited,
+		Now: e.now, Owner: e.limitOwner, Instances: e.members.Count, Send: e.heartbeats.SendMessage, OnLimit: e.logRateLimit,
 	}
 }
 
@@ -27,7 +27,7 @@
 
 // logLimited writes that a backend server's rate limit begins, changes or, with zero, ends; own: it
 // told this instance so, not another one. A limit that others told without its rate is infinite.
-func (e *Edge) logLimited(backend string, limit float64, own bool) {
+func (e *Edge) logRateLimit(backend string, limit float64, own bool) {
 	e.log.Info().Str("backend", backend).Float64("limit", limit).Bool("own", own).Msg("backend-limited")
 }
 
@@ -39,7 +39,7 @@
 }
 
 // gaugeLimits sets the metrics of rate limits.
-func (e *Edge) gaugeLimits() {
+func (e *Edge) updateLimitGauges() {
 	n := e.limits.Counts()
 	e.metrics.Gauge("backends_limited").Update(int64(e.limits.Known()))
 	e.metrics.Gauge(`permits{result="granted"}`).Update(n.Granted)
--- a/process/edge/margin.go
+++ b/process/edge/margin.go
@@ -10,7 +10,7 @@
 	killMargin = 500 * time.Millisecond
 	// longestLinger is how long a stopping process goes on accepting: clients
 	// keep an answer of the directory for a while.
-	longestLinger = 3200 * time.Millisecond
+	maxLinger = 3200 * time.Millisecond
 	// lingerShare bounds that by the time there is until the end.
 	lingerShare = 0.6
 	// retryRatioShare and retryFixedShare are the shares of the bounds of
@@ -26,5 +26,5 @@
 
 // linger returns how long a stopping process goes on accepting.
 func (s *Settings) linger() time.Duration {
-	return min(longestLinger, time.Duration(lingerShare*float64(s.grace())))
+	return min(maxLinger, time.Duration(lingerShare*float64(s.grace())))
 }
--- a/process/edge/margin_test.go
+++ b/process/edge/margin_test.go
@@ -11,16 +11,16 @@
 
 // TestStopEndsBeforeTheKill checks that there is time to accept, to finish, and
 // to end before the process would be killed, however short that time is.
-func TestStopEndsBeforeTheKill(t *testing.T) {
-	for _, killAfter := range []time.Duration{leastKillAfter, 2 * time.Second, 6 * time.Second, time.Minute} {
+func TestStopEndsBeforeKill(t *testing.T) {
+	for _, killAfter := range []time.Duration{minKillAfter, 2 * time.Second, 6 * time.Second, time.Minute} {
 		s := Settings{KillAfter: killAfter}
-		assert.Assert(t, s.linger() > 0 && s.linger() <= longestLinger, "%s", killAfter)
+		assert.Assert(t, s.linger() > 0 && s.linger() <= maxLinger, "%s", killAfter)
 		assert.Assert(t, s.linger() < s.grace(), "%s", killAfter)
 		assert.Assert(t, s.grace() < killAfter, "%s", killAfter)
 	}
 }
 
-func TestBadSettingsAreNamed(t *testing.T) {
+func TestSettingsCheck(t *testing.T) {
 	good := Settings{
 		Instance: "a", Hall: "z", Region: "r", Front: "127.0.0.1:1", Ready: "127.0.0.1:2", Directory: "127.0.0.1:3",
 		Control: "127.0.0.1:4", Peer: "127.0.0.1:5", KillAfter: time.Second, DrainWithin: time.Second, RetrySpan: time.Second, LogLevel: "info",
@@ -31,7 +31,7 @@
 		"hall":       func(s *Settings) { s.Hall = "" },
 		"front":      func(s *Settings) { s.Front = "host:1" },
 		"peer":       func(s *Settings) { s.Peer = "127.0.0.1" },
-		"kill after": func(s *Settings) { s.KillAfter = leastKillAfter - 1 },
+		"kill after": func(s *Settings) { s.KillAfter = minKillAfter - 1 },
 		"drain":      func(s *Settings) { s.DrainWithin = 0 },
 		"retry":      func(s *Settings) { s.RetryFixed = -1 },
 		"log-level":  func(s *Settings) { s.LogLevel = "loud" },
--- a/process/edge/place.go
+++ b/process/edge/place.go
@@ -10,13 +10,13 @@
 )
 
 // placeFor is how long the place of an instance is good for.
-const placeFor = 250 * time.Millisecond
+const positionLifetime = 250 * time.Millisecond
 
 // placed is the place of an instance among those that share what must be shared.
-type placed struct {
-	mu        sync.Mutex
-	place, of int
-	at        time.Duration // zero: not known
+type cachedPosition struct {
+	mu           sync.Mutex
+	index, count int
+	at           time.Duration // zero: not known
 }
 
 // place returns the place of this instance, from 0, among those that share what all
@@ -25,28 +25,28 @@
 // kind, since they take nearly all requests. One that clients are not sent to has its
 // part of an equal share among all: what comes in there stays below a second share of
 // the whole, and a cold server bears half as much again and some requests besides.
-func (e *Edge) place() (place, of int) {
-	p := &e.placed
+func (e *Edge) sharePosition() (sharePosition, of int) {
+	p := &e.position
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := e.now()
-	if p.at != 0 && now-p.at < placeFor {
-		return p.place, p.of
+	if p.at != 0 && now-p.at < positionLifetime {
+		return p.index, p.count
 	}
-	p.place, p.of = e.members.Place()
-	if p.of == 0 {
+	p.index, p.count = e.members.Place()
+	if p.count == 0 {
 		return 0, 0
 	}
 	p.at = now
-	if place, of := placeAmongLarge(e.members.Known(), e.settings.Instance); of > 0 {
-		p.place, p.of = place, of
+	if place, of := positionAmongLarge(e.members.Known(), e.settings.Instance); of > 0 {
+		p.index, p.count = place, of
 	}
-	return p.place, p.of
+	return p.index, p.count
 }
 
 // placeAmongLarge returns the place of an instance among the large ones of all regions,
 // and their number; zero if it is none of them.
-func placeAmongLarge(known []cluster.Member, self string) (place, of int) {
+func positionAmongLarge(known []cluster.Member, self string) (place, of int) {
 	found := false
 	rooms := make(map[string]cluster.Room) // by region
 	for _, m := range known {
--- a/process/edge/quarantine.go
+++ b/process/edge/quarantine.go
@@ -26,36 +26,36 @@
 	pathQuarantineView = "/v1/quarantine"
 	// learnWait is how long an instance that starts waits for the list before it serves
 	// without: others tell it within a few round trips, and a relay reads it within one.
-	learnWait = time.Second
+	maxSyncWait = time.Second
 	// learnLeast and learnMost bound the pause between two questions for the list, which
 	// doubles.
-	learnLeast = 20 * time.Millisecond
-	learnMost  = time.Second
+	minListPause = 20 * time.Millisecond
+	maxListPause = time.Second
 	// listHold is how long an instance holds a question for the list that it awaits itself.
-	listHold = time.Second
+	maxListWait = time.Second
 	// listPause is the least time between two questions for the list of one that differs,
 	// so that news that reaches all in one round trip is seldom asked for.
-	listPause = 300 * time.Millisecond
+	minListInterval = 300 * time.Millisecond
 )
 
 // newQuarantine returns the quarantine of requests, made together with the other instances.
 func (e *Edge) newQuarantine() *quarantine.Quarantine {
 	q := quarantine.New()
 	q.Now, q.Owners, q.Log = e.now, e.quarantineOwners, e.log
-	q.Send, q.SendAll = e.beats.SendMessage, e.beats.SendMessageToAll
-	e.beats.Digest, e.beats.Differs = q.Digest, e.askList
+	q.Send, q.SendAll = e.heartbeats.SendMessage, e.heartbeats.SendMessageToAll
+	e.heartbeats.Digest, e.heartbeats.Differs = q.Digest, e.refreshList
 	return q
 }
 
 // backendCrashed writes that a backend server has ended, and which requests were in flight
 // there from this instance, and counts it against them.
-func (e *Edge) backendCrashed(c crash.Crash) {
+func (e *Edge) onBackendCrash(c crash.Crash) {
 	requests := make([]string, 0, len(c.Suspects))
 	for _, s := range c.Suspects {
 		requests = append(requests, s.Request.String())
 	}
 	e.metrics.Counter("backend_crashes_total").Inc(1)
-	e.log.Info().Str("backend", c.Backend).Str("service", c.Service).Strs("requests", few(requests)).
+	e.log.Info().Str("backend", c.Backend).Str("service", c.Service).Strs("requests", firstNames(requests)).
 		Int("lost", len(requests)).Msg("backend-crashed")
 	e.quarantine.RecordCrash(c)
 }
@@ -89,14 +89,16 @@
 
 // learnQuarantine learns what others know when this instance starts, from them or, if it
 // reads the store for others, from there: whoever tells it first, as with the tables.
-func (e *Edge) learnQuarantine(ctx context.Context) {
+func (e *Edge) syncQuarantine(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var all sync.WaitGroup
-	for i := range learnSources {
-		all.Go(func() { e.learnFrom(ctx, func(ctx context.Context) bool { return e.askSource(ctx, i) }) })
+	for i := range syncSources {
+		all.Go(func() {
+			e.pollUntilSynced(ctx, func(ctx context.Context) bool { return e.fetchListFromSource(ctx, i) })
+		})
 	}
-	all.Go(func() { e.learnFrom(ctx, e.askStore) })
+	all.Go(func() { e.pollUntilSynced(ctx, e.loadListFromRelay) })
 	select {
 	case <-e.quarantine.SyncDone():
 		e.recompile() // the start may have waited for it
@@ -107,15 +109,15 @@
 }
 
 // learnSources is the number of instances that are asked for the list at a time at a start.
-const learnSources = 2
+const syncSources = 2
 
 // learnFrom asks until the list is known, or the context ends. Ask returns false if there was
 // nobody to ask.
-func (e *Edge) learnFrom(ctx context.Context, ask func(context.Context) bool) {
-	pause := learnLeast
+func (e *Edge) pollUntilSynced(ctx context.Context, ask func(context.Context) bool) {
+	pause := minListPause
 	for !e.quarantine.Synced() && ctx.Err() == nil {
 		if ask(ctx) {
-			pause = min(2*pause, learnMost)
+			pause = min(2*pause, maxListPause)
 		}
 		select {
 		case <-e.quarantine.SyncDone():
@@ -126,7 +128,7 @@
 }
 
 // askSource asks the i-th of the instances that this one learns the tables from.
-func (e *Edge) askSource(ctx context.Context, i int) bool {
+func (e *Edge) fetchListFromSource(ctx context.Context, i int) bool {
 	sources := e.members.Sources()
 	if i >= len(sources) {
 		return false
@@ -136,32 +138,32 @@
 }
 
 // askStore reads the rows, if this instance reads the store for others.
-func (e *Edge) askStore(ctx context.Context) bool {
+func (e *Edge) loadListFromRelay(ctx context.Context) bool {
 	if !e.peers.Relay() {
 		return false
 	}
-	return e.storeCall(ctx, e.readQuarantine) != nil
+	return e.storeCall(ctx, e.loadQuarantine) != nil
 }
 
 // awaitsQuarantine reports whether an instance that starts has to learn first which requests
 // to refuse. The caller holds compiling.
-func (e *Edge) awaitsQuarantine() bool {
+func (e *Edge) mustAwaitQuarantine() bool {
 	if e.settings.First || e.quarantine.Synced() {
 		return false
 	}
-	left := learnWait - e.age()
+	left := maxSyncWait - e.uptime()
 	if left <= 0 {
 		return false
 	}
-	if e.learnEnd == nil {
-		e.learnEnd = time.AfterFunc(left, e.recompile)
+	if e.quarantineTimer == nil {
+		e.quarantineTimer = time.AfterFunc(left, e.recompile)
 	}
 	return true
 }
 
 // fetchList asks the instance at an address for its list.
 func (e *Edge) fetchList(ctx context.Context, address string) error {
-	ctx, cancel := context.WithTimeout(ctx, listHold+peerSilence)
+	ctx, cancel := context.WithTimeout(ctx, maxListWait+peerAckTimeout)
 	defer cancel()
 	text, err := e.peers.Ask(ctx, address, pathQuarantine)
 	if err != nil {
@@ -171,20 +173,20 @@
 }
 
 // asking says whether a list is being asked for.
-type asking struct{ busy atomic.Bool }
+type listFetch struct{ running atomic.Bool }
 
 // askList asks an instance that knows other entries for its list, unless one was asked a
 // moment ago.
-func (e *Edge) askList(address string) {
-	if !e.asking.busy.CompareAndSwap(false, true) {
+func (e *Edge) refreshList(address string) {
+	if !e.listFetch.running.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer e.asking.busy.Store(false)
+		defer e.listFetch.running.Store(false)
 		if err := e.fetchList(context.Background(), address); err != nil {
 			e.log.Info().Err(err).Str("from", address).Msg("quarantine-not-told")
 		}
-		time.Sleep(listPause)
+		time.Sleep(minListInterval)
 	}()
 }
 
@@ -193,7 +195,7 @@
 	select {
 	case <-e.quarantine.SyncDone():
 	case <-r.Context().Done():
-	case <-time.After(listHold):
+	case <-time.After(maxListWait):
 	}
 	text, err := e.quarantine.EncodeReply()
 	if err != nil {
@@ -204,7 +206,7 @@
 }
 
 // viewed is an entry as operators read it.
-type viewed struct {
+type entryView struct {
 	Request     string    `json:"request"`
 	Service     string    `json:"service"`
 	Path        string    `json:"path"`
@@ -217,9 +219,9 @@
 
 // serveQuarantine shows operators the list.
 func (e *Edge) serveQuarantine(w http.ResponseWriter, _ *http.Request) {
-	out := []viewed{}
+	out := []entryView{}
 	for _, x := range e.quarantine.Entries() {
-		out = append(out, viewed{
+		out = append(out, entryView{
 			Request: x.Request.String(), Service: x.Service, Path: x.Path, Crashes: x.Crashes,
 			At: time.UnixMilli(x.At).UTC(), Quarantined: x.Quarantined(), Refused: e.quarantine.Refuses(x.Request),
 		})
@@ -229,4 +231,4 @@
 }
 
 // letThrough takes up which requests operators let through.
-func (e *Edge) letThrough(c *version.Config) { e.quarantine.LetThrough(c.LetThrough) }
+func (e *Edge) applyLetThrough(c *version.Config) { e.quarantine.LetThrough(c.LetThrough) }
--- a/process/edge/quarantinerow.go
+++ b/process/edge/quarantinerow.go
@@ -19,19 +19,19 @@
 const (
 	// keepPause is the pause between two looks at which entries are not in the store yet.
 	// It leaves time for others to object, which takes a round trip.
-	keepPause = time.Second
+	persistInterval = time.Second
 	// keepMost bounds that pause, which doubles while the store does not answer.
-	keepMost = 30 * time.Second
+	maxPersistPause = 30 * time.Second
 )
 
 // quarantineRows is which entries the store has, as far as this instance knows: those that
 // it read or wrote.
-type quarantineRows struct {
+type storedEntries struct {
 	mu     sync.Mutex
 	stamps map[request.Fingerprint]uint32
 }
 
-func (r *quarantineRows) set(f request.Fingerprint, stamp uint32) {
+func (r *storedEntries) set(f request.Fingerprint, stamp uint32) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.stamps == nil {
@@ -40,14 +40,14 @@
 	r.stamps[f] = stamp
 }
 
-func (r *quarantineRows) drop(f request.Fingerprint) {
+func (r *storedEntries) remove(f request.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.stamps, f)
 }
 
 // reset forgets what the store has: it came back from an older copy.
-func (r *quarantineRows) reset() {
+func (r *storedEntries) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	clear(r.stamps)
@@ -55,7 +55,7 @@
 
 // compare returns the entries that are newer than their rows, and the rows of which there is
 // no entry any more.
-func (r *quarantineRows) compare(entries []quarantine.Entry) (missing []quarantine.Entry, left []request.Fingerprint) {
+func (r *storedEntries) diff(entries []quarantine.Entry) (missing []quarantine.Entry, left []request.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	there := make(map[request.Fingerprint]bool, len(entries))
@@ -74,7 +74,7 @@
 }
 
 // readQuarantine learns what the store keeps.
-func (e *Edge) readQuarantine(ctx context.Context) error {
+func (e *Edge) loadQuarantine(ctx context.Context) error {
 	d, err := e.deployment.Store.Read(ctx, e.deployment.QuarantineTable)
 	if err != nil {
 		return err
@@ -87,7 +87,7 @@
 			continue
 		}
 		entries = append(entries, x)
-		e.quarantineRows.set(x.Request, x.Stamp)
+		e.storedEntries.set(x.Request, x.Stamp)
 	}
 	e.quarantine.LoadEntries(entries, "store")
 	return nil
@@ -95,20 +95,20 @@
 
 // keepQuarantine writes the entries that this instance owns to the store, until the context
 // ends.
-func (e *Edge) keepQuarantine(ctx context.Context) {
-	pause := keepPause
+func (e *Edge) persistQuarantine(ctx context.Context) {
+	pause := persistInterval
 	for clock.Sleep(ctx, pause) {
-		if err := e.keepEntries(ctx); err != nil {
-			pause = min(2*pause, keepMost)
+		if err := e.persistEntries(ctx); err != nil {
+			pause = min(2*pause, maxPersistPause)
 			e.log.Info().Err(err).Msg("quarantine-not-kept")
 			continue
 		}
-		pause = keepPause
+		pause = persistInterval
 	}
 }
 
-func (e *Edge) keepEntries(ctx context.Context) error {
-	missing, left := e.quarantineRows.compare(e.quarantine.Entries())
+func (e *Edge) persistEntries(ctx context.Context) error {
+	missing, left := e.storedEntries.diff(e.quarantine.Entries())
 	for _, x := range missing {
 		if !e.ownsRow(x.Request) {
 			continue
@@ -116,7 +116,7 @@
 		if err := e.storeCall(ctx, func(ctx context.Context) error { return e.writeEntry(ctx, x) }); err != nil {
 			return errors.Annotatef(err, "row of request %s", x.Request)
 		}
-		e.quarantineRows.set(x.Request, x.Stamp)
+		e.storedEntries.set(x.Request, x.Stamp)
 		e.log.Info().Str("request", x.Request.String()).Uint32("stamp", x.Stamp).Msg("quarantine-kept")
 	}
 	for _, f := range left {
@@ -126,7 +126,7 @@
 		if err != nil {
 			return errors.Annotatef(err, "old row of request %s", f)
 		}
-		e.quarantineRows.drop(f)
+		e.storedEntries.remove(f)
 	}
 	return nil
 }
--- a/process/edge/quota.go
+++ b/process/edge/quota.go
@@ -12,18 +12,18 @@
 // newQuota returns the limits of workspaces, kept together with the other instances.
 func (e *Edge) newQuota() *quota.Quota {
 	return &quota.Quota{
-		Now: e.now, Tolerance: e.settings.QuotaTolerance, Owners: e.quotaOwners, Instances: e.entries,
-		Send: e.beats.SendMessage, OnOwnerResponsive: e.quotaAnswers, FirstStart: e.settings.First,
+		Now: e.now, Tolerance: e.settings.QuotaTolerance, Owners: e.quotaOwners, Instances: e.listedInstances,
+		Send: e.heartbeats.SendMessage, OnOwnerResponsive: e.onQuotaOwner, FirstStart: e.settings.First,
 	}
 }
 
 // entries returns how many instances the directory names to clients, over all regions;
 // zero while the others are not known.
-func (e *Edge) entries() int {
+func (e *Edge) listedInstances() int {
 	if e.members.Count() == 0 {
 		return 0
 	}
-	return entries(e.members.Live())
+	return countListed(e.members.Live())
 }
 
 // quotaOwners returns who owns the limits of each group of workspaces.
@@ -38,7 +38,7 @@
 }
 
 // quotaAnswers is told that the owner of some limits does not answer, or does again.
-func (e *Edge) quotaAnswers(name string, ok bool) {
+func (e *Edge) onQuotaOwner(name string, ok bool) {
 	e.log.Info().Str("other", name).Bool("answers", ok).Msg("quota-owner")
 	e.members.Called(name, ok)
 }
--- a/process/edge/record.go
+++ b/process/edge/record.go
@@ -15,16 +15,16 @@
 // knownRecord is the record of a service's newest roll-out as its row says it. The zero
 // value stands for none.
 type knownRecord struct {
-	record   *rollout.Record
-	revision int64
-	held     bool // the store has lost it, or has it as it was before
+	record      *rollout.Record
+	revision    int64
+	lostByStore bool // the store has lost it, or has it as it was before
 }
 
 // running reports whether the roll-out has not ended.
 func (k knownRecord) running() bool { return k.record != nil && !k.record.Phase.Ended() }
 
 // answers reports whether the record says how a roll-out ended that an order asked for.
-func (k knownRecord) answers(o *rollout.Order) bool {
+func (k knownRecord) endsOrder(o *rollout.Order) bool {
 	return k.record != nil && k.record.Phase.Ended() && k.record.For(o)
 }
 
@@ -45,7 +45,7 @@
 		r.Service = row.Key
 		k := knownRecord{record: r, revision: row.Version}
 		if stored, lost := held[row.Key]; lost {
-			k.revision, k.held = stored, true
+			k.revision, k.lostByStore = stored, true
 		}
 		out[row.Key] = k
 	}
@@ -85,16 +85,16 @@
 	if err != nil {
 		return 0, err
 	}
-	e.recordWritten(p, state.Row{Key: key, Value: value, Version: revision})
+	e.applyWrittenRecord(p, state.Row{Key: key, Value: value, Version: revision})
 	return revision, nil
 }
 
 // recordWritten takes up a record that this instance has written, before the table
 // tells it.
-func (e *Edge) recordWritten(p rollout.Proposal, row state.Row) {
-	e.compiling.Lock()
+func (e *Edge) applyWrittenRecord(p rollout.Proposal, row state.Row) {
+	e.compileMu.Lock()
 	e.records().Apply(state.Delta{Rows: []state.Row{row}}, e.now())
 	e.rollouts.Written(p, row.Version)
-	e.compiling.Unlock()
+	e.compileMu.Unlock()
 	e.recompile()
 }
--- a/process/edge/retry_test.go
+++ b/process/edge/retry_test.go
@@ -17,7 +17,7 @@
 // exceeded, of which each uses the shares above. Requests are counted in the span,
 // or the one half a span or a span before, whichever has most: a retry may be of
 // a request that has left the span.
-func TestRetriesOfAllInstancesKeepTheBound(t *testing.T) {
+func TestFleetRetriesWithinBound(t *testing.T) {
 	const (
 		span  = 10 * time.Second
 		ratio = 0.2
--- a/process/edge/rollout.go
+++ b/process/edge/rollout.go
@@ -17,40 +17,40 @@
 )
 
 // rolling is what an instance knows of roll-outs besides the tables.
-type rolling struct {
+type rolloutState struct {
 	// wanted says that the records have to be followed, and running how many roll-outs
 	// that is for.
-	wanted  atomic.Bool
-	running atomic.Int64
+	followRecords atomic.Bool
+	running       atomic.Int64
 	// promotes is set while one of them moves all requests.
-	promotes atomic.Bool
+	promoting atomic.Bool
 	// open while there are orders, or roll-outs that have not ended: of services.
-	open     gate
+	active   gate
 	services atomic.Pointer[[]string]
 
 	// What follows is guarded by Edge.compiling.
-	software map[string]version.Software // that was put in force last
-	heldBack map[string]string           // what was written of it last, by service
-	orders   map[string]*rollout.Order   // as they were seen last
-	records  map[string]knownRecord      // as they were seen last
+	admitted       map[string]version.Software // that was put in force last
+	loggedHeldBack map[string]string           // what was written of it last, by service
+	orders         map[string]*rollout.Order   // as they were seen last
+	records        map[string]knownRecord      // as they were seen last
 	// recordsUntil is until when the start waits for the records; zero: it does not.
-	recordsUntil time.Duration
+	recordsDeadline time.Duration
 }
 
 // newRollouts returns the roll-outs of services, made together with the other instances.
 func (e *Edge) newRollouts() *rollout.Rollouts {
-	e.rolling.heldBack = make(map[string]string)
+	e.rolloutState.loggedHeldBack = make(map[string]string)
 	return &rollout.Rollouts{
-		Now: e.now, Bounds: e.settings.Rollouts, Incarnation: e.started.UnixNano(),
-		Owner: e.rolloutOwner, Live: e.liveAddresses, InFlight: e.table.InFlight,
-		Send: e.beats.SendMessage, Log: e.logRollout,
-		Introduce: e.beats.Introduce,
-		Late:      func() time.Duration { return e.lateness.Most(e.now()) },
+		Now: e.now, Bounds: e.settings.Rollouts, Incarnation: e.startTime.UnixNano(),
+		Owner: e.rolloutOwner, Live: e.messageAddresses, InFlight: e.table.InFlight,
+		Send: e.heartbeats.SendMessage, Log: e.logRolloutEvent,
+		Introduce: e.heartbeats.Introduce,
+		Late:      func() time.Duration { return e.schedulingDelay.Most(e.now()) },
 	}
 }
 
 // hearMessage passes a message of another instance on to the part that it is for.
-func (e *Edge) hearMessage(from string, text []byte) {
+func (e *Edge) receiveMessage(from string, text []byte) {
 	if e.rollouts.Hear(from, text) || e.quarantine.Receive(from, text) || e.limits.Hear(from, text) {
 		return
 	}
@@ -68,7 +68,7 @@
 
 // liveAddresses returns where the instances take messages that may have requests in
 // flight, "" for this one.
-func (e *Edge) liveAddresses() []string {
+func (e *Edge) messageAddresses() []string {
 	live := e.members.AtWork()
 	out := make([]string, 0, len(live))
 	for _, m := range live {
@@ -87,7 +87,7 @@
 func (e *Edge) wantsTable(name string) bool {
 	switch name {
 	case e.deployment.RecordTable:
-		return e.rolling.wanted.Load() || e.recordsBehind()
+		return e.rolloutState.followRecords.Load() || e.recordsOutdated()
 	case e.deployment.InstanceTable:
 		return e.followsInstances.Load()
 	case e.deployment.BackendTable:
@@ -108,28 +108,28 @@
 // recordsWait is how long an instance that starts waits for the records of roll-outs
 // before it serves without them: others tell it within a few round trips, and a relay
 // reads them within a second.
-const recordsWait = 1500 * time.Millisecond
+const maxRecordsWait = 1500 * time.Millisecond
 
 // awaitsRecords reports whether an instance that starts has to know the records first,
 // since an order waits for its end: the record may say that another version is in force
 // than the one that looks so. The caller holds compiling.
-func (e *Edge) awaitsRecords(orders map[string]*rollout.Order, records map[string]knownRecord) bool {
-	if _, known := e.records().Version(); known || unanswered(orders, records) == 0 {
+func (e *Edge) mustAwaitRecords(orders map[string]*rollout.Order, records map[string]knownRecord) bool {
+	if _, known := e.records().Version(); known || countUnfinishedOrders(orders, records) == 0 {
 		return false
 	}
-	e.rolling.wanted.Store(true)
-	if e.rolling.recordsUntil == 0 {
-		e.rolling.recordsUntil = e.now() + recordsWait
-		time.AfterFunc(recordsWait, e.recompile)
+	e.rolloutState.followRecords.Store(true)
+	if e.rolloutState.recordsDeadline == 0 {
+		e.rolloutState.recordsDeadline = e.now() + maxRecordsWait
+		time.AfterFunc(maxRecordsWait, e.recompile)
 	}
-	return e.now() < e.rolling.recordsUntil
+	return e.now() < e.rolloutState.recordsDeadline
 }
 
 // unanswered returns the number of orders of which no record says how they ended.
-func unanswered(orders map[string]*rollout.Order, records map[string]knownRecord) int {
+func countUnfinishedOrders(orders map[string]*rollout.Order, records map[string]knownRecord) int {
 	n := 0
 	for name, o := range orders {
-		if !records[name].answers(o) {
+		if !records[name].endsOrder(o) {
 			n++
 		}
 	}
@@ -139,32 +139,32 @@
 // admitSoftware sets which versions of the services' software may get requests. The
 // caller holds compiling.
 func (e *Edge) admitSoftware(c *version.Config, orders map[string]*rollout.Order, records map[string]knownRecord) {
-	c.Software = admit(c, orders, records, e.rolling.software)
-	e.rolling.software = c.Software
+	c.Software = admitVersions(c, orders, records, e.rolloutState.admitted)
+	e.rolloutState.admitted = c.Software
 	e.logHeldBack(c)
 }
 
 // noteRollouts notes and writes what the roll-outs were told. The caller holds compiling.
-func (e *Edge) noteRollouts(services []rollout.Service, orders map[string]*rollout.Order, records map[string]knownRecord) {
-	e.logOrders(orders)
-	e.logRecords(records)
-	e.rolling.orders, e.rolling.records = orders, records
-	running := unanswered(orders, records) + withoutOrder(orders, records)
-	e.rolling.running.Store(int64(running))
-	e.rolling.wanted.Store(running > 0)
-	e.rolling.promotes.Store(promotes(records))
+func (e *Edge) updateRolloutState(services []rollout.Service, orders map[string]*rollout.Order, records map[string]knownRecord) {
+	e.logOrderChanges(orders)
+	e.logRecordChanges(records)
+	e.rolloutState.orders, e.rolloutState.records = orders, records
+	running := countUnfinishedOrders(orders, records) + countWithoutOrder(orders, records)
+	e.rolloutState.running.Store(int64(running))
+	e.rolloutState.followRecords.Store(running > 0)
+	e.rolloutState.promoting.Store(anyPromoting(records))
 	names := make([]string, 0, len(services))
 	for _, s := range services {
 		names = append(names, s.Name)
 	}
-	e.rolling.services.Store(&names)
-	e.rolling.open.set(len(services) > 0)
+	e.rolloutState.services.Store(&names)
+	e.rolloutState.active.set(len(services) > 0)
 }
 
 // rollingServices returns the services that have an order, or a roll-out that has not
 // ended.
-func (e *Edge) rollingServices() []string {
-	if names := e.rolling.services.Load(); names != nil {
+func (e *Edge) activeServices() []string {
+	if names := e.rolloutState.services.Load(); names != nil {
 		return *names
 	}
 	return nil
@@ -174,10 +174,10 @@
 // record of a roll-out that has not ended.
 func rolloutServices(r *version.Routing, software map[string]version.Software, orders map[string]*rollout.Order, records map[string]knownRecord) []rollout.Service {
 	var out []rollout.Service
-	for _, name := range rollingNames(orders, records) {
+	for _, name := range activeServiceNames(orders, records) {
 		s := rollout.Service{
 			Name: name, Order: orders[name], Record: records[name].record, Revision: records[name].revision,
-			InForce: software[name].InForce, Held: records[name].held,
+			InForce: software[name].InForce, Held: records[name].lostByStore,
 		}
 		s.InForceSlots, s.Homes = slotsAndHomes(r, name)
 		s.Unknown = !r.HasService(name)
@@ -188,10 +188,10 @@
 
 // rollingNames returns the services that have an order, or a record of a roll-out that
 // has not ended or has to be written again.
-func rollingNames(orders map[string]*rollout.Order, records map[string]knownRecord) []string {
+func activeServiceNames(orders map[string]*rollout.Order, records map[string]knownRecord) []string {
 	names := slices.Collect(maps.Keys(orders))
 	for name, k := range records {
-		if orders[name] == nil && (k.running() || k.held) {
+		if orders[name] == nil && (k.running() || k.lostByStore) {
 			names = append(names, name)
 		}
 	}
@@ -200,7 +200,7 @@
 }
 
 // promotes reports whether a roll-out moves all requests.
-func promotes(records map[string]knownRecord) bool {
+func anyPromoting(records map[string]knownRecord) bool {
 	for _, k := range records {
 		if k.record.Phase == rollout.Promote {
 			return true
@@ -211,8 +211,8 @@
 
 // withoutOrder returns the number of roll-outs that have not ended though there is no
 // order any more.
-func withoutOrder(orders map[string]*rollout.Order, records map[string]knownRecord) int {
-	return len(rollingNames(orders, records)) - len(orders)
+func countWithoutOrder(orders map[string]*rollout.Order, records map[string]knownRecord) int {
+	return len(activeServiceNames(orders, records)) - len(orders)
 }
 
 // slotsAndHomes returns the slots of the backend servers that take work of the version
@@ -237,12 +237,12 @@
 // the machine gives this process its turns. While there is no roll-out watchMembers ticks, since
 // what lived shortly before one matters.
 func (e *Edge) tickRollouts(ctx context.Context) {
-	for e.rolling.open.wait(ctx) {
-		e.lateness.Waits(e.now() + rollout.TickTime)
+	for e.rolloutState.active.wait(ctx) {
+		e.schedulingDelay.Waits(e.now() + rollout.TickTime)
 		if !clock.Sleep(ctx, rollout.TickTime) {
 			return
 		}
-		e.lateness.Wakes(e.now())
+		e.schedulingDelay.Wakes(e.now())
 		e.rollouts.Tick()
 	}
 }
--- a/process/edge/rollout_test.go
+++ b/process/edge/rollout_test.go
@@ -19,7 +19,7 @@
 
 // configOf returns a configuration of services with backend servers, which are given as
 // service, version of the software and whether it is leaving.
-func configOf(backends ...[2]string) *version.Config {
+func testConfig(backends ...[2]string) *version.Config {
 	c := &version.Config{Seq: 1, Resources: make(map[version.Key]version.Resource)}
 	add := func(r version.Resource) { c.Resources[r.Key] = r }
 	add(version.Resource{Key: version.Key{Kind: version.KindRegion, Name: "north"}, Region: &version.Region{}})
@@ -34,7 +34,7 @@
 	return c
 }
 
-func recordsOf(r ...rollout.Record) map[string]knownRecord {
+func testRecords(r ...rollout.Record) map[string]knownRecord {
 	out := make(map[string]knownRecord)
 	for i, x := range r {
 		out[x.Service] = knownRecord{record: &x, revision: int64(100 + i)}
@@ -44,46 +44,46 @@
 
 // TestOnlyServicesThatTellVersionsAreBound checks for which services versions are held
 // back, and that a service whose backend servers are all gone stays bound.
-func TestOnlyServicesThatTellVersionsAreBound(t *testing.T) {
-	c := configOf([2]string{"s", "v1"}, [2]string{"s", "v2"}, [2]string{"t", ""}, [2]string{"u", ""}, [2]string{"u", "v1"})
-	got := admit(c, nil, nil, nil)
+func TestAdmitOnlyServicesReportingVersions(t *testing.T) {
+	c := testConfig([2]string{"s", "v1"}, [2]string{"s", "v2"}, [2]string{"t", ""}, [2]string{"u", ""}, [2]string{"u", "v1"})
+	got := admitVersions(c, nil, nil, nil)
 	assert.DeepEqual(t, got, map[string]version.Software{"s": {InForce: "v1"}, "u": {InForce: ""}})
 	for key, x := range c.Resources {
 		if x.Backend != nil && x.Backend.Service == "s" {
 			delete(c.Resources, key)
 		}
 	}
-	assert.Equal(t, admit(c, nil, nil, got)["s"], version.Software{InForce: "v1"})
+	assert.Equal(t, admitVersions(c, nil, nil, got)["s"], version.Software{InForce: "v1"})
 }
 
 // TestRecordOutweighsWhatIsThere checks that an instance that starts follows the record
 // when the rows of both versions are there.
-func TestRecordOutweighsWhatIsThere(t *testing.T) {
-	c := configOf([2]string{"s", "v1"}, [2]string{"s", "v2"})
-	done := recordsOf(rollout.Record{Service: "s", Target: "v2", Before: "v1", Phase: rollout.Completed})
-	assert.Equal(t, admit(c, nil, done, nil)["s"], version.Software{InForce: "v2"})
+func TestRecordOverridesRunningVersions(t *testing.T) {
+	c := testConfig([2]string{"s", "v1"}, [2]string{"s", "v2"})
+	done := testRecords(rollout.Record{Service: "s", Target: "v2", Before: "v1", Phase: rollout.Completed})
+	assert.Equal(t, admitVersions(c, nil, done, nil)["s"], version.Software{InForce: "v2"})
 }
 
-func TestHeldBackAreCounted(t *testing.T) {
-	c := configOf([2]string{"s", "v1"}, [2]string{"s", "v2"}, [2]string{"s", "v3"}, [2]string{"s", "v3"})
-	a := announcedOf(c)["s"]
+func TestHeldBack(t *testing.T) {
+	c := testConfig([2]string{"s", "v1"}, [2]string{"s", "v2"}, [2]string{"s", "v3"}, [2]string{"s", "v3"})
+	a := runningVersionsByService(c)["s"]
 	assert.DeepEqual(t, a.heldBack(version.Software{InForce: "v1", Target: "v2"}), map[string]int{"v3": 2})
-	assert.Equal(t, sum(a.heldBack(version.Software{InForce: "v1"})), 3)
+	assert.Equal(t, sumCounts(a.heldBack(version.Software{InForce: "v1"})), 3)
 }
 
 // TestServicesAreToldWithTheirHomes checks what the roll-outs are told: of a service with
 // an order or a running record, and the slots of those that take work.
-func TestServicesAreToldWithTheirHomes(t *testing.T) {
-	c := configOf([2]string{"s", "v1"}, [2]string{"s", "v2"}, [2]string{"s", "v2"}, [2]string{"s", "v1"}, [2]string{"t", "v1"}, [2]string{"u", "v1"})
+func TestRolloutServices(t *testing.T) {
+	c := testConfig([2]string{"s", "v1"}, [2]string{"s", "v2"}, [2]string{"s", "v2"}, [2]string{"s", "v1"}, [2]string{"t", "v1"}, [2]string{"u", "v1"})
 	leaving := c.Resources[version.Key{Kind: version.KindBackend, Name: "b-2"}]
 	leaving.Backend.Leaving = true
-	records := recordsOf(
+	records := testRecords(
 		rollout.Record{Service: "s", Order: 7, Target: "v2", Before: "v1", Phase: rollout.Canary},
 		rollout.Record{Service: "t", Order: 3, Target: "v2", Before: "v1", Phase: rollout.Promote},
 		rollout.Record{Service: "u", Order: 2, Target: "v1", Before: "v0", Phase: rollout.Completed},
 	)
 	orders := map[string]*rollout.Order{"s": {ID: 7, Target: "v2", Within: time.Minute}}
-	c.Software = admit(c, orders, records, nil)
+	c.Software = admitVersions(c, orders, records, nil)
 	r := version.CompileRouting(c, nil)
 	got := rolloutServices(r, c.Software, orders, records)
 	assert.Equal(t, len(got), 2, "%v", got)
@@ -98,18 +98,18 @@
 		assert.Equal(t, b.Hash == s.Homes[0].Hash, b.Name == "b-1")
 	}
 	assert.Equal(t, got[1].Name, "t")
-	assert.Assert(t, got[1].Order == nil && promotes(records))
-	assert.Equal(t, unanswered(orders, records)+withoutOrder(orders, records), 2)
+	assert.Assert(t, got[1].Order == nil && anyPromoting(records))
+	assert.Equal(t, countUnfinishedOrders(orders, records)+countWithoutOrder(orders, records), 2)
 }
 
 // TestRecordsAreWantedUntilAllHaveEnded checks what counts as running.
-func TestRecordsAreWantedUntilAllHaveEnded(t *testing.T) {
+func TestRunningRollouts(t *testing.T) {
 	order := map[string]*rollout.Order{"s": {ID: 7, Target: "v2", Within: time.Minute}}
 	running := func(orders map[string]*rollout.Order, records map[string]knownRecord) int {
-		return unanswered(orders, records) + withoutOrder(orders, records)
+		return countUnfinishedOrders(orders, records) + countWithoutOrder(orders, records)
 	}
 	at := func(order int64, p rollout.Phase) map[string]knownRecord {
-		return recordsOf(rollout.Record{Service: "s", Order: order, Target: "v2", Phase: p})
+		return testRecords(rollout.Record{Service: "s", Order: order, Target: "v2", Phase: p})
 	}
 	assert.Equal(t, running(nil, nil), 0)
 	assert.Equal(t, running(order, nil), 1)
@@ -120,7 +120,7 @@
 	assert.Equal(t, running(nil, at(7, rollout.Reverted)), 0)
 }
 
-func TestRecordsThatCannotBeReadAreSkipped(t *testing.T) {
+func TestUnreadableRecordsSkipped(t *testing.T) {
 	good, err := json.Marshal(rollout.Record{Service: "other", Order: 7, Target: "v2", Phase: rollout.Canary, Deadline: version.Duration(time.Minute)})
 	assert.NilError(t, err)
 	table := state.NewTable()
@@ -134,7 +134,7 @@
 }
 
 // TestGateHoldsUpUntilItOpens checks waiting, opening and the end of the context.
-func TestGateHoldsUpUntilItOpens(t *testing.T) {
+func TestGate(t *testing.T) {
 	var g gate
 	ctx, cancel := context.WithCancel(context.Background())
 	passed := make(chan bool, 2)
--- a/process/edge/rolloutlog.go
+++ b/process/edge/rolloutlog.go
@@ -16,33 +16,33 @@
 // What follows writes a line whenever something of a roll-out changes.
 
 // logOrders writes which orders are new, and which are gone.
-func (e *Edge) logOrders(orders map[string]*rollout.Order) {
+func (e *Edge) logOrderChanges(orders map[string]*rollout.Order) {
 	for _, name := range slices.Sorted(maps.Keys(orders)) {
-		o, was := orders[name], e.rolling.orders[name]
+		o, was := orders[name], e.rolloutState.orders[name]
 		if was != nil && *was == *o {
 			continue
 		}
 		e.log.Info().Str("service", name).Int64("order", o.ID).Str("target", o.Target).Dur("within", o.Within).
-			Str("inForce", e.rolling.software[name].InForce).Msg("rollout-ordered")
+			Str("inForce", e.rolloutState.admitted[name].InForce).Msg("rollout-ordered")
 	}
-	for _, name := range slices.Sorted(maps.Keys(e.rolling.orders)) {
+	for _, name := range slices.Sorted(maps.Keys(e.rolloutState.orders)) {
 		if orders[name] == nil {
-			e.log.Info().Str("service", name).Int64("order", e.rolling.orders[name].ID).Msg("rollout-withdrawn")
+			e.log.Info().Str("service", name).Int64("order", e.rolloutState.orders[name].ID).Msg("rollout-withdrawn")
 		}
 	}
 }
 
 // logRecords writes which records have changed.
-func (e *Edge) logRecords(records map[string]knownRecord) {
+func (e *Edge) logRecordChanges(records map[string]knownRecord) {
 	for _, name := range slices.Sorted(maps.Keys(records)) {
 		k := records[name]
-		if k.revision == e.rolling.records[name].revision {
+		if k.revision == e.rolloutState.records[name].revision {
 			continue
 		}
 		e.log.Info().Str("service", name).Str("phase", string(k.record.Phase)).Int64("order", k.record.Order).
 			Str("target", k.record.Target).Str("before", k.record.Before).Str("cause", k.record.Cause).
 			Dur("deadline", time.Duration(k.record.Deadline)).Int64("revision", k.revision).
-			Str("inForce", e.rolling.software[name].InForce).Msg("rollout-record")
+			Str("inForce", e.rolloutState.admitted[name].InForce).Msg("rollout-record")
 	}
 }
 
@@ -62,7 +62,7 @@
 }
 
 // logRollout writes what the roll-outs tell: a stop, a lease that lapsed, a verdict.
-func (e *Edge) logRollout(x rollout.Event) {
+func (e *Edge) logRolloutEvent(x rollout.Event) {
 	e.log.Info().Str("service", x.Service).Str("what", x.What).Str("cause", x.Cause).
 		Int64("targetRequests", x.Target.Requests).Int64("targetFailed", x.Target.Failed).Int64("targetSlow", x.Target.Slow).
 		Int64("baseRequests", x.Base.Requests).Int64("baseFailed", x.Base.Failed).Int64("baseSlow", x.Base.Slow).
--- a/process/edge/rolloutview.go
+++ b/process/edge/rolloutview.go
@@ -11,13 +11,13 @@
 
 // rolloutStatus returns what operators are shown of the roll-out of a service.
 func (e *Edge) rolloutStatus(service string) (rolloutview.Status, bool) {
-	e.compiling.Lock()
-	defer e.compiling.Unlock()
-	order, known := e.rolling.orders[service], e.rolling.records[service]
+	e.compileMu.Lock()
+	defer e.compileMu.Unlock()
+	order, known := e.rolloutState.orders[service], e.rolloutState.records[service]
 	if order == nil && known.record == nil {
 		return rolloutview.Status{}, false
 	}
-	s := rolloutview.Status{Service: service, InForce: e.rolling.software[service].InForce, Record: known.record}
+	s := rolloutview.Status{Service: service, InForce: e.rolloutState.admitted[service].InForce, Record: known.record}
 	if order != nil {
 		s.Order, s.Target, s.Within = order.ID, order.Target, version.Duration(order.Within)
 	}
--- a/process/edge/settings.go
+++ b/process/edge/settings.go
@@ -66,7 +66,7 @@
 }
 
 // leastKillAfter is the shortest time in which a planned stop can be made.
-const leastKillAfter = time.Second
+const minKillAfter = time.Second
 
 // Check returns an error for the first bad setting.
 func (s *Settings) Check() error {
@@ -82,8 +82,8 @@
 			return errors.Errorf("%s: %q is not an IP number and port", a.name, a.value)
 		}
 	}
-	if s.KillAfter < leastKillAfter {
-		return errors.Errorf("kill after: %s must be at least %s", s.KillAfter, leastKillAfter)
+	if s.KillAfter < minKillAfter {
+		return errors.Errorf("kill after: %s must be at least %s", s.KillAfter, minKillAfter)
 	}
 	if s.DrainWithin <= 0 {
 		return errors.Errorf("drain within: %s must be above 0", s.DrainWithin)
@@ -129,7 +129,7 @@
 }
 
 // Question is a client's question where to go.
-type Question struct {
+type DirectoryQuery struct {
 	Host, Region, Hall string
 }
 
@@ -157,7 +157,7 @@
 	// ReadyPath and DirectoryPath are the paths of the calls that come.
 	ReadyPath, DirectoryPath string
 	// ReadQuestion reads the query of a directory call.
-	ReadQuestion func(url.Values) Question
+	ReadDirectoryQuery func(url.Values) DirectoryQuery
 	// WriteAddresses answers a directory call.
 	WriteAddresses func(w http.ResponseWriter, addresses []string, life time.Duration)
 }
--- a/process/edge/software.go
+++ b/process/edge/software.go
@@ -27,16 +27,16 @@
 }
 
 // announced is what the backend servers of one service say of their software.
-type announced map[string]*rollout.Running
+type runningVersions map[string]*rollout.Running
 
 // tells reports whether any of them tells a version.
-func (a announced) tells() bool {
+func (a runningVersions) reportsVersion() bool {
 	_, silent := a[""]
 	return len(a) > 1 || len(a) == 1 && !silent
 }
 
 // running returns the versions in a fixed order.
-func (a announced) running() []rollout.Running {
+func (a runningVersions) sorted() []rollout.Running {
 	out := make([]rollout.Running, 0, len(a))
 	for _, r := range a {
 		out = append(out, *r)
@@ -47,7 +47,7 @@
 
 // heldBack returns how many backend servers run versions that may get no requests, by
 // version.
-func (a announced) heldBack(admitted version.Software) map[string]int {
+func (a runningVersions) heldBack(admitted version.Software) map[string]int {
 	out := make(map[string]int)
 	for software, r := range a {
 		if software != admitted.InForce && software != admitted.Target {
@@ -58,12 +58,12 @@
 }
 
 // announcedOf returns what backend servers say of their software, by service.
-func announcedOf(c *version.Config) map[string]announced {
-	out := make(map[string]announced)
+func runningVersionsByService(c *version.Config) map[string]runningVersions {
+	out := make(map[string]runningVersions)
 	for _, x := range c.Backends() {
 		a := out[x.Backend.Service]
 		if a == nil {
-			a = make(announced)
+			a = make(runningVersions)
 			out[x.Backend.Service] = a
 		}
 		a.add(x)
@@ -72,7 +72,7 @@
 }
 
 // add counts a backend server.
-func (a announced) add(x *version.Announced) {
+func (a runningVersions) add(x *version.Announced) {
 	r := a[x.Backend.Software]
 	if r == nil {
 		r = &rollout.Running{Software: x.Backend.Software, Oldest: x.Version}
@@ -85,18 +85,18 @@
 // admit says which versions of each service's software may get requests. Services
 // whose backend servers have never told a version are left out: all of them may. Before
 // is what admit said last.
-func admit(c *version.Config, orders map[string]*rollout.Order, records map[string]knownRecord, before map[string]version.Software) map[string]version.Software {
+func admitVersions(c *version.Config, orders map[string]*rollout.Order, records map[string]knownRecord, before map[string]version.Software) map[string]version.Software {
 	out := make(map[string]version.Software)
-	all := announcedOf(c)
+	all := runningVersionsByService(c)
 	for key := range c.Resources {
 		if key.Kind != version.KindService {
 			continue
 		}
 		was, told := before[key.Name]
-		if !told && !all[key.Name].tells() {
+		if !told && !all[key.Name].reportsVersion() {
 			continue
 		}
-		now := rollout.Admit(orders[key.Name], records[key.Name].record, all[key.Name].running(), was.InForce)
+		now := rollout.Admit(orders[key.Name], records[key.Name].record, all[key.Name].sorted(), was.InForce)
 		if now.InForce == "" {
 			now.InForce = was.InForce // all rows are gone for a while
 		}
@@ -108,20 +108,20 @@
 // logHeldBack writes which backend servers get nothing since nobody ordered the version
 // that they run, when that has changed.
 func (e *Edge) logHeldBack(c *version.Config) {
-	all := announcedOf(c)
+	all := runningVersionsByService(c)
 	for _, service := range slices.Sorted(maps.Keys(c.Software)) {
 		held := all[service].heldBack(c.Software[service])
 		text := fmt.Sprint(held)
-		if text == e.rolling.heldBack[service] || len(held) == 0 && e.rolling.heldBack[service] == "" {
+		if text == e.rolloutState.loggedHeldBack[service] || len(held) == 0 && e.rolloutState.loggedHeldBack[service] == "" {
 			continue
 		}
-		e.rolling.heldBack[service] = text
-		e.log.Info().Str("service", service).Strs("software", slices.Sorted(maps.Keys(held))).Int("number", sum(held)).
+		e.rolloutState.loggedHeldBack[service] = text
+		e.log.Info().Str("service", service).Strs("software", slices.Sorted(maps.Keys(held))).Int("number", sumCounts(held)).
 			Str("inForce", c.Software[service].InForce).Str("target", c.Software[service].Target).Msg("backends-held-back")
 	}
 }
 
-func sum(counts map[string]int) int {
+func sumCounts(counts map[string]int) int {
 	total := 0
 	for _, n := range counts {
 		total += n
--- a/process/edge/spare_test.go
+++ b/process/edge/spare_test.go
@@ -20,12 +20,12 @@
 
 // newFleet returns an instance of a fleet of one region of which every tenth is large, and a clock.
 // It is small unless large is set.
-func newFleet(t *testing.T, instances int, large bool) (*Edge, *time.Duration) {
+func newFleetMember(t *testing.T, instances int, large bool) (*Edge, *time.Duration) {
 	t.Helper()
-	now := 2 * spareStart
+	now := 2 * spareStartTime
 	clock := func() time.Duration { return now }
 	member := func(i int) cluster.Member {
-		m := memberOf(i, 1)
+		m := testMember(i, 1)
 		m.Cores, m.Link, m.Front = 0.16, 20, "10.0.0.1:"+strconv.Itoa(8000+i)
 		if i%10 == 0 {
 			m.Cores, m.Link = 1.6, 1000
@@ -54,12 +54,12 @@
 }
 
 // TestSmallInstancesOfALargeFleetAreSpare checks who does without the backend servers.
-func TestSmallInstancesOfALargeFleetAreSpare(t *testing.T) {
+func TestSmallInstancesOfLargeFleetAreSpare(t *testing.T) {
 	for _, x := range []struct {
 		instances   int
 		large, want bool
 	}{{30, false, false}, {30, true, false}, {100, false, false}, {330, false, true}, {330, true, false}, {985, false, true}} {
-		e, _ := newFleet(t, x.instances, x.large)
+		e, _ := newFleetMember(t, x.instances, x.large)
 		assert.Equal(t, e.isSpare(), x.want, "%d instances, large %t", x.instances, x.large)
 		assert.Equal(t, e.wantsTable("backends"), !x.want)
 		assert.Assert(t, e.wantsTable("operator"))
@@ -68,7 +68,7 @@
 
 // TestSpareInstanceWakes checks that a spare instance follows the backend servers once callers
 // show keys, a roll-out begins, or few large ones are free, and for a while after that.
-func TestSpareInstanceWakes(t *testing.T) {
+func TestSpareInstanceActivates(t *testing.T) {
 	const instances = 330
 	busy := func(e *Edge, busy bool) {
 		for _, m := range e.members.Known() {
@@ -80,16 +80,16 @@
 		}
 	}
 	for name, x := range map[string]struct{ begin, end func(*Edge) }{
-		"keys":          {func(e *Edge) { e.spare.keyed.Store(true) }, func(e *Edge) { e.spare.keyed.Store(false) }},
-		"a roll-out":    {func(e *Edge) { e.rolling.wanted.Store(true) }, func(e *Edge) { e.rolling.wanted.Store(false) }},
+		"keys":          {func(e *Edge) { e.spare.usesKeys.Store(true) }, func(e *Edge) { e.spare.usesKeys.Store(false) }},
+		"a roll-out":    {func(e *Edge) { e.rolloutState.followRecords.Store(true) }, func(e *Edge) { e.rolloutState.followRecords.Store(false) }},
 		"large busy":    {func(e *Edge) { busy(e, true) }, func(e *Edge) { busy(e, false) }},
 		"few instances": {func(e *Edge) { e.followsInstances.Store(false) }, func(e *Edge) { e.followsInstances.Store(true) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e, now := newFleet(t, instances, false)
+			e, now := newFleetMember(t, instances, false)
 			assert.Assert(t, e.isSpare())
 			x.begin(e)
-			*now += spareLook
+			*now += spareCheckInterval
 			assert.Assert(t, !e.isSpare())
 			x.end(e)
 			*now += spareAfter / 2
@@ -102,8 +102,8 @@
 
 // TestSpareInstancePassesOn checks that a spare instance has all large ones of its region in place
 // of each service's backend servers, though one address serves them all.
-func TestSpareInstancePassesOn(t *testing.T) {
-	e, _ := newFleet(t, 330, false)
+func TestSpareInstanceForwards(t *testing.T) {
+	e, _ := newFleetMember(t, 330, false)
 	assert.Assert(t, e.isSpare())
 	c := &version.Config{Seq: 1, Resources: make(map[version.Key]version.Resource)}
 	put := func(r version.Resource) { c.Resources[r.Key] = r }
@@ -116,11 +116,11 @@
 			Split: []version.Weighted{{Service: name, Weight: 1}},
 		}})
 	}
-	e.spare.addOnward(c)
+	e.spare.addForwardTargets(c)
 	r := version.CompileRouting(c, nil)
 	assert.Equal(t, len(r.Services), 2)
 	for _, s := range r.Services {
-		assert.Equal(t, len(s.Backends), mostOnward)
+		assert.Equal(t, len(s.Backends), maxForwardTargets)
 	}
 	k, refusal := func() (*balance.Pick, balance.Refusal) {
 		e.table.Install(r)
--- a/process/edge/step.go
+++ b/process/edge/step.go
@@ -17,12 +17,12 @@
 const (
 	// stepPause is the pause after a call of the store that failed; it doubles with each
 	// further one up to longestStepPause.
-	stepPause        = 200 * time.Millisecond
-	longestStepPause = time.Second
+	minStepPause = 200 * time.Millisecond
+	maxStepPause = time.Second
 	// failuresToPass is the number of calls in a row that fail until the owner counts as
 	// cut off from the store, so that another instance becomes the owner. It is more than
 	// one: while the store is away for all the owner should not change all the time.
-	failuresToPass = 3
+	failuresToHandOver = 3
 )
 
 // stepWriter writes the steps of the roll-outs that this instance owns. It is not safe
@@ -35,16 +35,16 @@
 
 // ownership is that of a service's roll-out by this instance.
 type ownership struct {
-	read bool // the records were read since
+	recordsRead bool // the records were read since
 	// from is when this instance may decide.
-	from time.Duration
+	decideFrom time.Duration
 }
 
 // writeSteps writes steps until the context ends.
 func (e *Edge) writeSteps(ctx context.Context) {
 	w := stepWriter{edge: e, owned: make(map[string]ownership)}
-	for e.rolling.open.wait(ctx) && clock.Sleep(ctx, w.pause()) {
-		w.turn(ctx)
+	for e.rolloutState.active.wait(ctx) && clock.Sleep(ctx, w.pause()) {
+		w.runOnce(ctx)
 	}
 }
 
@@ -53,13 +53,13 @@
 	if w.failures == 0 {
 		return rollout.TickTime
 	}
-	p := min(stepPause<<min(w.failures-1, 8), longestStepPause)
+	p := min(minStepPause<<min(w.failures-1, 8), maxStepPause)
 	return p/2 + rand.N(p)
 }
 
 // turn writes the steps that are due. What was not written is proposed again.
-func (w *stepWriter) turn(ctx context.Context) {
-	if !w.own(w.edge.ownedRollouts()) {
+func (w *stepWriter) runOnce(ctx context.Context) {
+	if !w.updateOwned(w.edge.ownedRollouts()) {
 		return
 	}
 	_, clocked := w.edge.deployment.Store.Clock()
@@ -69,7 +69,7 @@
 		}
 	}
 	now, clocked := w.edge.deployment.Store.Clock()
-	if !clocked || !w.heard() {
+	if !clocked || !w.informed() {
 		return
 	}
 	for _, p := range w.edge.rollouts.Proposals(now) {
@@ -80,7 +80,7 @@
 // ownedRollouts returns the services whose roll-outs this instance decides on.
 func (e *Edge) ownedRollouts() []string {
 	var out []string
-	for _, name := range e.rollingServices() {
+	for _, name := range e.activeServices() {
 		if o := e.rolloutOwner(name); o.Name != "" && o.Address == "" {
 			out = append(out, name)
 		}
@@ -89,12 +89,12 @@
 }
 
 // own takes up which services this instance owns, and reports whether there are any.
-func (w *stepWriter) own(services []string) bool {
+func (w *stepWriter) updateOwned(services []string) bool {
 	owned := make(map[string]ownership, len(services))
 	for _, name := range services {
 		o, before := w.owned[name]
 		if !before {
-			o.from = w.edge.now() + rollout.InformTime
+			o.decideFrom = w.edge.now() + rollout.InformTime
 		}
 		owned[name] = o
 	}
@@ -107,11 +107,11 @@
 
 // heard reports whether there was time to hear of the roll-outs that run what others
 // know of them.
-func (w *stepWriter) heard() bool {
+func (w *stepWriter) informed() bool {
 	records, _ := knownRecords(w.edge.records()) // what can't be read is logged elsewhere
 	now := w.edge.now()
 	for name, o := range w.owned {
-		if records[name].running() && now < o.from {
+		if records[name].running() && now < o.decideFrom {
 			return false
 		}
 	}
@@ -121,7 +121,7 @@
 // allRead reports whether the records were read since this instance owns the services.
 func (w *stepWriter) allRead() bool {
 	for _, o := range w.owned {
-		if !o.read {
+		if !o.recordsRead {
 			return false
 		}
 	}
@@ -132,12 +132,12 @@
 // wrote over meanwhile. It reports whether they were read.
 func (w *stepWriter) read(ctx context.Context) bool {
 	err := w.edge.storeCall(ctx, w.edge.readRecords)
-	w.note(ctx, err)
+	w.recordResult(ctx, err)
 	if err != nil {
 		return false
 	}
 	for name, o := range w.owned {
-		o.read = true
+		o.recordsRead = true
 		w.owned[name] = o
 	}
 	return true
@@ -154,28 +154,28 @@
 	})
 	w.edge.logStep(p, revision, w.edge.now()-began, err)
 	if !errors.Is(err, state.Conflict) {
-		w.note(ctx, err)
+		w.recordResult(ctx, err)
 		return
 	}
-	w.note(ctx, nil)
+	w.recordResult(ctx, nil)
 	w.read(ctx)
 }
 
 // note takes up whether a call of the store was answered. An owner that the store does
 // not answer says so to all, so that another one takes over.
-func (w *stepWriter) note(ctx context.Context, err error) {
+func (w *stepWriter) recordResult(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	if err == nil {
-		if w.failures >= failuresToPass {
+		if w.failures >= failuresToHandOver {
 			w.edge.peers.StoreCalled(true)
 		}
 		w.failures = 0
 		return
 	}
 	w.failures++
-	if w.failures%failuresToPass == 0 {
+	if w.failures%failuresToHandOver == 0 {
 		w.edge.peers.StoreCalled(false)
 	}
 }
--- a/process/edge/stop.go
+++ b/process/edge/stop.go
@@ -9,11 +9,11 @@
 
 // Times of a planned stop.
 const (
-	stopPoll = 10 * time.Millisecond
+	idlePollInterval = 10 * time.Millisecond
 	// idleTime is how long no request must have been in flight.
-	idleTime = 150 * time.Millisecond
+	minIdleTime = 150 * time.Millisecond
 	// loopTime is how long the end of the process's loops is waited for.
-	loopTime = 200 * time.Millisecond
+	loopEndTimeout = 200 * time.Millisecond
 )
 
 // Stop ends the instance as planned.
@@ -22,14 +22,14 @@
 	e.leaving.Store(true)
 	e.members.Leave()
 	e.proxy.DisableKeepAlives()
-	e.beats.SendAll()
+	e.heartbeats.SendAll()
 	e.log.Info().Int64("running", e.proxy.InFlight()).Msg("stopping")
 	go e.deleteRow()
 	time.Sleep(e.settings.linger())
-	e.beats.SendAll()
+	e.heartbeats.SendAll()
 	ctx, cancel := context.WithDeadline(context.Background(), begun.Add(e.settings.grace()))
 	defer cancel()
-	e.accepting.Drain()
+	e.frontListener.Drain()
 	e.awaitIdle(ctx)
 	ended := make(chan struct{})
 	go func() {
@@ -38,7 +38,7 @@
 	}()
 	select {
 	case <-ended:
-	case <-time.After(loopTime): // a call that does not end must not hold the process up
+	case <-time.After(loopEndTimeout): // a call that does not end must not hold the process up
 		e.log.Warn().Msg("loops-left")
 	}
 	e.log.Info().Int64("running", e.proxy.InFlight()).Dur("took", time.Since(begun)).Msg("stopped")
@@ -49,10 +49,10 @@
 // when the context ends is cut off.
 func (e *Edge) awaitIdle(ctx context.Context) {
 	idle := time.Duration(0)
-	for idle < idleTime && ctx.Err() == nil {
-		time.Sleep(stopPoll)
-		idle += stopPoll
-		if e.proxy.InFlight() > 0 || e.fresh.count() > 0 {
+	for idle < minIdleTime && ctx.Err() == nil {
+		time.Sleep(idlePollInterval)
+		idle += idlePollInterval
+		if e.proxy.InFlight() > 0 || e.newConns.count() > 0 {
 			idle = 0
 		}
 	}
