--- a/process/edge/belief.go
+++ b/process/edge/belief.go
@@ -12,42 +12,41 @@
 	"shalewick/version"
 )
 
-// What follows writes a line whenever the process comes to believe something
-// else of backend servers or of other instances.
+// This file logs changes in the observed state of backend servers and of other instances.
 
-// maxNames bounds the names in one line.
+// maxNames bounds the number of names in a log line.
 const maxNames = 12
 
-// logBackends writes what has changed of the backend servers between two routings.
+// logBackends logs the differences between the backend servers of two routings.
 func (e *Edge) logBackends(old, now *version.Routing) {
 	if old == nil {
 		return
 	}
 	before := old.Backends // both are ordered by name
 	var added, closed, opened, gone []string
-	pass := func(name string) {
+	recordGoneBefore := func(name string) {
 		for len(before) > 0 && (name == "" || before[0].Name < name) {
 			gone = append(gone, before[0].Name)
 			before = before[1:]
 		}
 	}
 	for i := range now.Backends {
-		u := &now.Backends[i]
-		pass(u.Name)
-		if len(before) == 0 || before[0].Name != u.Name {
-			added = append(added, u.Name)
+		b := &now.Backends[i]
+		recordGoneBefore(b.Name)
+		if len(before) == 0 || before[0].Name != b.Name {
+			added = append(added, b.Name)
 			continue
 		}
-		was := &before[0]
+		previous := &before[0]
 		before = before[1:]
 		switch {
-		case u.Closed && !was.Closed:
-			closed = append(closed, u.Name)
-		case was.Closed && !u.Closed:
-			opened = append(opened, u.Name)
+		case b.Closed && !previous.Closed:
+			closed = append(closed, b.Name)
+		case previous.Closed && !b.Closed:
+			opened = append(opened, b.Name)
 		}
 	}
-	pass("")
+	recordGoneBefore("")
 	if len(added)+len(closed)+len(opened)+len(gone) == 0 {
 		return
 	}
@@ -57,8 +56,8 @@
 
 func firstNames(names []string) []string { return names[:min(len(names), maxNames)] }
 
-// logSuspension writes that a backend server gets nothing for a while after failures
-// in a row, or, with none, that it answers again.
+// logSuspension logs that a backend server is suspended after consecutive failures, or, with no
+// failures, that it responds again.
 func (e *Edge) logSuspension(backend string, failures int, pause time.Duration) {
 	if failures == 0 {
 		e.log.Info().Str("backend", backend).Msg("backend-answers")
@@ -67,8 +66,8 @@
 	e.log.Info().Str("backend", backend).Int("failures", failures).Dur("pause", pause).Msg("backend-suspended")
 }
 
-// logNotice writes that a backend server begins to leave, or a backoff begins, by its own
-// word, told to this instance or by another one.
+// logNotice logs that a backend server has announced that it is leaving or that it needs a backoff. Own
+// is set if this instance received the notice itself, and not by gossip.
 func (e *Edge) logNotice(backend string, n request.Notice, own bool) {
 	if n.Leaving {
 		e.log.Info().Str("backend", backend).Bool("own", own).Msg("backend-leaving")
@@ -78,23 +77,23 @@
 	}
 }
 
-// logAvoided writes that a backend server gets only what no other can take for a while, since
-// it refused requests in a row though it has slots free.
+// logAvoided logs that for a while a backend server only gets requests that no other one can take,
+// since it refused several in a row though it has free slots.
 func (e *Edge) logAvoided(backend string, refusals int, pause time.Duration) {
 	e.log.Info().Str("backend", backend).Int("refusals", refusals).Dur("pause", pause).Msg("backend-avoided")
 }
 
-// storeLost tells the other instances of the region that the store does not answer this one.
+// reportStoreLost tells the other instances of the region that this one cannot reach the store.
 func (e *Edge) reportStoreLost() {
 	e.log.Info().Bool("relay", e.peers.Relay()).Msg("store-lost")
 	e.heartbeats.SendNear()
 }
 
-// watchPause is the pause between two looks at which instances are alive.
+// watchMembersInterval is the pause between two comparisons of the live instances.
 const watchMembersInterval = time.Second
 
-// watchMembers writes which instances were lost and found until the context ends, and
-// lets the roll-outs see them while none runs.
+// watchMembers logs which instances were lost and found until the context ends, and ticks the
+// roll-outs while none is active.
 func (e *Edge) watchMembers(ctx context.Context) {
 	var known []cluster.Member
 	relay := false
@@ -118,8 +117,8 @@
 	}
 }
 
-// compareMembers returns the names that only the second of two lists has, and
-// those that only the first has. Both are ordered by name.
+// compareMembers returns the names that are only in now, and those that are only in before. Both lists
+// are ordered by name.
 func compareMembers(before, now []cluster.Member) (found, lost []string) {
 	for len(before) > 0 || len(now) > 0 {
 		switch {
--- a/process/edge/configuration.go
+++ b/process/edge/configuration.go
@@ -14,17 +14,16 @@
 )
 
 const (
-	// gatherPerRow is how long changes of backend servers gather before they are taken
-	// up, for each backend server that there is: taking up costs some 2 us of a core for
-	// each, so that changes that come all the time take at most 2 in 100 of one.
+	// coalescePerRow is how long changes of backend servers are collected before a compilation, for
+	// each backend server in force: compiling costs some 2 us of CPU time for each, so that
+	// permanent changes take at most 2 % of one core.
 	coalescePerRow = 100 * time.Microsecond
-	// gatherMost bounds that: backend servers that leave must get nothing more in time.
+	// maxCoalesce bounds that delay: backend servers that leave must stop getting requests in time.
 	maxCoalesce = 300 * time.Millisecond
 )
 
-// takeUp compiles what the tables say whenever they change: at once when the
-// operator changed something or a roll-out took a step, and after a moment when backend
-// servers did.
+// watchTables compiles the tables whenever they change: at once after a change by the operator or a
+// step of a roll-out, and after a short delay when only backend servers have changed.
 func (e *Edge) watchTables(ctx context.Context) {
 	operator := e.follower.Tables[e.deployment.OperatorTable]
 	backends := e.follower.Tables[e.deployment.BackendTable]
@@ -41,7 +40,7 @@
 	}
 }
 
-// gather waits for further changes of backend servers, until the operator's tables change.
+// coalesceChanges waits for further changes of backend servers, until the operator's table changes.
 func (e *Edge) coalesceChanges(ctx context.Context, operatorChanged <-chan struct{}) {
 	routing := e.table.Routing()
 	if routing == nil {
@@ -56,7 +55,7 @@
 	}
 }
 
-// recompile puts in force what the tables say, once both are known.
+// recompile puts the content of the tables in force, once the tables are known.
 func (e *Edge) recompile() {
 	operator := e.follower.Tables[e.deployment.OperatorTable]
 	backends := e.follower.Tables[e.deployment.BackendTable]
@@ -89,8 +88,8 @@
 	}
 }
 
-// compile puts what the rows say in force, on a spare instance with other instances in place of
-// backend servers. What can't be read leaves the last good version in force.
+// compile puts the configuration in the rows in force; on a spare instance other instances take the
+// place of the backend servers. If the rows are invalid, the last valid version stays in force.
 func (e *Edge) compile(operator, backends []state.Row, spare bool) {
 	c, problems := e.documents.Configuration(operator, backends)
 	e.logSkipped(problems)
@@ -109,15 +108,15 @@
 	}
 	e.applyLetThrough(c)
 	if spare {
-		e.spare.addForwardTargets(c) // these serve by whatever software is in force
+		e.spare.addForwardTargets(c) // the instances that requests are forwarded to choose the software version
 	} else {
 		e.admitSoftware(c, orders, records)
 	}
 	r := version.CompileRouting(c, old)
 	services := rolloutServices(r, c.Software, orders, records)
-	// The table first: in between, a request may be for the target of a roll-out that has
-	// ended by the table, and gets the version that is in force now. The other way round
-	// it would go to the version that the table still has.
+	// The table is installed first: a request that arrives in between may be for the target of a
+	// roll-out that has ended by the table, and gets the version that is now in force. In the
+	// reverse order it would go to the version that the table still has.
 	e.table.Install(r)
 	e.rollouts.Install(services)
 	e.quota.Install(r.Workspaces)
@@ -128,15 +127,15 @@
 	}
 }
 
-// otherReason is the reason of a problem that is not of one row.
+// reasonOther is the reason of a problem that does not concern a single row.
 const reasonOther = "other"
 
-// logSkipped writes which rows can't be used that could before, or are new, a few at a time,
-// and counts all by reason. The caller holds compiling.
+// logSkipped logs the rows that have become unusable since the last compilation, at most maxNames of
+// them, and counts all unusable rows by reason. The caller holds compileMu.
 func (e *Edge) logSkipped(problems []error) {
 	skipped := make(map[string]string, len(problems))
 	counts := make(map[string]int64)
-	turned := 0
+	logged := 0
 	for _, p := range problems {
 		key, reason := "", reasonOther
 		var row *state.RowError
@@ -150,17 +149,17 @@
 		if e.skipped[key] == reason {
 			continue
 		}
-		if turned++; turned <= maxNames {
+		if logged++; logged <= maxNames {
 			e.log.Warn().Err(p).Str("row", key).Str("reason", reason).Int("skipped", len(problems)).Msg("row-skipped")
 		}
 	}
-	if turned > maxNames {
-		e.log.Warn().Int("more", turned-maxNames).Int("skipped", len(problems)).Msg("rows-skipped")
+	if logged > maxNames {
+		e.log.Warn().Int("more", logged-maxNames).Int("skipped", len(problems)).Msg("rows-skipped")
 	}
 	e.skipped = skipped
 	for reason := range e.skippedCounts {
 		if counts[reason] == 0 {
-			counts[reason] = 0 // so that its gauge falls
+			counts[reason] = 0 // resets its gauge
 		}
 	}
 	for reason, n := range counts {
@@ -169,8 +168,8 @@
 	e.skippedCounts = counts
 }
 
-// Reloaded is told when the adapter has read its settings again, or why it
-// could not.
+// SettingsReloaded is called after the adapter has read its settings again; err is set if it
+// failed to.
 func (e *Edge) SettingsReloaded(err error) {
 	if err != nil {
 		e.log.Warn().Err(err).Msg("settings-kept")
--- a/process/edge/directory.go
+++ b/process/edge/directory.go
@@ -12,12 +12,11 @@
 )
 
 const (
-	// directoryLife is how long a client may keep an answer.
+	// directoryTTL is how long a client may cache a response of the directory.
 	directoryTTL = 2 * time.Second
-	// maxAddresses bounds the addresses in an answer.
+	// maxAddresses bounds the number of addresses in a response.
 	maxAddresses = 64
-	// enoughInHall is the number of instances from which those of a client's
-	// hall are named alone.
+	// minPerHall is the number of instances in a client's hall from which only those are listed.
 	minPerHall = 2
 )
 
@@ -29,20 +28,19 @@
 		return
 	}
 	q := e.deployment.ReadDirectoryQuery(r.URL.Query())
-	named := nearestInstances(e.members.Live(), q, homeRegions(routing, q.Host))
-	if len(named) == 0 {
+	listed := nearestInstances(e.members.Live(), q, homeRegions(routing, q.Host))
+	if len(listed) == 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	addresses := make([]string, 0, len(named))
-	for _, m := range named[:min(len(named), maxAddresses)] {
+	addresses := make([]string, 0, len(listed))
+	for _, m := range listed[:min(len(listed), maxAddresses)] {
 		addresses = append(addresses, m.Front)
 	}
 	e.deployment.WriteAddresses(w, addresses, directoryTTL)
 }
 
-// homeRegions returns the names of the regions that may serve all routes of a
-// host, or nil when all may.
+// homeRegions returns the names of the regions that may serve all routes of a host, or nil if all may.
 func homeRegions(r *version.Routing, host string) map[string]bool {
 	homes := r.HostHomes(host)
 	if homes == nil {
@@ -57,15 +55,14 @@
 	return out
 }
 
-// nearest returns the live instances that a client should use: those of its
-// hall if there are enough, else those of its region, else those of the
-// regions that may serve the host, else all.
+// nearestInstances returns the live instances that a client should use: those of its hall if there
+// are enough, else those of its region, else those of the regions that may serve the host, else all.
 func nearestInstances(live []cluster.Member, q DirectoryQuery, homes map[string]bool) []cluster.Member {
 	region := inRegion(live, q.Region)
 	hall := filter(region, func(m cluster.Member) bool { return m.Hall == q.Hall })
-	for _, near := range [][]cluster.Member{largeWithCapacity(hall, region), largeWithCapacity(region, region), hall} {
-		if len(near) >= minPerHall {
-			return near
+	for _, candidates := range [][]cluster.Member{largeWithCapacity(hall, region), largeWithCapacity(region, region), hall} {
+		if len(candidates) >= minPerHall {
+			return candidates
 		}
 	}
 	if len(region) > 0 {
@@ -78,7 +75,7 @@
 	return live
 }
 
-// entries returns how many instances are named to clients while none is busy.
+// countListed returns how many instances are listed for clients while none is busy.
 func countListed(live []cluster.Member) int {
 	regions := make(map[string][]cluster.Member)
 	for _, m := range live {
@@ -92,19 +89,19 @@
 	return n
 }
 
-// roomy returns the instances that can carry much, compared with the largest of their
-// region, and have room left. A client takes any that are named, alike; so
-// a small one among large ones would be filled up while those are idle. And
-// what an instance learns of backend servers, it learns from its own requests: few
-// instances that see many know far more than many that see few.
-func largeWithCapacity(from, region []cluster.Member) []cluster.Member {
-	most := cluster.Largest(region)
-	large := filter(from, func(m cluster.Member) bool { return most.Fills(&m) })
+// largeWithCapacity returns the instances that are large, compared with the largest of their region,
+// and have free capacity. Clients spread their requests evenly over the instances that are listed, so
+// a small one among large ones would be overloaded while those are idle. Besides, an instance learns
+// about backend servers mainly from its own requests: a few instances with many requests each
+// know much more than many instances with few.
+func largeWithCapacity(candidates, region []cluster.Member) []cluster.Member {
+	largest := cluster.Largest(region)
+	large := filter(candidates, func(m cluster.Member) bool { return largest.Fills(&m) })
 	free := filter(large, func(m cluster.Member) bool { return !m.Busy })
 	if len(free) >= minPerHall || len(free) == len(large) {
 		return free
 	}
-	return nil // all are needed
+	return nil // all instances are needed
 }
 
 func inRegion(ms []cluster.Member, region string) []cluster.Member {
@@ -121,7 +118,7 @@
 	return out
 }
 
-// serveReady says whether clients may come.
+// serveReadiness reports whether the instance accepts clients.
 func (e *Edge) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if e.leaving.Load() || e.table.Routing() == nil {
 		w.Header().Set(request.HeaderResult, request.Leaving.String())
@@ -131,9 +128,9 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// serveMetrics prints the metrics.
+// serveMetrics writes the metrics.
 func (e *Edge) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	e.updateGauges()
-	_ = e.metrics.Write(w) // a reader that is gone needs no metrics
+	_ = e.metrics.Write(w) // an error means that the reader has disconnected
 }
--- a/process/edge/document.go
+++ b/process/edge/document.go
@@ -12,28 +12,29 @@
 	"shalewick/version"
 )
 
-// reasonOlder is the reason of an operator's document of an older version than the one in force.
+// reasonOlderVersion is the reason of a document whose version is older than the one in force.
 const reasonOlderVersion = "older"
 
-// Documents decides which of the operator's documents is in force: the newest good one. Beside a
-// bad one all other rows are taken up, since what leaves or is evacuated must not wait until
-// somebody has mended it. The fields are set before use; it is not safe for concurrent use.
+// DocumentSelector selects the operator's document that is in force: the newest valid one. If the
+// current one is invalid, all other rows still take effect, since what leaves or is evacuated must
+// not wait until the document has been corrected. The fields are set before use. It is not safe for concurrent use.
 type DocumentSelector struct {
 	// Key is the key of the document's row.
 	Key string
-	// Translate translates rows. Without a configuration the document, or what it needs, is bad.
+	// Translate converts rows to a configuration. It returns none if the document, or something
+	// that it needs, is invalid.
 	Translate func(operator, backends []state.Row) (*version.Config, []error)
 
-	lastGood  state.Row // its value is nil if there was none
-	seq       int64     // of good
-	rejected  []byte    // the document that was refused last
-	rejection error     // of refused; nil: there is none
+	lastGood  state.Row // its Value is nil if there is none
+	seq       int64     // version of lastGood
+	rejected  []byte    // the document that was rejected last
+	rejection error     // why it was rejected; nil if it was not
 }
 
-// Reread lets a document that was refused be read again: what it may name has changed.
+// RetryRejected makes the next call evaluate a rejected document again: what it refers to has changed.
 func (d *DocumentSelector) RetryRejected() { d.rejection = nil }
 
-// Configuration returns what the rows say with the newest good document, and all problems.
+// Configuration returns the configuration of the rows with the newest valid document, and all problems.
 func (d *DocumentSelector) Configuration(operator, backends []state.Row) (*version.Config, []error) {
 	at := slices.IndexFunc(operator, func(r state.Row) bool { return r.Key == d.Key })
 	if at < 0 {
@@ -58,8 +59,8 @@
 	return c, problems
 }
 
-// beside returns what the rows say with the last good document in place of the one at an index,
-// which has problems; -1: there is none.
+// withLastGood returns the configuration of the rows with the last valid document in place of the
+// row at index at, which has problems, or added to the rows if at is -1.
 func (d *DocumentSelector) withLastGood(problems []error, operator []state.Row, at int, backends []state.Row) (*version.Config, []error) {
 	if d.lastGood.Value == nil {
 		return nil, problems
@@ -72,7 +73,7 @@
 	}
 	c, others := d.Translate(rows, backends)
 	if c == nil {
-		return nil, problems // the last good one names what is gone
+		return nil, problems // the last valid document refers to something that is gone
 	}
 	return c, append(problems, others...)
 }
--- a/process/edge/edge.go
+++ b/process/edge/edge.go
@@ -34,7 +34,7 @@
 	"shalewick/version"
 )
 
-// Times of connections.
+// Timeouts of connections.
 const (
 	dialTimeout        = 400 * time.Millisecond
 	backendAckTimeout  = 700 * time.Millisecond
@@ -44,23 +44,25 @@
 	headerTimeout      = 10 * time.Second
 )
 
-// leaveShare divides the time within which leaving backend servers must get nothing more:
-// for so much of it those that say so in their answers may get what no other can take. The
-// rest is for what was already on its way there, and for rows that are late.
+// drainNoticeDivisor divides Settings.DrainWithin: during the first part of that time, backend
+// servers that announce in their responses that they are leaving may still get the requests that
+// no other backend server can take. The rest is for requests that are already on their way to
+// them, and for rows that arrive late.
 const drainNoticeDivisor = 2
 
-// heldShare divides an instance's memory into what may be held of requests and answers. The
-// rest is for what is known of the fleet, for connections without a request, and for garbage.
+// bufferMemoryDivisor divides an instance's memory: the quotient may buffer requests and
+// responses. The rest is for what is known about the fleet, for connections without a request, and
+// for garbage.
 const bufferMemoryDivisor = 5
 
-// Edge is one running instance.
+// Edge is a running instance.
 type Edge struct {
 	settings        Settings
 	deployment      Deployment
 	log             zerolog.Logger
 	logLimit        *logging.Limit
 	startTime       time.Time
-	startedAt       time.Duration // when it was started, by the deployment's clock
+	startedAt       time.Duration // start time by the clock of the deployment
 	members         *cluster.Members
 	heartbeats      *cluster.Beats
 	peers           *cluster.Peers
@@ -71,30 +73,32 @@
 	limits          *ratelimit.Limiter
 	rollouts        *rollout.Rollouts
 	rolloutState    rolloutState
-	schedulingDelay clock.Lateness // noted while an order waits for its end
+	schedulingDelay clock.Lateness // measured while a roll-out is active
 	quarantine      *quarantine.Quarantine
-	// What the store has of it, and whether another instance is being asked for it.
+	// The entries that are known to be in the store, and whether a list is being fetched from
+	// another instance.
 	storedEntries storedEntries
 	listFetch     listFetch
 	position      cachedPosition
-	memoryBudget  *held.Budget // nil: no bound
+	memoryBudget  *held.Budget // nil: unlimited
 	metrics       *metric.Set
 	leaving       atomic.Bool
 	// followsInstances is set if the fleet is so large that the table of instances is followed.
 	followsInstances atomic.Bool
 	spare            spare
-	// introduceAgain tells introduce that the store may have lost the own row.
+	// rewriteRow tells register that the store may have lost this instance's row.
 	rewriteRow  chan struct{}
 	compileMu   sync.Mutex
-	documents   DocumentSelector // guarded by compiling
-	expiredRows expiredRows      // guarded by compiling
-	// announced are the backend servers of the last compilation, by name; guarded by compiling.
+	documents   DocumentSelector // guarded by compileMu
+	expiredRows expiredRows      // guarded by compileMu
+	// lastAnnounced holds the backend servers of the last compilation, ordered by name; guarded
+	// by compileMu.
 	lastAnnounced []*version.Announced
-	skipped       map[string]string // rows that can't be used now, with the reason; guarded by compiling
-	// skippedCounts are the gauges of such rows by reason; guarded by compiling.
+	skipped       map[string]string // reasons of the rows that cannot be used at present, by key; guarded by compileMu
+	// skippedCounts holds the gauges of such rows by reason; guarded by compileMu.
 	skippedCounts    map[string]int64
-	expiredRowsTimer *time.Timer // compiles again when lapsed rows are given up; guarded by compiling
-	quarantineTimer  *time.Timer // compiles when a start has waited long enough for the quarantine; guarded by compiling
+	expiredRowsTimer *time.Timer // recompiles when expired rows are dropped; guarded by compileMu
+	quarantineTimer  *time.Timer // recompiles when the start has waited long enough for the quarantine; guarded by compileMu
 	front            *http.Server
 	frontListener    *drainListener // of front
 	newConns         newConnections // of front
@@ -103,12 +107,12 @@
 	loops            sync.WaitGroup
 }
 
-// Start starts an instance. Logs go to logTo.
+// Start starts an instance that writes its log to logTo.
 func Start(s Settings, d Deployment, logTo io.Writer) (*Edge, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	level, _ := zerolog.ParseLevel(s.LogLevel) // checked
+	level, _ := zerolog.ParseLevel(s.LogLevel) // validated by Check
 	limit := logging.NewLimit(time.Now)
 	e := &Edge{
 		settings: s, deployment: d, startTime: time.Now(), metrics: metric.NewSet(), logLimit: limit, rewriteRow: make(chan struct{}, 1),
@@ -138,15 +142,16 @@
 	return e, nil
 }
 
-// now is the clock of all that the process believes and promises: tables, leases, quotas,
-// others that live, backend servers that are cold or suspended. A suspension of the machine
-// counts, so all of it is as much older afterwards.
+// now is the clock for everything that expires or is judged by its age: tables, leases, quotas,
+// liveness of instances, cold or suspended backend servers. Time in which the machine was suspended
+// counts, so that all of it has aged accordingly afterwards.
 func (e *Edge) now() time.Duration { return e.uptime() + time.Hour }
 
-// age is how long ago the process was started, with the time in which the machine was suspended.
+// uptime returns the time since the process was started, including time in which the machine was
+// suspended.
 func (e *Edge) uptime() time.Duration { return e.deployment.Clock() - e.startedAt }
 
-// build makes the parts of the process.
+// build creates and connects the components.
 func (e *Edge) build() {
 	e.peers = cluster.NewPeers(e.members, conn.NewDialer(dialTimeout, peerAckTimeout).DialContext)
 	e.follower = &state.Follower{
@@ -223,12 +228,12 @@
 			l = e.frontListener
 		}
 		e.servers = append(e.servers, s)
-		go func() { _ = s.Serve(l) }() // ends when the server is closed
+		go func() { _ = s.Serve(l) }() // returns when the server is closed
 	}
 	return nil
 }
 
-// run starts the loops.
+// run starts the background loops.
 func (e *Edge) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	e.cancel = cancel
@@ -240,7 +245,7 @@
 	}
 }
 
-// gauges sets the metrics that are read when asked for.
+// updateGauges sets the metrics that are computed when they are read.
 func (e *Edge) updateGauges() {
 	if r := e.table.Routing(); r != nil {
 		e.metrics.Gauge("version").Update(r.Seq)
--- a/process/edge/lapse.go
+++ b/process/edge/lapse.go
@@ -11,40 +11,38 @@
 )
 
 const (
-	// longestLapse is how long after the store's return the rows of backend servers
-	// that lapsed while it was away are kept at most. Backend servers that live have
-	// written theirs again by then.
+	// maxExpiredRowTime bounds how long expired rows of backend servers are kept after the store has
+	// come back from an outage. Live backend servers have written theirs again by then.
 	maxExpiredRowTime = 2200 * time.Millisecond
-	// lapseMargin is how long before a backend server that has left must get nothing
-	// more a lapsed row is given up.
+	// expiredRowMargin is how long before the end of DrainWithin expired rows are dropped, so that a
+	// backend server that has left gets no requests after that time.
 	expiredRowMargin = 400 * time.Millisecond
 )
 
-// lapses keeps the rows of backend servers that could not write while the store was
-// away, and so lapsed, until they had time to write again. The zero value with
-// keep set is ready for use. It is not safe for concurrent use.
+// expiredRows keeps the rows of backend servers that expired during an outage of the store, in which
+// they could not be renewed, until there was time to write them again. The zero value with keepFor
+// set is ready for use. It is not safe for concurrent use.
 type expiredRows struct {
-	keepFor time.Duration // how long after the store's return
+	keepFor time.Duration // how long after the end of the outage
 
-	lastRows []state.Row   // the rows of the last call, by key
-	until    time.Duration // when the rows that are kept are given up
+	lastRows []state.Row   // the rows of the last call, ordered by key
+	until    time.Duration // when the rows that are kept are dropped
 }
 
-// keepLapsed returns how long lapsed rows are kept when a backend server that has left
-// must get nothing after drainWithin.
+// keepExpired returns how long expired rows are kept, for a given Settings.DrainWithin.
 func keepExpired(drainWithin time.Duration) time.Duration {
 	return max(0, min(maxExpiredRowTime, drainWithin-expiredRowMargin))
 }
 
-// rows returns the rows that are there and those that are kept, all by key. Returned is when
-// the store came back last, zero if it was never away. Again is when rows must
-// be called once more, zero if nothing is kept.
+// merge returns the present rows and those that are kept, ordered by key. Returned is when the store
+// last came back from an outage, zero if there was none. Again is when merge has to be called once
+// more, zero if no row is kept.
 func (l *expiredRows) merge(present []state.Row, returned, now time.Duration) (all []state.Row, again time.Duration) {
 	all = present
 	l.until = returned + l.keepFor
 	if returned != 0 && now < l.until {
-		if lapsed := missingRows(l.lastRows, present); len(lapsed) > 0 {
-			all = slices.Concat(present, lapsed)
+		if expired := missingRows(l.lastRows, present); len(expired) > 0 {
+			all = slices.Concat(present, expired)
 			slices.SortFunc(all, func(a, b state.Row) int { return cmp.Compare(a.Key, b.Key) })
 			again = l.until
 		}
@@ -53,8 +51,7 @@
 	return all, again
 }
 
-// missing returns the rows of one list whose keys another one does not have. Both are ordered
-// by key.
+// missingRows returns the rows whose keys are not in the other list. Both lists are ordered by key.
 func missingRows(of, in []state.Row) (out []state.Row) {
 	for _, r := range of {
 		for len(in) > 0 && in[0].Key < r.Key {
