--- a/process/edge/drain.go
+++ b/process/edge/drain.go
@@ -16,44 +16,43 @@
 )
 
 const (
-	// acceptQuiet is how long no connection must have come before a draining
-	// listener closes. A connection that waits to be accepted is reset by the
-	// close, though its client may have sent a request already.
+	// acceptIdleTime is how long no connection must have arrived before a draining listener is
+	// closed. Closing it resets the connections that have not been accepted yet, although their
+	// clients may already have sent a request.
 	acceptIdleTime = 20 * time.Millisecond
-	// acceptMost bounds how long a listener drains while connections keep coming.
+	// maxDrainTime bounds how long a listener drains while connections keep arriving.
 	maxDrainTime = 300 * time.Millisecond
-	// firstRequestTime is how long an open connection may take to its first
-	// request and still holds a planned stop up.
+	// firstRequestTimeout is how long a planned stop waits for the first request on an open
+	// connection.
 	firstRequestTimeout = time.Second
 )
 
-// drainListener is a listener that can be closed without a loss: what waits to be
-// accepted is accepted first.
+// drainListener is a listener that can be closed without losing connections: those that are waiting to
+// be accepted are accepted first.
 type drainListener struct {
 	*net.TCPListener
-	until atomic.Pointer[time.Time] // when draining ends; nil: not draining
+	drainDeadline atomic.Pointer[time.Time] // nil: not draining
 }
 
-// Drain closes the listener once no connection waits to be accepted. It does not
-// wait for that.
+// Drain makes the listener close once no connection is waiting to be accepted. It returns at once.
 func (l *drainListener) Drain() {
-	until := time.Now().Add(maxDrainTime)
-	l.until.Store(&until)
+	deadline := time.Now().Add(maxDrainTime)
+	l.drainDeadline.Store(&deadline)
 	_ = l.SetDeadline(time.Now().Add(acceptIdleTime)) // an error means that it is closed
 }
 
-// Accept returns the next connection. Once the listener has been drained it
-// closes it, and returns net.ErrClosed.
+// Accept returns the next connection. It closes the listener once it is drained, and then returns
+// net.ErrClosed.
 func (l *drainListener) Accept() (net.Conn, error) {
 	c, err := l.TCPListener.Accept()
-	until := l.until.Load()
+	deadline := l.drainDeadline.Load()
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetWriteBuffer(conn.SocketBufferSize) // it works all the same where it can't be set
+		_ = tcp.SetWriteBuffer(conn.SocketBufferSize) // connections work without it too
 	}
-	if until == nil {
+	if deadline == nil {
 		return c, err
 	}
-	if err != nil || time.Now().After(*until) {
+	if err != nil || time.Now().After(*deadline) {
 		_ = l.Close() // it may be closed already
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -63,25 +62,25 @@
 	return c, err
 }
 
-// freshConnections are the open connections of a server on which no request has
-// come yet. The zero value is ready.
+// newConnections holds the open connections of a server on which no request has arrived yet. The zero
+// value is ready for use.
 type newConnections struct {
-	mu     sync.Mutex
-	opened map[net.Conn]time.Time
+	mu       sync.Mutex
+	openedAt map[net.Conn]time.Time
 }
 
-// note is the ConnState hook of an http.Server.
+// onStateChange is the ConnState hook of an http.Server.
 func (f *newConnections) onStateChange(c net.Conn, s http.ConnState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s != http.StateNew {
-		delete(f.opened, c)
+		delete(f.openedAt, c)
 		return
 	}
-	if f.opened == nil {
-		f.opened = make(map[net.Conn]time.Time)
+	if f.openedAt == nil {
+		f.openedAt = make(map[net.Conn]time.Time)
 	}
-	f.opened[c] = time.Now()
+	f.openedAt[c] = time.Now()
 }
 
 // count returns how many of them a planned stop waits for.
@@ -89,8 +88,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
-	for _, at := range f.opened {
-		if time.Since(at) < firstRequestTimeout {
+	for _, opened := range f.openedAt {
+		if time.Since(opened) < firstRequestTimeout {
 			n++
 		}
 	}
--- a/process/edge/drain_test.go
+++ b/process/edge/drain_test.go
@@ -109,7 +109,7 @@
 	defer b.Close()
 	open.onStateChange(a, http.StateNew)
 	assert.Equal(t, open.count(), 1)
-	open.opened[a] = time.Now().Add(-firstRequestTimeout)
+	open.openedAt[a] = time.Now().Add(-firstRequestTimeout)
 	assert.Equal(t, open.count(), 0)
 	open.onStateChange(b, http.StateNew)
 	open.onStateChange(b, http.StateActive)
--- a/process/edge/edge.go
+++ b/process/edge/edge.go
@@ -87,7 +87,7 @@
 	followsInstances atomic.Bool
 	spare            spare
 	// rewriteRow tells register that the store may have lost this instance's row.
-	rewriteRow  chan struct{}
+	rowLost     chan struct{}
 	compileMu   sync.Mutex
 	documents   DocumentSelector // guarded by compileMu
 	expiredRows expiredRows      // guarded by compileMu
@@ -115,7 +115,7 @@
 	level, _ := zerolog.ParseLevel(s.LogLevel) // validated by Check
 	limit := logging.NewLimit(time.Now)
 	e := &Edge{
-		settings: s, deployment: d, startTime: time.Now(), metrics: metric.NewSet(), logLimit: limit, rewriteRow: make(chan struct{}, 1),
+		settings: s, deployment: d, startTime: time.Now(), metrics: metric.NewSet(), logLimit: limit, rowLost: make(chan struct{}, 1),
 		log: logging.New(logTo).Level(level).Hook(limit).With().Str("instance", s.Instance).Logger(),
 	}
 	if e.deployment.Clock == nil {
--- a/process/edge/epoch.go
+++ b/process/edge/epoch.go
@@ -12,19 +12,20 @@
 )
 
 const (
-	// holdOperator is how long what the operator had written is held, unless it is written again,
-	// when the store comes back from an older copy.
+	// holdOperatorRows is how long rows of the operator that a restored store has lost, or has in
+	// an older version, are kept unless they are written again.
 	holdOperatorRows = 10 * time.Second
-	// holdBackends is that time for backend servers that the copy has as they were before: one that
-	// has died lapses in the store before.
+	// holdBackendRows is the same for rows of backend servers that a restored store has in an older
+	// version: the row of a backend server that is down expires in the store before that.
 	holdBackendRows = 10 * time.Second
-	// watchEpochPause is the pause between two looks at the epoch of the store.
+	// watchEpochInterval is the pause between two checks of the store's epoch.
 	watchEpochInterval = 250 * time.Millisecond
-	// lostWithin is how long before a copy at most what it lacks was written.
+	// maxSnapshotAge bounds the age of the copy that a store is restored from: what the store
+	// lost was written at most this long before.
 	maxSnapshotAge = time.Minute
 )
 
-// epoch returns the newest epoch of the store that the instance knows, by itself or from others.
+// epoch returns the newest epoch of the store that the instance knows of, itself or from others.
 func (e *Edge) epoch() int64 {
 	newest := e.deployment.Store.Epoch()
 	for _, t := range e.follower.Tables {
@@ -34,8 +35,8 @@
 	return newest
 }
 
-// watchEpoch writes again what the store has lost of this instance whenever it has come back from
-// an older copy, until the context ends.
+// watchEpoch writes again what the store has lost of this instance's data whenever it was restored
+// from an older copy, until the context ends.
 func (e *Edge) watchEpoch(ctx context.Context) {
 	known := e.epoch()
 	for clock.SleepAligned(ctx, watchEpochInterval) {
@@ -50,7 +51,7 @@
 	}
 }
 
-// storeWentBack lets what the store may have lost be written again.
+// onStoreRollback has the data that the store may have lost written again.
 func (e *Edge) onStoreRollback(from, to int64) {
 	held := 0
 	for _, t := range e.follower.Tables {
@@ -60,15 +61,15 @@
 	e.storedEntries.reset()
 	if !e.followsInstances.Load() || e.uptime() < maxSnapshotAge {
 		select {
-		case e.rewriteRow <- struct{}{}:
-		default: // it is about to
+		case e.rowLost <- struct{}{}:
+		default: // a write is already pending
 		}
 	}
 }
 
-// laterStarts puts the start of a backend server that was known before in the place of an earlier
-// one, which a copy has: the instance may have come after that one ended, and would take it for
-// new. Both lists are ordered by name.
+// keepLaterStarts replaces each backend server in now by the one in before if that started later. A
+// restored store may have the row of an earlier start, and an instance that was not running when that
+// one ended would take it for a new backend server. Both lists are ordered by name.
 func keepLaterStarts(now, before []*version.Announced) {
 	for i, x := range now {
 		for len(before) > 0 && before[0].Name < x.Name {
@@ -84,8 +85,8 @@
 	}
 }
 
-// recordsBehind reports whether the records of roll-outs are known from an epoch that is over, so
-// that the store may lack them.
+// recordsOutdated reports whether the records of roll-outs are known from an earlier epoch of the
+// store, so that the store may lack some of them.
 func (e *Edge) recordsOutdated() bool {
 	v, known := e.records().Version()
 	return known && state.Epoch(v) < e.deployment.Store.Epoch()
--- a/process/edge/gate.go
+++ b/process/edge/gate.go
@@ -7,21 +7,21 @@
 	"sync"
 )
 
-// gate holds loops up while there is nothing for them to do. The zero value is shut.
+// gate blocks loops while there is nothing for them to do. The zero value is closed.
 type gate struct {
-	mu      sync.Mutex
-	open    bool
-	changed chan struct{} // closed when the gate opens; nil: nobody waits
+	mu     sync.Mutex
+	open   bool
+	opened chan struct{} // closed when the gate opens; nil: no loop is waiting
 }
 
-// set opens or shuts the gate.
+// set opens or closes the gate.
 func (g *gate) set(open bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.open = open
-	if open && g.changed != nil {
-		close(g.changed)
-		g.changed = nil
+	if open && g.opened != nil {
+		close(g.opened)
+		g.opened = nil
 	}
 }
 
@@ -32,7 +32,7 @@
 	return g.open
 }
 
-// wait waits until the gate is open. It reports false if the context ends first.
+// wait blocks until the gate is open. It returns false if the context ends first.
 func (g *gate) wait(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		g.mu.Lock()
@@ -40,13 +40,13 @@
 			g.mu.Unlock()
 			return true
 		}
-		if g.changed == nil {
-			g.changed = make(chan struct{})
+		if g.opened == nil {
+			g.opened = make(chan struct{})
 		}
-		changed := g.changed
+		opened := g.opened
 		g.mu.Unlock()
 		select {
-		case <-changed:
+		case <-opened:
 		case <-ctx.Done():
 		}
 	}
--- a/process/edge/introduce.go
+++ b/process/edge/introduce.go
@@ -15,39 +15,40 @@
 	"shalewick/process/state"
 )
 
-// Times of the instances' rows and of the search for other instances.
+// Times of instance rows and of the discovery of other instances.
 const (
 	storeTimeout   = 2 * time.Second // of one call of the store
 	rereadInterval = time.Minute
-	minRetryPause  = 100 * time.Millisecond // after a failure; it doubles
-	firstSeedPause = 300 * time.Millisecond // until the seeds are asked; it doubles
+	minRetryPause  = 100 * time.Millisecond // after a failure; doubles
+	firstSeedPause = 300 * time.Millisecond // before the seeds are queried; doubles
 	maxRetryPause  = 2 * time.Second
 )
 
-// smallFleet is the number of instances up to which each reads the rows of all, and tells all of
-// itself. In a larger fleet that would grow with its square when all start: there an instance
-// reads some rows and tells some, and follows the table of instances along the tree.
+// smallFleet is the number of instances up to which each one reads the rows of all others and
+// announces itself to all of them. In a larger fleet the cost of a start of all instances would grow
+// with the square of their number: there an instance reads some rows, announces itself to some
+// instances, and follows the table of instances along the distribution tree.
 const smallFleet = cluster.MostIntroduced
 
-// introduce writes the own row and reads those of the others, and reads them
-// again now and then. When all start for the first time it writes first, so that
-// of two instances that start together at least one finds the other. Otherwise
-// the rows of the others are there, and reading first brings the tables sooner.
+// register writes this instance's row and reads those of the others, and reads them again at intervals.
+// At the first start of the whole system it writes first, so that of two instances that start at the
+// same time at least one finds the other. Otherwise the rows of the others are present, and reading
+// them first brings the tables sooner.
 func (e *Edge) register(ctx context.Context) {
 	written, read := false, false
 	pause := minRetryPause
 	for ctx.Err() == nil {
 		if e.settings.First && !written {
-			written = e.storeCall(ctx, e.writeRow) == nil
+			written = e.storeCall(ctx, e.writeInstanceRow) == nil
 		}
 		if !read {
-			read = e.storeCall(ctx, e.readRows) == nil
+			read = e.storeCall(ctx, e.readInstanceRows) == nil
 		}
 		if !written {
-			written = e.storeCall(ctx, e.writeRow) == nil
+			written = e.storeCall(ctx, e.writeInstanceRow) == nil
 		}
 		if written && read {
-			read = e.followsInstances.Load() // then there is nothing to read again
+			read = e.followsInstances.Load() // the table is followed, so the rows need not be read again
 			pause = minRetryPause
 			written = !e.awaitReread(ctx)
 			continue
@@ -57,12 +58,12 @@
 	}
 }
 
-// awaitsIntroduction waits until rows are read again, and reports whether the own one has to be
-// written again before.
+// awaitReread waits until the rows have to be read again, and reports whether this instance's row has
+// to be written again before.
 func (e *Edge) awaitReread(ctx context.Context) bool {
 	select {
-	case <-e.rewriteRow:
-		clock.Sleep(ctx, rand.N(maxRetryPause)) // all others write as well
+	case <-e.rowLost:
+		clock.Sleep(ctx, rand.N(maxRetryPause)) // spreads the writes, since all instances write again
 		return true
 	case <-time.After(rereadInterval):
 	case <-ctx.Done():
@@ -70,7 +71,7 @@
 	return false
 }
 
-func (e *Edge) writeRow(ctx context.Context) error {
+func (e *Edge) writeInstanceRow(ctx context.Context) error {
 	value, err := json.Marshal(e.members.Self())
 	if err != nil {
 		return errors.Trace(err)
@@ -78,18 +79,18 @@
 	return e.deployment.Store.Put(ctx, e.deployment.InstanceTable, e.settings.Instance, value)
 }
 
-func (e *Edge) readRows(ctx context.Context) error {
+func (e *Edge) readInstanceRows(ctx context.Context) error {
 	rows, more, err := e.deployment.Store.ReadSome(ctx, e.deployment.InstanceTable, "", smallFleet)
 	if err != nil {
 		return err
 	}
 	if more {
 		e.followsInstances.Store(true)
-		near, _, err := e.deployment.Store.ReadSome(ctx, e.deployment.InstanceTable, e.settings.Instance, smallFleet)
+		neighbours, _, err := e.deployment.Store.ReadSome(ctx, e.deployment.InstanceTable, e.settings.Instance, smallFleet)
 		if err != nil {
 			return err
 		}
-		rows = append(rows, near...) // names that follow each other are mostly of one hall
+		rows = append(rows, neighbours...) // adjacent names mostly belong to the same hall
 	}
 	first := !e.members.KnowsOthers()
 	e.mergeInstanceRows(rows)
@@ -100,7 +101,7 @@
 	return nil
 }
 
-// learnRows takes up rows of instances.
+// mergeInstanceRows adds the instances in the rows to the known ones.
 func (e *Edge) mergeInstanceRows(rows []state.Row) {
 	list := make([]cluster.Member, 0, len(rows))
 	for _, r := range rows {
@@ -114,9 +115,9 @@
 	e.members.Learn(false, list...)
 }
 
-// followInstances takes up what the table of instances says, if it is followed, until the
-// context ends. A row that is gone says nothing: who stops tells that itself, and a late removal
-// may meet the row of its next start.
+// followInstances merges changes of the table of instances, if it is followed, until the context ends.
+// A deleted row is ignored: an instance that stops announces that itself, and a late delete may
+// remove the row of its next start.
 func (e *Edge) followInstances(ctx context.Context) {
 	table := e.follower.Tables[e.deployment.InstanceTable]
 	var before []state.Row
@@ -132,8 +133,8 @@
 	}
 }
 
-// changedRows returns the rows of a list that an earlier one does not have as they are. Both are
-// ordered by key.
+// changedRows returns the rows in now that before lacks or has in another version. Both lists are ordered
+// by key.
 func changedRows(before, now []state.Row) (out []state.Row) {
 	for _, r := range now {
 		for len(before) > 0 && before[0].Key < r.Key {
@@ -146,7 +147,7 @@
 	return out
 }
 
-// storeCall makes one call of the store within a bounded time.
+// storeCall makes a call of the store that is limited to storeTimeout.
 func (e *Edge) storeCall(ctx context.Context, f func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -157,8 +158,8 @@
 	return err
 }
 
-// askSeeds learns other instances from the seeds while the store does not tell
-// them, until there is a configuration.
+// querySeeds discovers other instances through the seeds while the store provides none, until there is a
+// configuration.
 func (e *Edge) querySeeds(ctx context.Context) {
 	pause := firstSeedPause
 	for e.table.Routing() == nil && clock.Sleep(ctx, pause) {
@@ -174,7 +175,7 @@
 	}
 }
 
-// askPeer asks one instance which others there are.
+// queryPeer fetches the known instances of another instance.
 func (e *Edge) queryPeer(address string) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
@@ -182,7 +183,7 @@
 	e.log.Info().Str("from", address).AnErr("error", err).Int("live", len(e.members.Live())).Msg("instances-asked")
 }
 
-// askSeed asks one instance which others there are, and tells them of this one.
+// querySeed fetches the known instances of a seed, and announces this instance to them.
 func (e *Edge) querySeed(ctx context.Context, seed string) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
--- a/process/edge/introduce_test.go
+++ b/process/edge/introduce_test.go
@@ -80,7 +80,7 @@
 		follows            bool
 	}{{12, 12, 1, false}, {100, 100, 1, false}, {330, 200, 2, true}, {985, 200, 2, true}, {3550, 200, 2, true}} {
 		e, s := newStartingInstance(t, x.fleet)
-		assert.NilError(t, e.readRows(context.Background()))
+		assert.NilError(t, e.readInstanceRows(context.Background()))
 		assert.Assert(t, s.rowsRead <= x.rows && s.calls == x.calls, "%d instances: %d rows in %d calls", x.fleet, s.rowsRead, s.calls)
 		assert.Equal(t, e.wantsTable("instances"), x.follows)
 		assert.Assert(t, e.heartbeats.Sent() <= cluster.MostIntroduced, "%d instances: %d datagrams", x.fleet, e.heartbeats.Sent())
--- a/process/edge/place.go
+++ b/process/edge/place.go
@@ -9,65 +9,65 @@
 	"shalewick/process/cluster"
 )
 
-// placeFor is how long the place of an instance is good for.
+// positionLifetime is how long a computed position is used.
 const positionLifetime = 250 * time.Millisecond
 
-// placed is the place of an instance among those that share what must be shared.
+// cachedPosition is the position of an instance among those that share a common allowance.
 type cachedPosition struct {
 	mu           sync.Mutex
 	index, count int
-	at           time.Duration // zero: not known
+	at           time.Duration // when it was computed; zero: unknown
 }
 
-// place returns the place of this instance, from 0, among those that share what all
-// instances may give a cold backend server, and their number; zero while they are not
-// known. An instance that clients are sent to shares it with the others of that
-// kind, since they take nearly all requests. One that clients are not sent to has its
-// part of an equal share among all: what comes in there stays below a second share of
-// the whole, and a cold server bears half as much again and some requests besides.
-func (e *Edge) sharePosition() (sharePosition, of int) {
-	p := &e.position
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// sharePosition returns this instance's index among the instances that share what all of them together
+// may send to a cold backend server, and their number; zeros while they are not known. The instances that
+// are listed for clients divide it among themselves, since they get nearly all requests. An instance
+// that is not listed takes its part of an equal division among all instances: the requests
+// that arrive there add less than a second whole allowance, and a cold backend server tolerates half
+// as much again and some requests more.
+func (e *Edge) sharePosition() (index, count int) {
+	pos := &e.position
+	pos.mu.Lock()
+	defer pos.mu.Unlock()
 	now := e.now()
-	if p.at != 0 && now-p.at < positionLifetime {
-		return p.index, p.count
+	if pos.at != 0 && now-pos.at < positionLifetime {
+		return pos.index, pos.count
 	}
-	p.index, p.count = e.members.Place()
-	if p.count == 0 {
+	pos.index, pos.count = e.members.Place()
+	if pos.count == 0 {
 		return 0, 0
 	}
-	p.at = now
-	if place, of := positionAmongLarge(e.members.Known(), e.settings.Instance); of > 0 {
-		p.index, p.count = place, of
+	pos.at = now
+	if index, count := positionAmongLarge(e.members.Known(), e.settings.Instance); count > 0 {
+		pos.index, pos.count = index, count
 	}
-	return p.index, p.count
+	return pos.index, pos.count
 }
 
-// placeAmongLarge returns the place of an instance among the large ones of all regions,
-// and their number; zero if it is none of them.
-func positionAmongLarge(known []cluster.Member, self string) (place, of int) {
+// positionAmongLarge returns the index of an instance among the large instances of all regions, and their
+// number; zeros if it is not one of them.
+func positionAmongLarge(known []cluster.Member, self string) (index, count int) {
 	found := false
-	rooms := make(map[string]cluster.Room) // by region
+	largest := make(map[string]cluster.Room) // by region
 	for _, m := range known {
-		r, ok := rooms[m.Region]
+		r, ok := largest[m.Region]
 		if !ok {
 			r = cluster.Largest(inRegion(known, m.Region))
-			rooms[m.Region] = r
+			largest[m.Region] = r
 		}
 		if !r.Fills(&m) {
 			continue
 		}
-		of++
+		count++
 		switch {
 		case m.Name == self:
 			found = true
 		case m.Name < self:
-			place++
+			index++
 		}
 	}
 	if !found {
 		return 0, 0
 	}
-	return place, of
+	return index, count
 }
--- a/process/edge/quarantine.go
+++ b/process/edge/quarantine.go
@@ -20,25 +20,25 @@
 )
 
 const (
-	// pathQuarantine is where an instance asks another one for its list, and
-	// pathQuarantineView where operators read it.
+	// pathQuarantine is where an instance fetches the list of another one, and pathQuarantineView
+	// where operators read it.
 	pathQuarantine     = "/peer/quarantine"
 	pathQuarantineView = "/v1/quarantine"
-	// learnWait is how long an instance that starts waits for the list before it serves
-	// without: others tell it within a few round trips, and a relay reads it within one.
+	// maxSyncWait bounds how long a starting instance waits for the list before it serves without
+	// it: other instances provide it within a few round trips, and a relay reads it within one.
 	maxSyncWait = time.Second
-	// learnLeast and learnMost bound the pause between two questions for the list, which
+	// minListPause and maxListPause bound the pause between two requests for the list, which
 	// doubles.
 	minListPause = 20 * time.Millisecond
 	maxListPause = time.Second
-	// listHold is how long an instance holds a question for the list that it awaits itself.
+	// maxListWait bounds how long a request for the list waits until this instance has it.
 	maxListWait = time.Second
-	// listPause is the least time between two questions for the list of one that differs,
-	// so that news that reaches all in one round trip is seldom asked for.
+	// minListInterval is the minimum time between two requests for a list that differs, so that
+	// changes that reach all instances within one round trip are rarely requested.
 	minListInterval = 300 * time.Millisecond
 )
 
-// newQuarantine returns the quarantine of requests, made together with the other instances.
+// newQuarantine returns the quarantine of requests, which the instances maintain together.
 func (e *Edge) newQuarantine() *quarantine.Quarantine {
 	q := quarantine.New()
 	q.Now, q.Owners, q.Log = e.now, e.quarantineOwners, e.log
@@ -47,8 +47,8 @@
 	return q
 }
 
-// backendCrashed writes that a backend server has ended, and which requests were in flight
-// there from this instance, and counts it against them.
+// onBackendCrash logs the crash of a backend server and the requests that were in flight there from
+// this instance, and attributes the crash to them.
 func (e *Edge) onBackendCrash(c crash.Crash) {
 	requests := make([]string, 0, len(c.Suspects))
 	for _, s := range c.Suspects {
@@ -60,11 +60,11 @@
 	e.quarantine.RecordCrash(c)
 }
 
-// quarantineOwners returns who counts the crashes of a service, over all regions and within
-// the own one.
+// quarantineOwners returns the instances that count the crashes of a service, over all regions and
+// within this instance's region.
 func (e *Edge) quarantineOwners(service string) (owner, regional quarantine.Owner) {
-	number := xxhash.Sum64String(service)
-	return e.quarantineOwner(e.members.OwnerIn("", number)), e.quarantineOwner(e.members.OwnerIn(e.settings.Region, number))
+	hash := xxhash.Sum64String(service)
+	return e.quarantineOwner(e.members.OwnerIn("", hash)), e.quarantineOwner(e.members.OwnerIn(e.settings.Region, hash))
 }
 
 func (e *Edge) quarantineOwner(m cluster.Member) quarantine.Owner {
@@ -74,7 +74,7 @@
 	return quarantine.Owner{Name: m.Name, Address: m.Peer}
 }
 
-// tickQuarantine sends and decides what is due, until the context ends.
+// tickQuarantine sends messages and takes decisions that are due, until the context ends.
 func (e *Edge) tickQuarantine(ctx context.Context) {
 	for {
 		select {
@@ -87,8 +87,8 @@
 	}
 }
 
-// learnQuarantine learns what others know when this instance starts, from them or, if it
-// reads the store for others, from there: whoever tells it first, as with the tables.
+// syncQuarantine gets the list when this instance starts: from other instances or, if this
+// instance is a relay, from the store, whichever responds first, as with the tables.
 func (e *Edge) syncQuarantine(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -101,22 +101,23 @@
 	all.Go(func() { e.pollUntilSynced(ctx, e.loadListFromRelay) })
 	select {
 	case <-e.quarantine.SyncDone():
-		e.recompile() // the start may have waited for it
+		e.recompile() // the start may have waited for the list
 	case <-ctx.Done():
 	}
 	cancel()
 	all.Wait()
 }
 
-// learnSources is the number of instances that are asked for the list at a time at a start.
+// syncSources is the number of instances that a starting instance requests the list from at a time.
 const syncSources = 2
 
-// learnFrom asks until the list is known, or the context ends. Ask returns false if there was
-// nobody to ask.
-func (e *Edge) pollUntilSynced(ctx context.Context, ask func(context.Context) bool) {
+// pollUntilSynced calls fetch until the list is known or the context ends. Fetch reports
+// whether a request was made and failed, which doubles the pause; it is false if there was no one to
+// send it to.
+func (e *Edge) pollUntilSynced(ctx context.Context, fetch func(context.Context) bool) {
 	pause := minListPause
 	for !e.quarantine.Synced() && ctx.Err() == nil {
-		if ask(ctx) {
+		if fetch(ctx) {
 			pause = min(2*pause, maxListPause)
 		}
 		select {
@@ -127,7 +128,7 @@
 	}
 }
 
-// askSource asks the i-th of the instances that this one learns the tables from.
+// fetchListFromSource requests the list from the i-th of the instances that provide the tables.
 func (e *Edge) fetchListFromSource(ctx context.Context, i int) bool {
 	sources := e.members.Sources()
 	if i >= len(sources) {
@@ -137,7 +138,7 @@
 	return err != nil && ctx.Err() == nil
 }
 
-// askStore reads the rows, if this instance reads the store for others.
+// loadListFromRelay reads the rows of the store, if this instance is a relay.
 func (e *Edge) loadListFromRelay(ctx context.Context) bool {
 	if !e.peers.Relay() {
 		return false
@@ -145,8 +146,8 @@
 	return e.storeCall(ctx, e.loadQuarantine) != nil
 }
 
-// awaitsQuarantine reports whether an instance that starts has to learn first which requests
-// to refuse. The caller holds compiling.
+// mustAwaitQuarantine reports whether a starting instance still has to wait for the list of requests
+// to refuse. The caller holds compileMu.
 func (e *Edge) mustAwaitQuarantine() bool {
 	if e.settings.First || e.quarantine.Synced() {
 		return false
@@ -161,22 +162,22 @@
 	return true
 }
 
-// fetchList asks the instance at an address for its list.
+// fetchList requests the list from the instance at an address, and merges it.
 func (e *Edge) fetchList(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, maxListWait+peerAckTimeout)
 	defer cancel()
-	text, err := e.peers.Ask(ctx, address, pathQuarantine)
+	reply, err := e.peers.Ask(ctx, address, pathQuarantine)
 	if err != nil {
 		return err
 	}
-	return e.quarantine.MergeReply(text, address)
+	return e.quarantine.MergeReply(reply, address)
 }
 
-// asking says whether a list is being asked for.
+// listFetch records whether a list is being requested.
 type listFetch struct{ running atomic.Bool }
 
-// askList asks an instance that knows other entries for its list, unless one was asked a
-// moment ago.
+// refreshList requests the list of an instance whose entries differ, unless a list is being requested
+// or was within minListInterval.
 func (e *Edge) refreshList(address string) {
 	if !e.listFetch.running.CompareAndSwap(false, true) {
 		return
@@ -190,22 +191,22 @@
 	}()
 }
 
-// serveList answers another instance, once this one knows the list itself, or after listHold.
+// serveList sends the list to another instance, once this one is synced or after maxListWait.
 func (e *Edge) serveList(w http.ResponseWriter, r *http.Request) {
 	select {
 	case <-e.quarantine.SyncDone():
 	case <-r.Context().Done():
 	case <-time.After(maxListWait):
 	}
-	text, err := e.quarantine.EncodeReply()
+	reply, err := e.quarantine.EncodeReply()
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	_, _ = w.Write(text) // the other instance asks again
+	_, _ = w.Write(reply) // the other instance requests it again
 }
 
-// viewed is an entry as operators read it.
+// entryView is the representation of an entry for operators.
 type entryView struct {
 	Request     string    `json:"request"`
 	Service     string    `json:"service"`
@@ -217,7 +218,7 @@
 	Refused bool `json:"refused"`
 }
 
-// serveQuarantine shows operators the list.
+// serveQuarantine sends the list to operators.
 func (e *Edge) serveQuarantine(w http.ResponseWriter, _ *http.Request) {
 	out := []entryView{}
 	for _, x := range e.quarantine.Entries() {
@@ -227,8 +228,8 @@
 		})
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(out) // a reader that is gone needs no list
+	_ = json.NewEncoder(w).Encode(out) // an error means that the reader has disconnected
 }
 
-// letThrough takes up which requests operators let through.
+// applyLetThrough installs the list of requests that operators let through.
 func (e *Edge) applyLetThrough(c *version.Config) { e.quarantine.LetThrough(c.LetThrough) }
--- a/process/edge/quarantinerow.go
+++ b/process/edge/quarantinerow.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// keepPause is the pause between two looks at which entries are not in the store yet.
-	// It leaves time for others to object, which takes a round trip.
+	// persistInterval is the pause between two searches for entries that are not stored yet. It
+	// gives other instances time to object, which takes a round trip.
 	persistInterval = time.Second
-	// keepMost bounds that pause, which doubles while the store does not answer.
+	// maxPersistPause bounds that pause, which doubles while the store does not respond.
 	maxPersistPause = 30 * time.Second
 )
 
-// quarantineRows is which entries the store has, as far as this instance knows: those that
-// it read or wrote.
+// storedEntries holds the stamps of the entries that the store is known to have: those that this
+// instance has read or written.
 type storedEntries struct {
 	mu     sync.Mutex
 	stamps map[request.Fingerprint]uint32
@@ -46,34 +46,33 @@
 	delete(r.stamps, f)
 }
 
-// reset forgets what the store has: it came back from an older copy.
+// reset forgets the stored entries after the store was restored from an older copy.
 func (r *storedEntries) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	clear(r.stamps)
 }
 
-// compare returns the entries that are newer than their rows, and the rows of which there is
-// no entry any more.
-func (r *storedEntries) diff(entries []quarantine.Entry) (missing []quarantine.Entry, left []request.Fingerprint) {
+// diff returns the entries that are newer than their rows, and the rows that have no entry any more.
+func (r *storedEntries) diff(entries []quarantine.Entry) (missing []quarantine.Entry, obsolete []request.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	there := make(map[request.Fingerprint]bool, len(entries))
+	present := make(map[request.Fingerprint]bool, len(entries))
 	for _, e := range entries {
-		there[e.Request] = true
+		present[e.Request] = true
 		if e.Stamp > r.stamps[e.Request] {
 			missing = append(missing, e)
 		}
 	}
 	for f := range r.stamps {
-		if !there[f] {
-			left = append(left, f)
+		if !present[f] {
+			obsolete = append(obsolete, f)
 		}
 	}
-	return missing, left
+	return missing, obsolete
 }
 
-// readQuarantine learns what the store keeps.
+// loadQuarantine reads the entries from the store.
 func (e *Edge) loadQuarantine(ctx context.Context) error {
 	d, err := e.deployment.Store.Read(ctx, e.deployment.QuarantineTable)
 	if err != nil {
@@ -93,7 +92,7 @@
 	return nil
 }
 
-// keepQuarantine writes the entries that this instance owns to the store, until the context
+// persistQuarantine writes the entries whose rows this instance owns to the store, until the context
 // ends.
 func (e *Edge) persistQuarantine(ctx context.Context) {
 	pause := persistInterval
@@ -108,7 +107,7 @@
 }
 
 func (e *Edge) persistEntries(ctx context.Context) error {
-	missing, left := e.storedEntries.diff(e.quarantine.Entries())
+	missing, obsolete := e.storedEntries.diff(e.quarantine.Entries())
 	for _, x := range missing {
 		if !e.ownsRow(x.Request) {
 			continue
@@ -119,7 +118,7 @@
 		e.storedEntries.set(x.Request, x.Stamp)
 		e.log.Info().Str("request", x.Request.String()).Uint32("stamp", x.Stamp).Msg("quarantine-kept")
 	}
-	for _, f := range left {
+	for _, f := range obsolete {
 		err := e.storeCall(ctx, func(ctx context.Context) error {
 			return e.deployment.Store.Delete(ctx, e.deployment.QuarantineTable, f.String())
 		})
@@ -136,20 +135,20 @@
 	return e.members.OwnerAtStore(uint64(f)).Name == e.settings.Instance
 }
 
-// writeEntry writes an entry, and what operators read of it. Entries only go forward, and
-// a row that an older owner writes late is made good at the next start of all by those who
-// know better: it can only differ in whether the request was withdrawn.
+// writeEntry writes an entry and its status row for operators. Entries only advance. If a former
+// owner writes a row late, that row can only differ in whether the request was withdrawn, and the
+// instances that know the newer entry correct it at the next start of all instances.
 func (e *Edge) writeEntry(ctx context.Context, x quarantine.Entry) error {
 	value, err := json.Marshal(x)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	told, err := e.deployment.QuarantineStatus(x)
+	status, err := e.deployment.QuarantineStatus(x)
 	if err != nil {
 		return err
 	}
 	_, err = e.deployment.Store.Write(ctx, nil, []state.Written{
-		{Table: e.deployment.QuarantineTable, Key: x.Request.String(), Value: value}, told,
+		{Table: e.deployment.QuarantineTable, Key: x.Request.String(), Value: value}, status,
 	})
 	return err
 }
--- a/process/edge/quota.go
+++ b/process/edge/quota.go
@@ -9,7 +9,7 @@
 	"shalewick/process/quota"
 )
 
-// newQuota returns the limits of workspaces, kept together with the other instances.
+// newQuota returns the limits of workspaces, which the instances enforce together.
 func (e *Edge) newQuota() *quota.Quota {
 	return &quota.Quota{
 		Now: e.now, Tolerance: e.settings.QuotaTolerance, Owners: e.quotaOwners, Instances: e.listedInstances,
@@ -17,8 +17,8 @@
 	}
 }
 
-// entries returns how many instances the directory names to clients, over all regions;
-// zero while the others are not known.
+// listedInstances returns how many instances the directory lists for clients, over all regions; zero
+// while the other instances are not known.
 func (e *Edge) listedInstances() int {
 	if e.members.Count() == 0 {
 		return 0
@@ -26,7 +26,7 @@
 	return countListed(e.members.Live())
 }
 
-// quotaOwners returns who owns the limits of each group of workspaces.
+// quotaOwners returns the owners of the shards of workspaces.
 func (e *Edge) quotaOwners() (out [quota.Shards]quota.Owner) {
 	for i, m := range e.members.Owners(len(out)) {
 		out[i].Name = m.Name
@@ -37,13 +37,13 @@
 	return out
 }
 
-// quotaAnswers is told that the owner of some limits does not answer, or does again.
-func (e *Edge) onQuotaOwner(name string, ok bool) {
-	e.log.Info().Str("other", name).Bool("answers", ok).Msg("quota-owner")
-	e.members.Called(name, ok)
+// onQuotaOwner is called when an owner of limits becomes unresponsive, or responds again.
+func (e *Edge) onQuotaOwner(name string, responsive bool) {
+	e.log.Info().Str("other", name).Bool("answers", responsive).Msg("quota-owner")
+	e.members.Called(name, responsive)
 }
 
-// tickQuota tells and asks the owners of limits until the context ends.
+// tickQuota exchanges messages with the owners of limits until the context ends.
 func (e *Edge) tickQuota(ctx context.Context) {
 	for clock.SleepAligned(ctx, quota.TickInterval) {
 		e.quota.Tick()
--- a/process/edge/record.go
+++ b/process/edge/record.go
@@ -12,26 +12,26 @@
 	"shalewick/process/state"
 )
 
-// knownRecord is the record of a service's newest roll-out as its row says it. The zero
-// value stands for none.
+// knownRecord is the record of a service's latest roll-out, as read from its row. The zero value stands
+// for no record.
 type knownRecord struct {
 	record      *rollout.Record
 	revision    int64
-	lostByStore bool // the store has lost it, or has it as it was before
+	lostByStore bool // the store has lost it, or has an older version
 }
 
 // running reports whether the roll-out has not ended.
 func (k knownRecord) running() bool { return k.record != nil && !k.record.Phase.Ended() }
 
-// answers reports whether the record says how a roll-out ended that an order asked for.
+// endsOrder reports whether the record says how the roll-out of an order ended.
 func (k knownRecord) endsOrder(o *rollout.Order) bool {
 	return k.record != nil && k.record.Phase.Ended() && k.record.For(o)
 }
 
-// records returns the table of the records of roll-outs.
+// records returns the table of roll-out records.
 func (e *Edge) records() *state.Table { return e.follower.Tables[e.deployment.RecordTable] }
 
-// knownRecords returns what the table says, by service, and what of it can't be read.
+// knownRecords returns the records in the table by service, and the problems of unreadable rows.
 func knownRecords(table *state.Table) (map[string]knownRecord, []error) {
 	held := table.Held()
 	out := make(map[string]knownRecord)
@@ -52,36 +52,36 @@
 	return out, problems
 }
 
-// readRecords reads the records from the store itself, and puts in force what they say.
+// readRecords reads the records from the store itself and puts them in force.
 func (e *Edge) readRecords(ctx context.Context) error {
-	asked := e.now()
+	requested := e.now()
 	d, err := e.deployment.Store.Read(ctx, e.deployment.RecordTable)
 	if err != nil {
 		return err
 	}
 	now := e.now()
-	d.Age = now - asked
+	d.Age = now - requested
 	if e.records().Apply(d, now) {
 		e.recompile()
 	}
 	return nil
 }
 
-// writeRecord writes a step, and what operators read of it, if the record is as the
-// step was made from. It returns the version of the row.
+// writeRecord writes a step and its status row for operators, if the record is still the one
+// that the step was derived from. It returns the version of the row.
 func (e *Edge) writeRecord(ctx context.Context, p rollout.Proposal) (int64, error) {
 	value, err := json.Marshal(p.Record)
 	if err != nil {
 		return 0, errors.Trace(err)
 	}
-	told, err := e.deployment.Status(p.Record)
+	status, err := e.deployment.RolloutStatus(p.Record)
 	if err != nil {
 		return 0, err
 	}
 	table, key := e.deployment.RecordTable, p.Record.Service
 	revision, err := e.deployment.Store.Write(ctx,
 		[]state.Expected{{Table: table, Key: key, Version: p.Revision}},
-		[]state.Written{{Table: table, Key: key, Value: value}, told})
+		[]state.Written{{Table: table, Key: key, Value: value}, status})
 	if err != nil {
 		return 0, err
 	}
@@ -89,8 +89,8 @@
 	return revision, nil
 }
 
-// recordWritten takes up a record that this instance has written, before the table
-// tells it.
+// applyWrittenRecord applies a record that this instance has written, before it arrives through
+// the table.
 func (e *Edge) applyWrittenRecord(p rollout.Proposal, row state.Row) {
 	e.compileMu.Lock()
 	e.records().Apply(state.Delta{Rows: []state.Row{row}}, e.now())
--- a/process/edge/settings.go
+++ b/process/edge/settings.go
@@ -144,7 +144,7 @@
 	// DocumentKey is the key of the operator's own document in OperatorTable.
 	DocumentKey string
 	// Status returns the row by which operators learn where a roll-out stands.
-	Status func(r rollout.Record) (state.Written, error)
+	RolloutStatus func(r rollout.Record) (state.Written, error)
 	// QuarantineTable is the table of requests that crash backend servers, and
 	// QuarantineStatus returns the row by which operators learn of one.
 	QuarantineTable  string
--- a/process/edge/spare.go
+++ b/process/edge/spare.go
@@ -20,7 +20,7 @@
 	spareCheckInterval = 500 * time.Millisecond
 	// spareAfter is how long an instance must have had no reason to follow the backend servers
 	// before it stops, so that it neither stops nor begins with each death.
-	spareAfter = 20 * time.Second
+	spareDelay = 20 * time.Second
 	// spareStart is how long after its start it does so at once: what others there are is learned
 	// step by step.
 	spareStartTime = 30 * time.Second
@@ -63,7 +63,7 @@
 		c = e.members.Capacity()
 	}
 	if !large || e.rolloutState.followRecords.Load() || e.spare.usesKeys.Load() || neededInRegion(c) {
-		lasts := spareAfter
+		lasts := spareDelay
 		if e.uptime() < spareStartTime {
 			lasts = 0
 		}
--- a/process/edge/spare_test.go
+++ b/process/edge/spare_test.go
@@ -92,9 +92,9 @@
 			*now += spareCheckInterval
 			assert.Assert(t, !e.isSpare())
 			x.end(e)
-			*now += spareAfter / 2
+			*now += spareDelay / 2
 			assert.Assert(t, !e.isSpare(), "too soon")
-			*now += spareAfter
+			*now += spareDelay
 			assert.Assert(t, e.isSpare())
 		})
 	}
--- a/process/edge/step.go
+++ b/process/edge/step.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	// stepPause is the pause after a call of the store that failed; it doubles with each
-	// further one up to longestStepPause.
+	// minStepPause is the pause after a failed call of the store. It doubles with each further
+	// failure, up to maxStepPause.
 	minStepPause = 200 * time.Millisecond
 	maxStepPause = time.Second
-	// failuresToPass is the number of calls in a row that fail until the owner counts as
-	// cut off from the store, so that another instance becomes the owner. It is more than
-	// one: while the store is away for all the owner should not change all the time.
+	// failuresToHandOver is the number of consecutive failed calls after which the owner counts as
+	// cut off from the store, so that another instance becomes the owner. It is more than one so
+	// that the owner does not change all the time while no instance can reach the store.
 	failuresToHandOver = 3
 )
 
-// stepWriter writes the steps of the roll-outs that this instance owns. It is not safe
-// for concurrent use.
+// stepWriter writes the steps of the roll-outs that this instance owns. It is not safe for concurrent
+// use.
 type stepWriter struct {
 	edge     *Edge
 	owned    map[string]ownership // by service
-	failures int                  // calls of the store that failed in a row
+	failures int                  // consecutive failed calls of the store
 }
 
-// ownership is that of a service's roll-out by this instance.
+// ownership is this instance's ownership of a service's roll-out.
 type ownership struct {
-	recordsRead bool // the records were read since
-	// from is when this instance may decide.
+	recordsRead bool // the records were read since it began
+	// decideFrom is when this instance may begin to decide.
 	decideFrom time.Duration
 }
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// pause returns the time until the next turn.
+// pause returns the time until the next run.
 func (w *stepWriter) pause() time.Duration {
 	if w.failures == 0 {
 		return rollout.TickTime
@@ -57,27 +57,27 @@
 	return p/2 + rand.N(p)
 }
 
-// turn writes the steps that are due. What was not written is proposed again.
+// runOnce writes the steps that are due. A step that could not be written is proposed again.
 func (w *stepWriter) runOnce(ctx context.Context) {
 	if !w.updateOwned(w.edge.ownedRollouts()) {
 		return
 	}
-	_, clocked := w.edge.deployment.Store.Clock()
-	if !clocked || !w.allRead() {
-		if !w.read(ctx) {
+	_, known := w.edge.deployment.Store.Clock()
+	if !known || !w.allRecordsRead() {
+		if !w.readRecords(ctx) {
 			return
 		}
 	}
-	now, clocked := w.edge.deployment.Store.Clock()
-	if !clocked || !w.informed() {
+	now, known := w.edge.deployment.Store.Clock()
+	if !known || !w.informed() {
 		return
 	}
 	for _, p := range w.edge.rollouts.Proposals(now) {
-		w.write(ctx, p)
+		w.writeStep(ctx, p)
 	}
 }
 
-// ownedRollouts returns the services whose roll-outs this instance decides on.
+// ownedRollouts returns the services whose roll-outs this instance owns.
 func (e *Edge) ownedRollouts() []string {
 	var out []string
 	for _, name := range e.activeServices() {
@@ -88,12 +88,12 @@
 	return out
 }
 
-// own takes up which services this instance owns, and reports whether there are any.
+// updateOwned updates the services that this instance owns, and reports whether there are any.
 func (w *stepWriter) updateOwned(services []string) bool {
 	owned := make(map[string]ownership, len(services))
 	for _, name := range services {
-		o, before := w.owned[name]
-		if !before {
+		o, wasOwned := w.owned[name]
+		if !wasOwned {
 			o.decideFrom = w.edge.now() + rollout.InformTime
 		}
 		owned[name] = o
@@ -105,10 +105,10 @@
 	return len(services) > 0
 }
 
-// heard reports whether there was time to hear of the roll-outs that run what others
-// know of them.
+// informed reports whether there was enough time to receive from other instances what they know of
+// the roll-outs that are running.
 func (w *stepWriter) informed() bool {
-	records, _ := knownRecords(w.edge.records()) // what can't be read is logged elsewhere
+	records, _ := knownRecords(w.edge.records()) // unreadable records are logged by ordersAndRecords
 	now := w.edge.now()
 	for name, o := range w.owned {
 		if records[name].running() && now < o.decideFrom {
@@ -118,8 +118,8 @@
 	return true
 }
 
-// allRead reports whether the records were read since this instance owns the services.
-func (w *stepWriter) allRead() bool {
+// allRecordsRead reports whether the records were read since this instance owns the services.
+func (w *stepWriter) allRecordsRead() bool {
 	for _, o := range w.owned {
 		if !o.recordsRead {
 			return false
@@ -128,9 +128,9 @@
 	return true
 }
 
-// read reads the records from the store, so that an owner does not decide on what others
-// wrote over meanwhile. It reports whether they were read.
-func (w *stepWriter) read(ctx context.Context) bool {
+// readRecords reads the records from the store, so that a new owner does not decide on records that
+// others have overwritten. It reports whether it succeeded.
+func (w *stepWriter) readRecords(ctx context.Context) bool {
 	err := w.edge.storeCall(ctx, w.edge.readRecords)
 	w.recordResult(ctx, err)
 	if err != nil {
@@ -143,26 +143,27 @@
 	return true
 }
 
-// write writes one step. If the record has changed meanwhile it is read. After any other
-// failure nothing is assumed: the table, or the next write, tells whether it is there.
-func (w *stepWriter) write(ctx context.Context, p rollout.Proposal) {
-	began := w.edge.now()
+// writeStep writes a step. If the record has changed in the meantime, it is read again. After any
+// other failure the outcome is unknown: the table, or the next write, shows whether the step was
+// written.
+func (w *stepWriter) writeStep(ctx context.Context, p rollout.Proposal) {
+	start := w.edge.now()
 	var revision int64
 	err := w.edge.storeCall(ctx, func(ctx context.Context) (err error) {
 		revision, err = w.edge.writeRecord(ctx, p)
 		return err
 	})
-	w.edge.logStep(p, revision, w.edge.now()-began, err)
+	w.edge.logStep(p, revision, w.edge.now()-start, err)
 	if !errors.Is(err, state.Conflict) {
 		w.recordResult(ctx, err)
 		return
 	}
 	w.recordResult(ctx, nil)
-	w.read(ctx)
+	w.readRecords(ctx)
 }
 
-// note takes up whether a call of the store was answered. An owner that the store does
-// not answer says so to all, so that another one takes over.
+// recordResult records whether the store responded to a call. An owner that gets no responses from the
+// store reports this to all instances, so that another one takes over.
 func (w *stepWriter) recordResult(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
--- a/process/edge/stop.go
+++ b/process/edge/stop.go
@@ -24,7 +24,7 @@
 	e.proxy.DisableKeepAlives()
 	e.heartbeats.SendAll()
 	e.log.Info().Int64("running", e.proxy.InFlight()).Msg("stopping")
-	go e.deleteRow()
+	go e.deleteInstanceRow()
 	time.Sleep(e.settings.linger())
 	e.heartbeats.SendAll()
 	ctx, cancel := context.WithDeadline(context.Background(), begun.Add(e.settings.grace()))
@@ -67,7 +67,7 @@
 	e.loops.Wait()
 }
 
-func (e *Edge) deleteRow() {
+func (e *Edge) deleteInstanceRow() {
 	err := e.storeCall(context.Background(), func(ctx context.Context) error {
 		return e.deployment.Store.Delete(ctx, e.deployment.InstanceTable, e.settings.Instance)
 	})
