--- a/process/edge/directory_test.go
+++ b/process/edge/directory_test.go
@@ -12,7 +12,7 @@
 	"shalewick/process/cluster"
 )
 
-// site returns two regions of two halls, each with so many large and small instances.
+// testFleet returns two regions with two halls each, and large and small instances in each hall.
 func testFleet(large, small int) []cluster.Member {
 	var out []cluster.Member
 	for _, region := range []string{"north", "south"} {
@@ -37,7 +37,7 @@
 	return out
 }
 
-// without returns the members but for some.
+// without returns the members except those with the given names.
 func without(live []cluster.Member, names ...string) []cluster.Member {
 	return filter(live, func(m cluster.Member) bool {
 		for _, n := range names {
@@ -55,7 +55,7 @@
 	one := without(live, "north-a-1")
 	assert.DeepEqual(t, namedInstances(one), []string{"north-a-0", "north-b-0", "north-b-1"}) // one is not enough
 	none := without(one, "north-a-0", "north-b-0", "north-b-1")
-	assert.DeepEqual(t, namedInstances(none), []string{"north-a-2", "north-a-3", "north-a-4"}) // no large one is left in the region
+	assert.DeepEqual(t, namedInstances(none), []string{"north-a-2", "north-a-3", "north-a-4"}) // no large instance is left in the region
 }
 
 func TestDirectoryListsAllEqualInstances(t *testing.T) {
@@ -74,33 +74,33 @@
 	assert.Equal(t, countListed(without(testFleet(2, 3), "north-a-0", "north-a-1", "north-b-0", "north-b-1")), 4+6)
 }
 
-// TestLargeInstancesShareAmongThemselves checks the places in what all may give a cold
-// backend server.
+// TestPositionAmongLarge checks the positions among the instances that share what all of them may send
+// to a cold backend server.
 func TestPositionAmongLarge(t *testing.T) {
 	known := testFleet(2, 3)
 	seen := make(map[int]bool)
 	for _, m := range known {
-		place, of := positionAmongLarge(known, m.Name)
+		index, count := positionAmongLarge(known, m.Name)
 		if m.Link < 200 {
-			assert.Equal(t, of, 0)
+			assert.Equal(t, count, 0)
 			continue
 		}
-		assert.Equal(t, of, 8)
-		assert.Assert(t, place < 8 && !seen[place])
-		seen[place] = true
+		assert.Equal(t, count, 8)
+		assert.Assert(t, index < 8 && !seen[index])
+		seen[index] = true
 	}
 	all := testFleet(0, 3)
-	_, of := positionAmongLarge(all, all[3].Name)
-	assert.Equal(t, of, 12, "where all are alike all share")
+	_, count := positionAmongLarge(all, all[3].Name)
+	assert.Equal(t, count, 12, "all share if all are equal")
 }
 
-// TestBusyInstanceStepsBackWhileOthersHaveRoom checks who is named as load rises.
+// TestBusyInstanceNotListedWhileOthersHaveCapacity checks which instances are listed as load rises.
 func TestBusyInstanceNotListedWhileOthersHaveCapacity(t *testing.T) {
 	live := testFleet(3, 3)
 	live[0].Busy = true
 	assert.DeepEqual(t, namedInstances(live), []string{"north-a-1", "north-a-2"})
 	live[1].Busy = true
-	assert.DeepEqual(t, namedInstances(live), []string{"north-a-2", "north-b-0", "north-b-1", "north-b-2"}) // the other hall of the region has room
+	assert.DeepEqual(t, namedInstances(live), []string{"north-a-2", "north-b-0", "north-b-1", "north-b-2"}) // the other hall of the region has free capacity
 	for i := range live {
 		live[i].Busy = live[i].Link == 200
 	}
@@ -110,16 +110,16 @@
 func TestUtilizationBusyPersists(t *testing.T) {
 	var u utilization
 	now := time.Hour
-	look := func(mbps float64, late time.Duration) (busy bool) {
+	measure := func(mbps float64, delay time.Duration) (busy bool) {
 		for range 10 {
 			now += utilizationInterval
-			busy = u.record(int64(mbps*1e6/8*utilizationInterval.Seconds()), 10, utilizationInterval, late, now)
+			busy = u.record(int64(mbps*1e6/8*utilizationInterval.Seconds()), 10, utilizationInterval, delay, now)
 		}
 		return busy
 	}
-	assert.Assert(t, !look(5, time.Millisecond))
-	assert.Assert(t, look(9, time.Millisecond))
-	assert.Assert(t, look(1, 0) || now < u.busyUntil+2*minBusyTime)
-	assert.Assert(t, !look(1, 0))
-	assert.Assert(t, look(1, 50*time.Millisecond))
+	assert.Assert(t, !measure(5, time.Millisecond))
+	assert.Assert(t, measure(9, time.Millisecond))
+	assert.Assert(t, measure(1, 0) || now < u.busyUntil+2*minBusyTime)
+	assert.Assert(t, !measure(1, 0))
+	assert.Assert(t, measure(1, 50*time.Millisecond))
 }
--- a/process/edge/doc.go
+++ b/process/edge/doc.go
@@ -1,20 +1,21 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package edge is the process of an instance that finds its configuration in a
-store of tables: it follows the tables (state), knows the other instances
-(cluster), decides (balance), serves requests (proxy), and tells clients which
-instances to use (directory.go).
+Package edge runs an instance that gets its configuration from a store of tables: it
+follows the tables (state), knows the other instances (cluster), chooses backend
+servers (balance), serves requests (proxy), and tells clients which instances to use
+(directory.go).
 
-Nothing outlasts the process. What the store must have for it is one row that
-says where it is.
+Nothing that the process keeps outlasts it. The store only needs a row with its
+addresses.
 
-Roll-outs of services (rollout) are told what the tables say at each compilation
-(software.go, rollout.go); the instance that owns one writes its steps (step.go).
+Each compilation passes the state in the tables to the roll-outs of services
+(rollout; software.go, rollout.go); the instance that owns a roll-out writes its
+steps (step.go).
 
-A planned stop: not ready at once, gone from the answers to clients at once,
-each answer the last on its connection; after a while in which clients learn of
-it the listeners close; it ends when no request is in flight, at the latest
+A planned stop: the instance is no longer ready and no longer listed for clients, and
+each response is the last on its connection. Once clients have had time to notice, the
+listeners close. The process exits when no request is in flight, or at the latest
 shortly before Settings.KillAfter.
 */
 package edge
--- a/process/edge/document.go
+++ b/process/edge/document.go
@@ -49,7 +49,7 @@
 	if c != nil && c.Seq < d.seq {
 		c = nil
 		problems = []error{&state.RowError{Key: d.Key, Reason: reasonOlderVersion, Err: errors.Errorf(
-			"the operator's row %s: its version is older than %x, which is in force", d.Key, d.seq)}}
+			"row %s of the operator: the version is older than %x, which is in force", d.Key, d.seq)}}
 	}
 	if c == nil {
 		d.rejected, d.rejection = bytes.Clone(row.Value), problems[0]
--- a/process/edge/drain_test.go
+++ b/process/edge/drain_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// stalled is a listener whose process does not get to accepting for a while.
+// blockedListener accepts no connections until unblock is closed.
 type blockedListener struct {
 	*drainListener
 	unblock <-chan struct{}
@@ -24,20 +24,19 @@
 	return s.drainListener.Accept()
 }
 
-// TestConnectionsThatWaitAreServedBeforeTheListenerCloses lets clients connect and
-// send while the process does not accept, and then stops it as planned: each of
-// them must get its answer.
+// TestDrainServesWaitingConnections checks that clients that have connected and sent a request while
+// the process was not accepting still get a response after a planned stop.
 func TestDrainServesWaitingConnections(t *testing.T) {
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	l := &drainListener{TCPListener: inner.(*net.TCPListener)}
-	proceed := make(chan struct{})
-	var open newConnections
+	unblock := make(chan struct{})
+	var conns newConnections
 	s := &http.Server{
 		Handler:   http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "done") }),
-		ConnState: open.onStateChange,
+		ConnState: conns.onStateChange,
 	}
-	go func() { _ = s.Serve(blockedListener{l, proceed}) }()
+	go func() { _ = s.Serve(blockedListener{l, unblock}) }()
 	var clients sync.WaitGroup
 	for range 8 {
 		c, err := net.Dial("tcp4", l.Addr().String())
@@ -46,12 +45,12 @@
 		assert.NilError(t, err)
 		clients.Go(func() {
 			defer c.Close()
-			answer, err := io.ReadAll(c)
-			assert.Check(t, err == nil && len(answer) > 0, "%q %v", answer, err)
+			response, err := io.ReadAll(c)
+			assert.Check(t, err == nil && len(response) > 0, "%q %v", response, err)
 		})
 	}
 	l.Drain()
-	close(proceed)
+	close(unblock)
 	clients.Wait()
 	for range 20 {
 		var c net.Conn
@@ -63,23 +62,22 @@
 	}
 	assert.ErrorContains(t, err, "refused")
 	for range 100 {
-		if open.count() == 0 {
+		if conns.count() == 0 {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	assert.Equal(t, open.count(), 0)
+	assert.Equal(t, conns.count(), 0)
 	assert.NilError(t, s.Close())
 }
 
-// TestDrainEndsWhileConnectionsKeepComing checks that a listener closes although
-// clients go on connecting.
+// TestDrainEndsUnderContinuousConnections checks that a listener closes although clients keep connecting.
 func TestDrainEndsUnderContinuousConnections(t *testing.T) {
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	l := &drainListener{TCPListener: inner.(*net.TCPListener)}
 	l.Drain()
-	begun := time.Now()
+	start := time.Now()
 	go func() {
 		for {
 			c, err := net.Dial("tcp4", l.Addr().String())
@@ -97,21 +95,21 @@
 		}
 		_ = c.Close()
 	}
-	assert.Assert(t, time.Since(begun) < 2*maxDrainTime)
+	assert.Assert(t, time.Since(start) < 2*maxDrainTime)
 }
 
-// TestSilentConnectionHoldsNoStopUp checks that a connection without a request
-// counts for a bounded time only.
+// TestConnectionWithoutRequestDelaysStopBriefly checks that a connection without a request delays a
+// planned stop for a limited time only.
 func TestConnectionWithoutRequestDelaysStopBriefly(t *testing.T) {
-	var open newConnections
+	var conns newConnections
 	a, b := net.Pipe()
 	defer a.Close()
 	defer b.Close()
-	open.onStateChange(a, http.StateNew)
-	assert.Equal(t, open.count(), 1)
-	open.openedAt[a] = time.Now().Add(-firstRequestTimeout)
-	assert.Equal(t, open.count(), 0)
-	open.onStateChange(b, http.StateNew)
-	open.onStateChange(b, http.StateActive)
-	assert.Equal(t, open.count(), 0)
+	conns.onStateChange(a, http.StateNew)
+	assert.Equal(t, conns.count(), 1)
+	conns.openedAt[a] = time.Now().Add(-firstRequestTimeout)
+	assert.Equal(t, conns.count(), 0)
+	conns.onStateChange(b, http.StateNew)
+	conns.onStateChange(b, http.StateActive)
+	assert.Equal(t, conns.count(), 0)
 }
--- a/process/edge/epoch_test.go
+++ b/process/edge/epoch_test.go
@@ -10,14 +10,14 @@
 	"shalewick/version"
 )
 
-// TestLaterStartsAreKept guards against a copy that has backend servers as they were before they
-// started again.
+// TestKeepLaterStarts guards against a restored store that has backend servers as they were before
+// their last start.
 func TestKeepLaterStarts(t *testing.T) {
-	start := func(name string, born int64) *version.Announced {
-		return version.NewAnnounced(name, born, &version.Backend{Incarnation: born})
+	announced := func(name string, incarnation int64) *version.Announced {
+		return version.NewAnnounced(name, incarnation, &version.Backend{Incarnation: incarnation})
 	}
-	before := []*version.Announced{start("a", 5), start("b", 5), start("d", 5), start("e", 5)}
-	now := []*version.Announced{start("a", 4), start("b", 6), start("c", 1), start("d", 0), start("f", 1)}
+	before := []*version.Announced{announced("a", 5), announced("b", 5), announced("d", 5), announced("e", 5)}
+	now := []*version.Announced{announced("a", 4), announced("b", 6), announced("c", 1), announced("d", 0), announced("f", 1)}
 	keepLaterStarts(now, before)
 	var got []int64
 	for _, x := range now {
--- a/process/edge/introduce_test.go
+++ b/process/edge/introduce_test.go
@@ -17,7 +17,7 @@
 	"shalewick/process/state"
 )
 
-// rowStore is a store that has the rows of instances, and counts what is read.
+// rowStore is a store with the rows of instances that counts reads.
 type rowStore struct {
 	Store
 	rows            []state.Row // by key
@@ -45,7 +45,7 @@
 	}
 }
 
-// newStarting returns an instance of a fleet that starts, and its store.
+// newStartingInstance returns an instance of a fleet that starts, and its store.
 func newStartingInstance(t *testing.T, fleet int) (*Edge, *rowStore) {
 	t.Helper()
 	s := &rowStore{}
@@ -71,9 +71,9 @@
 	return e, s
 }
 
-// TestStartReadsAndTellsFew checks that what an instance reads of others, and tells others, as it
-// starts does not grow with the fleet. Each read all rows and told all: 240 MB and 970,000
-// datagrams for a start of 985.
+// TestStartCostIndependentOfFleetSize checks that the rows that a starting instance reads and the
+// datagrams that it sends do not grow with the fleet. When each instance read all rows and announced
+// itself to all, a start of 985 instances took 240 MB and 970,000 datagrams.
 func TestStartCostIndependentOfFleetSize(t *testing.T) {
 	for _, x := range []struct {
 		fleet, rows, calls int
@@ -90,7 +90,7 @@
 	}
 }
 
-// TestChangedRowsAreFound checks the rows that are decoded when the table of instances changes.
+// TestChangedRows checks which rows are decoded when the table of instances changes.
 func TestChangedRows(t *testing.T) {
 	row := func(key string, version int64) state.Row { return state.Row{Key: key, Version: version} }
 	before := []state.Row{row("a", 1), row("c", 1), row("d", 1)}
--- a/process/edge/lapse_test.go
+++ b/process/edge/lapse_test.go
@@ -29,8 +29,8 @@
 	return out
 }
 
-// TestLapsedRowsAreKeptUntilTheyCouldBeWritten plays a store that comes back
-// without the rows of backend servers that live.
+// TestExpiredRowsKeptAfterStoreReturns simulates a store that comes back without the rows of live backend
+// servers.
 func TestExpiredRowsKeptAfterStoreReturns(t *testing.T) {
 	const returned = 10 * time.Second
 	l := expiredRows{keepFor: 1600 * time.Millisecond}
@@ -46,8 +46,7 @@
 	assert.Equal(t, again, time.Duration(0))
 }
 
-// TestLeavingIsTakenUpAtOnce checks that rows which go while the store answers
-// are not kept.
+// TestDeletedRowsNotKept checks that rows that are deleted while the store responds are not kept.
 func TestDeletedRowsNotKept(t *testing.T) {
 	const returned = 10 * time.Second
 	l := expiredRows{keepFor: 1600 * time.Millisecond}
--- a/process/edge/margin_test.go
+++ b/process/edge/margin_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestStopEndsBeforeTheKill checks that there is time to accept, to finish, and
-// to end before the process would be killed, however short that time is.
+// TestStopEndsBeforeKill checks that a stopping process has time to accept requests, to finish them and
+// to exit before it would be killed, however short KillAfter is.
 func TestStopEndsBeforeKill(t *testing.T) {
 	for _, killAfter := range []time.Duration{minKillAfter, 2 * time.Second, 6 * time.Second, time.Minute} {
 		s := Settings{KillAfter: killAfter}
--- a/process/edge/place.go
+++ b/process/edge/place.go
@@ -19,7 +19,7 @@
 	at           time.Duration // when it was computed; zero: unknown
 }
 
-// sharePosition returns this instance's index among the instances that share what all of them together
+// sharePosition returns this instance's index, from 0, among the instances that share what all of them together
 // may send to a cold backend server, and their number; zeros while they are not known. The instances that
 // are listed for clients divide it among themselves, since they get nearly all requests. An instance
 // that is not listed takes its part of an equal division among all instances: the requests
--- a/process/edge/quarantinerow.go
+++ b/process/edge/quarantinerow.go
@@ -113,7 +113,7 @@
 			continue
 		}
 		if err := e.storeCall(ctx, func(ctx context.Context) error { return e.writeEntry(ctx, x) }); err != nil {
-			return errors.Annotatef(err, "row of request %s", x.Request)
+			return errors.Annotatef(err, "write the row of request %s", x.Request)
 		}
 		e.storedEntries.set(x.Request, x.Stamp)
 		e.log.Info().Str("request", x.Request.String()).Uint32("stamp", x.Stamp).Msg("quarantine-kept")
@@ -123,7 +123,7 @@
 			return e.deployment.Store.Delete(ctx, e.deployment.QuarantineTable, f.String())
 		})
 		if err != nil {
-			return errors.Annotatef(err, "old row of request %s", f)
+			return errors.Annotatef(err, "delete the obsolete row of request %s", f)
 		}
 		e.storedEntries.remove(f)
 	}
--- a/process/edge/record.go
+++ b/process/edge/record.go
@@ -39,7 +39,7 @@
 	for _, row := range table.Rows() {
 		r := new(rollout.Record)
 		if err := json.Unmarshal(row.Value, r); err != nil {
-			problems = append(problems, errors.Annotatef(err, "record of the roll-out of %s", row.Key))
+			problems = append(problems, errors.Annotatef(err, "unmarshal the record of the roll-out of %s", row.Key))
 			continue
 		}
 		r.Service = row.Key
--- a/process/edge/retry_test.go
+++ b/process/edge/retry_test.go
@@ -11,12 +11,11 @@
 	"shalewick/retry"
 )
 
-// TestRetriesOfAllInstancesKeepTheBound plays instances of a number that they
-// learn late, each with random requests, and checks in each span that their
-// retries together are within the ratio and the fixed number that must not be
-// exceeded, of which each uses the shares above. Requests are counted in the span,
-// or the one half a span or a span before, whichever has most: a retry may be of
-// a request that has left the span.
+// TestFleetRetriesWithinBound simulates instances that learn their number late, each with random
+// requests, and checks for each span that the retries of all instances together are within the ratio
+// and the fixed number, of which each instance uses the shares in margin.go. The requests counted are
+// those in the span, or in the one half a span or a whole span earlier, whichever has most: a retry
+// may belong to a request that has left the span.
 func TestFleetRetriesWithinBound(t *testing.T) {
 	const (
 		span  = 10 * time.Second
@@ -55,15 +54,15 @@
 				}
 			}
 			got := spanSum(retries, at, steps)
-			of := max(spanSum(requests, at, steps), spanSum(requests, at-steps/2, steps), spanSum(requests, at-steps, steps))
-			if most := ratio*float64(of) + fixed; float64(got) > most {
-				r.Fatalf("%d retries in a span, %.1f allowed", got, most)
+			counted := max(spanSum(requests, at, steps), spanSum(requests, at-steps/2, steps), spanSum(requests, at-steps, steps))
+			if allowed := ratio*float64(counted) + fixed; float64(got) > allowed {
+				r.Fatalf("%d retries in a span, %.1f allowed", got, allowed)
 			}
 		}
 	})
 }
 
-// spanSum adds up the steps of the span that ends with a step.
+// spanSum returns the sum of the steps of the span that ends with end.
 func spanSum(x []int, end, steps int) int {
 	out := 0
 	for i := max(0, end-steps+1); i <= end; i++ {
--- a/process/edge/rollout.go
+++ b/process/edge/rollout.go
@@ -16,28 +16,29 @@
 	"shalewick/version"
 )
 
-// rolling is what an instance knows of roll-outs besides the tables.
+// rolloutState is what an instance knows about roll-outs besides the tables.
 type rolloutState struct {
-	// wanted says that the records have to be followed, and running how many roll-outs
-	// that is for.
+	// followRecords is set while the table of records has to be followed, and running is the
+	// number of roll-outs that require it.
 	followRecords atomic.Bool
 	running       atomic.Int64
-	// promotes is set while one of them moves all requests.
+	// promoting is set while one of them moves all requests to its target.
 	promoting atomic.Bool
-	// open while there are orders, or roll-outs that have not ended: of services.
+	// active is open while there are services with orders or with roll-outs that have not ended;
+	// services holds their names.
 	active   gate
 	services atomic.Pointer[[]string]
 
-	// What follows is guarded by Edge.compiling.
-	admitted       map[string]version.Software // that was put in force last
-	loggedHeldBack map[string]string           // what was written of it last, by service
-	orders         map[string]*rollout.Order   // as they were seen last
-	records        map[string]knownRecord      // as they were seen last
-	// recordsUntil is until when the start waits for the records; zero: it does not.
+	// The fields below are guarded by Edge.compileMu.
+	admitted       map[string]version.Software // put in force by the last compilation
+	loggedHeldBack map[string]string           // logged last, by service
+	orders         map[string]*rollout.Order   // of the last compilation
+	records        map[string]knownRecord      // of the last compilation
+	// recordsDeadline is until when the start waits for the records; zero: it does not wait.
 	recordsDeadline time.Duration
 }
 
-// newRollouts returns the roll-outs of services, made together with the other instances.
+// newRollouts returns the roll-outs of services, which the instances carry out together.
 func (e *Edge) newRollouts() *rollout.Rollouts {
 	e.rolloutState.loggedHeldBack = make(map[string]string)
 	return &rollout.Rollouts{
@@ -49,15 +50,15 @@
 	}
 }
 
-// hearMessage passes a message of another instance on to the part that it is for.
-func (e *Edge) receiveMessage(from string, text []byte) {
-	if e.rollouts.Hear(from, text) || e.quarantine.Receive(from, text) || e.limits.Hear(from, text) {
+// receiveMessage passes a message of another instance to the component that it belongs to.
+func (e *Edge) receiveMessage(from string, message []byte) {
+	if e.rollouts.Hear(from, message) || e.quarantine.Receive(from, message) || e.limits.Hear(from, message) {
 		return
 	}
-	e.quota.Receive(from, text)
+	e.quota.Receive(from, message)
 }
 
-// rolloutOwner returns who decides on the roll-out of a service.
+// rolloutOwner returns the owner of a service's roll-out.
 func (e *Edge) rolloutOwner(service string) rollout.Owner {
 	m := e.members.OwnerAtStore(xxhash.Sum64String(service))
 	if m.Name == e.settings.Instance {
@@ -66,8 +67,8 @@
 	return rollout.Owner{Name: m.Name, Address: m.Peer}
 }
 
-// liveAddresses returns where the instances take messages that may have requests in
-// flight, "" for this one.
+// messageAddresses returns the message addresses of the instances that may have requests in flight, ""
+// for this one.
 func (e *Edge) messageAddresses() []string {
 	live := e.members.AtWork()
 	out := make([]string, 0, len(live))
@@ -81,9 +82,9 @@
 	return out
 }
 
-// wantsTable reports whether a table is to be followed: the records of roll-outs only
-// while an order waits for its end, or a roll-out is known that has not ended, and the instances
-// in a large fleet.
+// wantsTable reports whether a table has to be followed: the records of roll-outs only while a
+// roll-out that was ordered or is known has not ended, the instances only in a large fleet, and the
+// backend servers only if this instance is not spare.
 func (e *Edge) wantsTable(name string) bool {
 	switch name {
 	case e.deployment.RecordTable:
@@ -105,14 +106,14 @@
 	return ordersOf(c), records
 }
 
-// recordsWait is how long an instance that starts waits for the records of roll-outs
-// before it serves without them: others tell it within a few round trips, and a relay
-// reads them within a second.
+// maxRecordsWait bounds how long a starting instance waits for the records of roll-outs before it
+// serves without them: other instances provide them within a few round trips, and a relay reads them
+// within a second.
 const maxRecordsWait = 1500 * time.Millisecond
 
-// awaitsRecords reports whether an instance that starts has to know the records first,
-// since an order waits for its end: the record may say that another version is in force
-// than the one that looks so. The caller holds compiling.
+// mustAwaitRecords reports whether a starting instance still has to wait for the records, since an
+// order has not been completed: by its record another version may be in force than the rows of the
+// backend servers suggest. The caller holds compileMu.
 func (e *Edge) mustAwaitRecords(orders map[string]*rollout.Order, records map[string]knownRecord) bool {
 	if _, known := e.records().Version(); known || countUnfinishedOrders(orders, records) == 0 {
 		return false
@@ -125,7 +126,7 @@
 	return e.now() < e.rolloutState.recordsDeadline
 }
 
-// unanswered returns the number of orders of which no record says how they ended.
+// countUnfinishedOrders returns the number of orders without a record that says how they ended.
 func countUnfinishedOrders(orders map[string]*rollout.Order, records map[string]knownRecord) int {
 	n := 0
 	for name, o := range orders {
@@ -136,15 +137,15 @@
 	return n
 }
 
-// admitSoftware sets which versions of the services' software may get requests. The
-// caller holds compiling.
+// admitSoftware sets which versions of the services' software may get requests. The caller holds
+// compileMu.
 func (e *Edge) admitSoftware(c *version.Config, orders map[string]*rollout.Order, records map[string]knownRecord) {
 	c.Software = admitVersions(c, orders, records, e.rolloutState.admitted)
 	e.rolloutState.admitted = c.Software
 	e.logHeldBack(c)
 }
 
-// noteRollouts notes and writes what the roll-outs were told. The caller holds compiling.
+// updateRolloutState stores and logs the state of the roll-outs. The caller holds compileMu.
 func (e *Edge) updateRolloutState(services []rollout.Service, orders map[string]*rollout.Order, records map[string]knownRecord) {
 	e.logOrderChanges(orders)
 	e.logRecordChanges(records)
@@ -161,8 +162,7 @@
 	e.rolloutState.active.set(len(services) > 0)
 }
 
-// rollingServices returns the services that have an order, or a roll-out that has not
-// ended.
+// activeServices returns the services that have an order or a roll-out that has not ended.
 func (e *Edge) activeServices() []string {
 	if names := e.rolloutState.services.Load(); names != nil {
 		return *names
@@ -170,8 +170,8 @@
 	return nil
 }
 
-// rolloutServices returns what the tables say of the services that have an order, or a
-// record of a roll-out that has not ended.
+// rolloutServices returns the state in the tables of the services that have an order or the record of a
+// roll-out that has not ended.
 func rolloutServices(r *version.Routing, software map[string]version.Software, orders map[string]*rollout.Order, records map[string]knownRecord) []rollout.Service {
 	var out []rollout.Service
 	for _, name := range activeServiceNames(orders, records) {
@@ -186,8 +186,8 @@
 	return out
 }
 
-// rollingNames returns the services that have an order, or a record of a roll-out that
-// has not ended or has to be written again.
+// activeServiceNames returns the services that have an order, or the record of a roll-out that has
+// not ended or that has to be written again.
 func activeServiceNames(orders map[string]*rollout.Order, records map[string]knownRecord) []string {
 	names := slices.Collect(maps.Keys(orders))
 	for name, k := range records {
@@ -199,7 +199,7 @@
 	return names
 }
 
-// promotes reports whether a roll-out moves all requests.
+// anyPromoting reports whether a roll-out moves all requests to its target.
 func anyPromoting(records map[string]knownRecord) bool {
 	for _, k := range records {
 		if k.record.Phase == rollout.Promote {
@@ -209,14 +209,13 @@
 	return false
 }
 
-// withoutOrder returns the number of roll-outs that have not ended though there is no
-// order any more.
+// countWithoutOrder returns the number of roll-outs that have not ended although their order is gone.
 func countWithoutOrder(orders map[string]*rollout.Order, records map[string]knownRecord) int {
 	return len(activeServiceNames(orders, records)) - len(orders)
 }
 
-// slotsAndHomes returns the slots of the backend servers that take work of the version
-// in force of a service, and those that take work of a target.
+// slotsAndHomes returns the slots of the backend servers that are open to requests and run the version
+// in force of a service, and those that are open to requests and run the target.
 func slotsAndHomes(r *version.Routing, service string) (slots int, homes []rollout.Home) {
 	for i := range r.Backends {
 		b := &r.Backends[i]
@@ -233,9 +232,9 @@
 	return slots, homes
 }
 
-// tickRollouts tells and asks the owners of roll-outs until the context ends, and notes how late
-// the machine gives this process its turns. While there is no roll-out watchMembers ticks, since
-// what lived shortly before one matters.
+// tickRollouts exchanges messages with the owners of roll-outs until the context ends, and measures the
+// scheduling delay of this process. While no roll-out is active, watchMembers does the
+// ticks: which instances were live shortly before a roll-out matters to it.
 func (e *Edge) tickRollouts(ctx context.Context) {
 	for e.rolloutState.active.wait(ctx) {
 		e.schedulingDelay.Waits(e.now() + rollout.TickTime)
--- a/process/edge/rollout_test.go
+++ b/process/edge/rollout_test.go
@@ -17,8 +17,8 @@
 	"shalewick/version"
 )
 
-// configOf returns a configuration of services with backend servers, which are given as
-// service, version of the software and whether it is leaving.
+// testConfig returns a configuration of services with backend servers, each given as its service and the
+// version of its software.
 func testConfig(backends ...[2]string) *version.Config {
 	c := &version.Config{Seq: 1, Resources: make(map[version.Key]version.Resource)}
 	add := func(r version.Resource) { c.Resources[r.Key] = r }
@@ -42,8 +42,8 @@
 	return out
 }
 
-// TestOnlyServicesThatTellVersionsAreBound checks for which services versions are held
-// back, and that a service whose backend servers are all gone stays bound.
+// TestAdmitOnlyServicesReportingVersions checks for which services versions are held back, and that this
+// also applies to a service after all of its backend servers are gone.
 func TestAdmitOnlyServicesReportingVersions(t *testing.T) {
 	c := testConfig([2]string{"s", "v1"}, [2]string{"s", "v2"}, [2]string{"t", ""}, [2]string{"u", ""}, [2]string{"u", "v1"})
 	got := admitVersions(c, nil, nil, nil)
@@ -56,8 +56,8 @@
 	assert.Equal(t, admitVersions(c, nil, nil, got)["s"], version.Software{InForce: "v1"})
 }
 
-// TestRecordOutweighsWhatIsThere checks that an instance that starts follows the record
-// when the rows of both versions are there.
+// TestRecordOverridesRunningVersions checks that a starting instance follows the record if the rows of
+// both versions are present.
 func TestRecordOverridesRunningVersions(t *testing.T) {
 	c := testConfig([2]string{"s", "v1"}, [2]string{"s", "v2"})
 	done := testRecords(rollout.Record{Service: "s", Target: "v2", Before: "v1", Phase: rollout.Completed})
@@ -71,8 +71,8 @@
 	assert.Equal(t, sumCounts(a.heldBack(version.Software{InForce: "v1"})), 3)
 }
 
-// TestServicesAreToldWithTheirHomes checks what the roll-outs are told: of a service with
-// an order or a running record, and the slots of those that take work.
+// TestRolloutServices checks the state that the roll-outs get: that of services with an order or a running
+// record, and the slots of backend servers that are open to requests.
 func TestRolloutServices(t *testing.T) {
 	c := testConfig([2]string{"s", "v1"}, [2]string{"s", "v2"}, [2]string{"s", "v2"}, [2]string{"s", "v1"}, [2]string{"t", "v1"}, [2]string{"u", "v1"})
 	leaving := c.Resources[version.Key{Kind: version.KindBackend, Name: "b-2"}]
@@ -102,7 +102,7 @@
 	assert.Equal(t, countUnfinishedOrders(orders, records)+countWithoutOrder(orders, records), 2)
 }
 
-// TestRecordsAreWantedUntilAllHaveEnded checks what counts as running.
+// TestRunningRollouts checks which orders and records count as running.
 func TestRunningRollouts(t *testing.T) {
 	order := map[string]*rollout.Order{"s": {ID: 7, Target: "v2", Within: time.Minute}}
 	running := func(orders map[string]*rollout.Order, records map[string]knownRecord) int {
@@ -133,7 +133,7 @@
 	assert.Equal(t, time.Duration(got["s"].record.Deadline), time.Minute)
 }
 
-// TestGateHoldsUpUntilItOpens checks waiting, opening and the end of the context.
+// TestGate checks waiting, opening and the end of the context.
 func TestGate(t *testing.T) {
 	var g gate
 	ctx, cancel := context.WithCancel(context.Background())
--- a/process/edge/rolloutlog.go
+++ b/process/edge/rolloutlog.go
@@ -13,13 +13,13 @@
 	"shalewick/process/state"
 )
 
-// What follows writes a line whenever something of a roll-out changes.
+// This file logs changes of roll-outs.
 
-// logOrders writes which orders are new, and which are gone.
+// logOrderChanges logs the orders that are new, and those that are gone.
 func (e *Edge) logOrderChanges(orders map[string]*rollout.Order) {
 	for _, name := range slices.Sorted(maps.Keys(orders)) {
-		o, was := orders[name], e.rolloutState.orders[name]
-		if was != nil && *was == *o {
+		o, existed := orders[name], e.rolloutState.orders[name]
+		if existed != nil && *existed == *o {
 			continue
 		}
 		e.log.Info().Str("service", name).Int64("order", o.ID).Str("target", o.Target).Dur("within", o.Within).
@@ -32,7 +32,7 @@
 	}
 }
 
-// logRecords writes which records have changed.
+// logRecordChanges logs the records that have changed.
 func (e *Edge) logRecordChanges(records map[string]knownRecord) {
 	for _, name := range slices.Sorted(maps.Keys(records)) {
 		k := records[name]
@@ -46,7 +46,7 @@
 	}
 }
 
-// logStep writes what became of a step that this instance proposed as the owner.
+// logStep logs the outcome of a step that this instance proposed as the owner.
 func (e *Edge) logStep(p rollout.Proposal, revision int64, took time.Duration, err error) {
 	result := "written"
 	switch {
@@ -61,7 +61,7 @@
 		AnErr("error", err).Msg("rollout-step")
 }
 
-// logRollout writes what the roll-outs tell: a stop, a lease that lapsed, a verdict.
+// logRolloutEvent logs an event of a roll-out: a stop, an expired lease or a verdict.
 func (e *Edge) logRolloutEvent(x rollout.Event) {
 	e.log.Info().Str("service", x.Service).Str("what", x.What).Str("cause", x.Cause).
 		Int64("targetRequests", x.Target.Requests).Int64("targetFailed", x.Target.Failed).Int64("targetSlow", x.Target.Slow).
--- a/process/edge/rolloutview.go
+++ b/process/edge/rolloutview.go
@@ -9,7 +9,7 @@
 	"shalewick/version"
 )
 
-// rolloutStatus returns what operators are shown of the roll-out of a service.
+// rolloutStatus returns the status of a service's roll-out for operators.
 func (e *Edge) rolloutStatus(service string) (rolloutview.Status, bool) {
 	e.compileMu.Lock()
 	defer e.compileMu.Unlock()
@@ -21,7 +21,7 @@
 	if order != nil {
 		s.Order, s.Target, s.Within = order.ID, order.Target, version.Duration(order.Within)
 	}
-	if now, clocked := e.deployment.Store.Clock(); clocked && known.running() {
+	if now, clockKnown := e.deployment.Store.Clock(); clockKnown && known.running() {
 		s.Left = version.Duration(max(0, time.Duration(known.record.Deadline)-now))
 	}
 	return s, true
--- a/process/edge/silent.go
+++ b/process/edge/silent.go
@@ -12,35 +12,35 @@
 )
 
 const (
-	// silentFor is how long an instance that matters to a roll-out may be silent until it
-	// is asked whether it lives: owners answer reports twice a second.
+	// unresponsiveAfter is how long an instance that is relevant to a roll-out may send nothing
+	// until it is probed: owners respond to reports twice a second.
 	unresponsiveAfter = 1200 * time.Millisecond
-	// silentPause is the pause between two looks.
+	// probeInterval is the pause between two rounds of probes.
 	probeInterval = 300 * time.Millisecond
-	// mostChecked bounds the instances that are asked at a time.
+	// maxProbes bounds the number of instances that are probed at a time.
 	maxProbes = 8
 )
 
-// checkSilent asks instances that matter to roll-outs and are silent whether they live,
-// while one runs. Instances of other regions count as alive until a call to them fails,
-// and those of the own one for some seconds.
+// probeUnresponsive probes unresponsive instances that are relevant to roll-outs while one is running.
+// Otherwise instances of other regions count as live until a call to them fails, and those of this
+// region for some seconds.
 func (e *Edge) probeUnresponsive(ctx context.Context) {
 	for e.rolloutState.active.wait(ctx) && clock.Sleep(ctx, probeInterval) {
 		if e.rolloutState.running.Load() == 0 {
 			continue
 		}
-		silent := e.members.Silent(unresponsiveAfter, e.relevantToRollouts())
-		var all sync.WaitGroup
-		for _, m := range silent[:min(len(silent), maxProbes)] {
-			all.Go(func() { e.probe(ctx, m) })
+		unresponsive := e.members.Silent(unresponsiveAfter, e.relevantToRollouts())
+		var probes sync.WaitGroup
+		for _, m := range unresponsive[:min(len(unresponsive), maxProbes)] {
+			probes.Go(func() { e.probe(ctx, m) })
 		}
-		all.Wait()
+		probes.Wait()
 	}
 }
 
-// matters returns which instances matter to roll-outs: the owners, to which reports go,
-// and while all requests move, to the owner, all, since that ends once each that lives
-// has nothing in flight.
+// relevantToRollouts returns a predicate for the instances that are relevant to roll-outs: the owners,
+// which receive the reports, or all instances if this one is an owner and a roll-out moves all
+// requests to its target: that phase ends once no live instance has requests in flight.
 func (e *Edge) relevantToRollouts() func(cluster.Member) bool {
 	owners := make(map[string]bool)
 	for _, name := range e.activeServices() {
@@ -52,7 +52,7 @@
 	return func(m cluster.Member) bool { return owners[m.Name] }
 }
 
-// check asks an instance whether it lives.
+// probe checks whether an instance is live.
 func (e *Edge) probe(ctx context.Context, m cluster.Member) {
 	ctx, cancel := context.WithTimeout(ctx, 2*dialTimeout)
 	defer cancel()
--- a/process/edge/software.go
+++ b/process/edge/software.go
@@ -26,30 +26,29 @@
 	return out
 }
 
-// announced is what the backend servers of one service say of their software.
+// runningVersions holds the software versions that the backend servers of a service announce.
 type runningVersions map[string]*rollout.Running
 
-// tells reports whether any of them tells a version.
-func (a runningVersions) reportsVersion() bool {
-	_, silent := a[""]
-	return len(a) > 1 || len(a) == 1 && !silent
+// reportsVersion reports whether any of the backend servers announces a version.
+func (v runningVersions) reportsVersion() bool {
+	_, unversioned := v[""]
+	return len(v) > 1 || len(v) == 1 && !unversioned
 }
 
-// running returns the versions in a fixed order.
-func (a runningVersions) sorted() []rollout.Running {
-	out := make([]rollout.Running, 0, len(a))
-	for _, r := range a {
+// sorted returns the versions in a fixed order.
+func (v runningVersions) sorted() []rollout.Running {
+	out := make([]rollout.Running, 0, len(v))
+	for _, r := range v {
 		out = append(out, *r)
 	}
 	slices.SortFunc(out, func(x, y rollout.Running) int { return cmp.Compare(x.Software, y.Software) })
 	return out
 }
 
-// heldBack returns how many backend servers run versions that may get no requests, by
-// version.
-func (a runningVersions) heldBack(admitted version.Software) map[string]int {
+// heldBack returns how many backend servers run versions that may get no requests, by version.
+func (v runningVersions) heldBack(admitted version.Software) map[string]int {
 	out := make(map[string]int)
-	for software, r := range a {
+	for software, r := range v {
 		if software != admitted.InForce && software != admitted.Target {
 			out[software] = r.Backends
 		}
@@ -57,34 +56,34 @@
 	return out
 }
 
-// announcedOf returns what backend servers say of their software, by service.
+// runningVersionsByService returns the versions that backend servers announce, by service.
 func runningVersionsByService(c *version.Config) map[string]runningVersions {
 	out := make(map[string]runningVersions)
 	for _, x := range c.Backends() {
-		a := out[x.Backend.Service]
-		if a == nil {
-			a = make(runningVersions)
-			out[x.Backend.Service] = a
+		v := out[x.Backend.Service]
+		if v == nil {
+			v = make(runningVersions)
+			out[x.Backend.Service] = v
 		}
-		a.add(x)
+		v.add(x)
 	}
 	return out
 }
 
 // add counts a backend server.
-func (a runningVersions) add(x *version.Announced) {
-	r := a[x.Backend.Software]
+func (v runningVersions) add(x *version.Announced) {
+	r := v[x.Backend.Software]
 	if r == nil {
 		r = &rollout.Running{Software: x.Backend.Software, Oldest: x.Version}
-		a[x.Backend.Software] = r
+		v[x.Backend.Software] = r
 	}
 	r.Backends++
 	r.Oldest = min(r.Oldest, x.Version)
 }
 
-// admit says which versions of each service's software may get requests. Services
-// whose backend servers have never told a version are left out: all of them may. Before
-// is what admit said last.
+// admitVersions returns which versions of each service's software may get requests. Services whose
+// backend servers have never announced a version are left out: all their backend servers may. Before is
+// the previous result.
 func admitVersions(c *version.Config, orders map[string]*rollout.Order, records map[string]knownRecord, before map[string]version.Software) map[string]version.Software {
 	out := make(map[string]version.Software)
 	all := runningVersionsByService(c)
@@ -92,31 +91,31 @@
 		if key.Kind != version.KindService {
 			continue
 		}
-		was, told := before[key.Name]
-		if !told && !all[key.Name].reportsVersion() {
+		previous, known := before[key.Name]
+		if !known && !all[key.Name].reportsVersion() {
 			continue
 		}
-		now := rollout.Admit(orders[key.Name], records[key.Name].record, all[key.Name].sorted(), was.InForce)
-		if now.InForce == "" {
-			now.InForce = was.InForce // all rows are gone for a while
+		admitted := rollout.Admit(orders[key.Name], records[key.Name].record, all[key.Name].sorted(), previous.InForce)
+		if admitted.InForce == "" {
+			admitted.InForce = previous.InForce // the rows of all backend servers are gone for a while
 		}
-		out[key.Name] = now
+		out[key.Name] = admitted
 	}
 	return out
 }
 
-// logHeldBack writes which backend servers get nothing since nobody ordered the version
-// that they run, when that has changed.
+// logHeldBack logs changes of the backend servers that get no requests because the version that they
+// run was not ordered.
 func (e *Edge) logHeldBack(c *version.Config) {
 	all := runningVersionsByService(c)
 	for _, service := range slices.Sorted(maps.Keys(c.Software)) {
-		held := all[service].heldBack(c.Software[service])
-		text := fmt.Sprint(held)
-		if text == e.rolloutState.loggedHeldBack[service] || len(held) == 0 && e.rolloutState.loggedHeldBack[service] == "" {
+		heldBack := all[service].heldBack(c.Software[service])
+		text := fmt.Sprint(heldBack)
+		if text == e.rolloutState.loggedHeldBack[service] || len(heldBack) == 0 && e.rolloutState.loggedHeldBack[service] == "" {
 			continue
 		}
 		e.rolloutState.loggedHeldBack[service] = text
-		e.log.Info().Str("service", service).Strs("software", slices.Sorted(maps.Keys(held))).Int("number", sumCounts(held)).
+		e.log.Info().Str("service", service).Strs("software", slices.Sorted(maps.Keys(heldBack))).Int("number", sumCounts(heldBack)).
 			Str("inForce", c.Software[service].InForce).Str("target", c.Software[service].Target).Msg("backends-held-back")
 	}
 }
--- a/process/edge/spare.go
+++ b/process/edge/spare.go
@@ -16,35 +16,36 @@
 )
 
 const (
-	// spareLook is the pause between two looks at whether an instance is spare.
+	// spareCheckInterval is the pause between two checks of whether an instance is spare.
 	spareCheckInterval = 500 * time.Millisecond
-	// spareAfter is how long an instance must have had no reason to follow the backend servers
-	// before it stops, so that it neither stops nor begins with each death.
+	// spareDelay is how long an instance must have had no reason to follow the backend servers
+	// before it stops doing so, so that it does not switch with each failure of an instance.
 	spareDelay = 20 * time.Second
-	// spareStart is how long after its start it does so at once: what others there are is learned
-	// step by step.
+	// spareStartTime is the time after the start in which spareDelay does not apply, since the
+	// other instances are discovered step by step.
 	spareStartTime = 30 * time.Second
-	// leastFree is the number of free large instances of a region below which the small ones are
-	// needed, and freeShare the part of the large ones that must be free.
+	// minFree is the number of free large instances of a region below which the small ones are
+	// needed, and freeShare the share of the large ones below which they are.
 	minFree   = 2 * minPerHall
 	freeShare = 0.5
-	// mostOnward is how many large instances a spare one passes requests on to, and leastOnward how
-	// many of them must be left; till then it keeps them, since each change is a new version.
+	// maxForwardTargets is how many large instances a spare one forwards requests to. It keeps them
+	// while at least minForwardTargets of them are left, since each change is a new version.
 	maxForwardTargets = 8
 	minForwardTargets = 4
-	// onwardSlots is how many requests one of them takes from it at a time.
+	// forwardSlots is how many concurrent requests are forwarded to each of them.
 	forwardSlots = 1000
 )
 
-// spare is whether an instance has no use for the backend servers: it is one of the small ones
-// of a large fleet, and callers are sent to large ones. There each row of a backend server would go
-// to ten times as many instances as use it. Requests that come all the same are passed on to large
-// ones, which stand in for the backend servers. The zero value is ready.
+// spare is the state of an instance that may do without the backend servers: it is one of the small
+// instances of a large fleet, and clients are sent to the large ones. In such a fleet the row of a
+// backend server would be sent to ten times as many instances as use it. Requests that arrive
+// nevertheless are forwarded to large instances, which are configured in place of the backend servers.
+// The zero value is ready for use.
 type spare struct {
 	active      atomic.Bool
-	usesKeys    atomic.Bool  // callers show keys, which are not passed on
-	checkedAt   atomic.Int64 // when that was found out, by Edge.now; zero: never
-	neededUntil atomic.Int64 // until when it is needed; zero: it never was
+	usesKeys    atomic.Bool  // callers send keys, which are not forwarded
+	checkedAt   atomic.Int64 // by Edge.now; zero: never
+	neededUntil atomic.Int64 // by Edge.now; zero: it never was
 
 	mu        sync.Mutex
 	forwardTo []cluster.Member
@@ -53,7 +54,7 @@
 // isSpare reports whether this instance does without the backend servers.
 func (e *Edge) isSpare() bool {
 	now := e.now()
-	if looked := e.spare.checkedAt.Load(); looked != 0 && now-time.Duration(looked) < spareCheckInterval {
+	if checked := e.spare.checkedAt.Load(); checked != 0 && now-time.Duration(checked) < spareCheckInterval {
 		return e.spare.active.Load()
 	}
 	e.spare.checkedAt.Store(int64(now))
@@ -63,40 +64,40 @@
 		c = e.members.Capacity()
 	}
 	if !large || e.rolloutState.followRecords.Load() || e.spare.usesKeys.Load() || neededInRegion(c) {
-		lasts := spareDelay
+		delay := spareDelay
 		if e.uptime() < spareStartTime {
-			lasts = 0
+			delay = 0
 		}
-		e.spare.neededUntil.Store(int64(now + lasts))
+		e.spare.neededUntil.Store(int64(now + delay))
 	}
-	is := large && now > time.Duration(e.spare.neededUntil.Load())
-	others := e.spare.updateTargets(c.Named)
-	if e.spare.active.Swap(is) != is {
-		e.log.Info().Bool("spare", is).Int("large", c.Large).Int("free", c.Free).Msg("spare")
+	active := large && now > time.Duration(e.spare.neededUntil.Load())
+	changed := e.spare.updateTargets(c.Named)
+	if e.spare.active.Swap(active) != active {
+		e.log.Info().Bool("spare", active).Int("large", c.Large).Int("free", c.Free).Msg("spare")
 		go e.recompile()
-	} else if is && others {
+	} else if active && changed {
 		go e.recompile()
 	}
-	return is
+	return active
 }
 
-// servesCallers reports whether callers may be sent to an instance as its region stands.
+// neededInRegion reports whether clients may be sent to this instance, given the capacity in its region.
 func neededInRegion(c cluster.Capacity) bool {
 	return c.Self || c.Free < max(minFree, int(freeShare*float64(c.Large)))
 }
 
-// take takes up which large instances there are, and reports whether requests are to be passed on
-// to others than before.
+// updateTargets updates the forward targets from the large instances, and reports whether they have
+// changed.
 func (s *spare) updateTargets(large []cluster.Member) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	left := 0
+	remaining := 0
 	for _, m := range s.forwardTo {
 		if slices.ContainsFunc(large, func(x cluster.Member) bool { return x.Name == m.Name && x.Incarnation == m.Incarnation }) {
-			left++
+			remaining++
 		}
 	}
-	if left >= min(minForwardTargets, len(large)) && left > 0 {
+	if remaining >= min(minForwardTargets, len(large)) && remaining > 0 {
 		return false
 	}
 	rand.Shuffle(len(large), func(i, j int) { large[i], large[j] = large[j], large[i] })
@@ -105,7 +106,7 @@
 	return changed
 }
 
-// addOnward lets large instances stand in for the backend servers of a configuration.
+// addForwardTargets puts the forward targets in place of the backend servers of a configuration.
 func (s *spare) addForwardTargets(c *version.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,7 +115,7 @@
 		for _, m := range s.forwardTo {
 			address, err := netip.ParseAddrPort(m.Front)
 			if err != nil {
-				continue // it takes no requests; it was told by an instance of another release
+				continue // it accepts no requests; it was announced by an instance of another release
 			}
 			c.Announced = append(c.Announced, version.NewAnnounced(service.Name+"/"+m.Name, m.Incarnation, &version.Backend{
 				Service: service.Name, Hall: m.Hall, Address: address, Slots: forwardSlots, Incarnation: m.Incarnation,
--- a/process/edge/spare_test.go
+++ b/process/edge/spare_test.go
@@ -18,8 +18,8 @@
 	"shalewick/version"
 )
 
-// newFleet returns an instance of a fleet of one region of which every tenth is large, and a clock.
-// It is small unless large is set.
+// newFleetMember returns an instance of a fleet in one region, of which every tenth instance is large, and
+// its clock. The instance is small unless large is set.
 func newFleetMember(t *testing.T, instances int, large bool) (*Edge, *time.Duration) {
 	t.Helper()
 	now := 2 * spareStartTime
@@ -53,7 +53,7 @@
 	return e, &now
 }
 
-// TestSmallInstancesOfALargeFleetAreSpare checks who does without the backend servers.
+// TestSmallInstancesOfLargeFleetAreSpare checks which instances do without the backend servers.
 func TestSmallInstancesOfLargeFleetAreSpare(t *testing.T) {
 	for _, x := range []struct {
 		instances   int
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestSpareInstanceWakes checks that a spare instance follows the backend servers once callers
-// show keys, a roll-out begins, or few large ones are free, and for a while after that.
+// TestSpareInstanceActivates checks that a spare instance follows the backend servers once callers send
+// keys, a roll-out begins or few large instances are free, and for a while after that.
 func TestSpareInstanceActivates(t *testing.T) {
 	const instances = 330
 	busy := func(e *Edge, busy bool) {
@@ -100,8 +100,8 @@
 	}
 }
 
-// TestSpareInstancePassesOn checks that a spare instance has all large ones of its region in place
-// of each service's backend servers, though one address serves them all.
+// TestSpareInstanceForwards checks that a spare instance has large instances of its region in place of
+// each service's backend servers, although each of them has the same address for all services.
 func TestSpareInstanceForwards(t *testing.T) {
 	e, _ := newFleetMember(t, 330, false)
 	assert.Assert(t, e.isSpare())
--- a/process/edge/stop.go
+++ b/process/edge/stop.go
@@ -10,15 +10,15 @@
 // Times of a planned stop.
 const (
 	idlePollInterval = 10 * time.Millisecond
-	// idleTime is how long no request must have been in flight.
+	// minIdleTime is how long no request must have been in flight.
 	minIdleTime = 150 * time.Millisecond
-	// loopTime is how long the end of the process's loops is waited for.
+	// loopEndTimeout bounds the wait for the background loops.
 	loopEndTimeout = 200 * time.Millisecond
 )
 
-// Stop ends the instance as planned.
+// Stop stops the instance as planned.
 func (e *Edge) Stop() {
-	begun := time.Now()
+	start := time.Now()
 	e.leaving.Store(true)
 	e.members.Leave()
 	e.proxy.DisableKeepAlives()
@@ -27,7 +27,7 @@
 	go e.deleteInstanceRow()
 	time.Sleep(e.settings.linger())
 	e.heartbeats.SendAll()
-	ctx, cancel := context.WithDeadline(context.Background(), begun.Add(e.settings.grace()))
+	ctx, cancel := context.WithDeadline(context.Background(), start.Add(e.settings.grace()))
 	defer cancel()
 	e.frontListener.Drain()
 	e.awaitIdle(ctx)
@@ -38,15 +38,15 @@
 	}()
 	select {
 	case <-ended:
-	case <-time.After(loopEndTimeout): // a call that does not end must not hold the process up
+	case <-time.After(loopEndTimeout): // a call that does not return must not delay the exit
 		e.log.Warn().Msg("loops-left")
 	}
-	e.log.Info().Int64("running", e.proxy.InFlight()).Dur("took", time.Since(begun)).Msg("stopped")
+	e.log.Info().Int64("running", e.proxy.InFlight()).Dur("took", time.Since(start)).Msg("stopped")
 }
 
-// awaitIdle waits until no request has been in flight for a moment, in which
-// requests that were under way to the draining listener arrive. What is in flight
-// when the context ends is cut off.
+// awaitIdle waits until no request has been in flight for minIdleTime, in which requests arrive that
+// were on their way to the draining listener. Requests that are in flight when the context ends are
+// aborted.
 func (e *Edge) awaitIdle(ctx context.Context) {
 	idle := time.Duration(0)
 	for idle < minIdleTime && ctx.Err() == nil {
@@ -58,11 +58,11 @@
 	}
 }
 
-// Kill ends the instance at once.
+// Kill stops the instance at once.
 func (e *Edge) Kill() {
 	e.cancel()
 	for _, s := range e.servers {
-		_ = s.Close() // nothing more can be done about a failure
+		_ = s.Close() // nothing can be done about an error
 	}
 	e.loops.Wait()
 }
--- a/process/edge/use.go
+++ b/process/edge/use.go
@@ -11,51 +11,50 @@
 )
 
 const (
-	// usePause is the pause between two looks at how much of what the instance can
-	// carry is in use.
+	// utilizationInterval is the pause between two measurements of the instance's utilization.
 	utilizationInterval = 500 * time.Millisecond
-	// busyLink is the part of the link, one way, from which an instance is busy.
-	// Origin: above 0.7 the wait for the link is over twice the time of sending.
+	// busyLinkShare is the link utilization, in one direction, from which an instance is busy. Above
+	// 0.7 the wait for the link is over twice the transmission time.
 	busyLinkShare = 0.6
-	// busyLate is how late a timer must be in the middle for the processor to be short.
-	// Origin: a request needs some ten turns of the processor, and 10 ms each would
-	// be a third of usual objectives.
+	// busySchedulingDelay is the average delay of a timer from which processor time counts as
+	// scarce. A request is scheduled some ten times, and 10 ms each would be a third of
+	// usual objectives.
 	busySchedulingDelay = 10 * time.Millisecond
-	// useMemory is the weight of the newest look in what is known of use.
+	// utilizationGain is the weight of the latest measurement in the moving averages.
 	utilizationGain = 0.4
-	// busyFor is how long an instance stays busy at least, so that the callers that
-	// go elsewhere do not come back with the next answer of the directory.
+	// minBusyTime is how long an instance stays busy at least, so that the callers that switch to
+	// other instances do not come back with the next response of the directory.
 	minBusyTime = 5 * time.Second
 )
 
-// use is how much of what the instance can carry is in use.
+// utilization holds moving averages of how much of the instance's capacity is used.
 type utilization struct {
-	link            float64 // part of the link, the busier way
+	link            float64 // share of the link, in the busier direction
 	schedulingDelay time.Duration
 	busyUntil       time.Duration // until when the instance counts as busy
 }
 
-// note takes up a look: what went through the link within a time, in bytes, and how
-// late the look itself was. It reports whether the instance is busy.
-func (u *utilization) record(bytes int64, linkMbps float64, took, late, now time.Duration) bool {
-	if linkMbps > 0 && took > 0 {
-		part := float64(bytes) * 8 / (linkMbps * 1e6 * took.Seconds())
-		u.link += utilizationGain * (part - u.link)
+// record adds a measurement: the bytes that went through the link within elapsed, and the delay of the
+// timer. It reports whether the instance is busy.
+func (u *utilization) record(bytes int64, linkMbps float64, elapsed, delay, now time.Duration) bool {
+	if linkMbps > 0 && elapsed > 0 {
+		share := float64(bytes) * 8 / (linkMbps * 1e6 * elapsed.Seconds())
+		u.link += utilizationGain * (share - u.link)
 	}
-	u.schedulingDelay += time.Duration(utilizationGain * float64(late-u.schedulingDelay))
+	u.schedulingDelay += time.Duration(utilizationGain * float64(delay-u.schedulingDelay))
 	if u.link > busyLinkShare || u.schedulingDelay > busySchedulingDelay {
 		u.busyUntil = now + minBusyTime
 	}
 	return now < u.busyUntil
 }
 
-// logCutOff writes whose request was cut off, and why.
+// logCutOff logs whose request was cut off, and why.
 func (e *Edge) logCutOff(c held.CutOff) {
 	e.log.Info().Str("owner", c.Owner).Str("waitedFor", c.Kind.String()).Int64("held", c.Held).Dur("stalled", c.Stalled).Msg("memory-freed")
 }
 
-// watchUse tells the other instances whether this one is busy until the context ends, and cuts
-// off requests that hold memory for backend servers that do not read.
+// watchUtilization announces to the other instances whether this one is busy until the context ends, and
+// cuts off requests that hold memory for backend servers that do not read.
 func (e *Edge) watchUtilization(ctx context.Context) {
 	var u utilization
 	busy := false
@@ -63,14 +62,14 @@
 	var suspension clock.Suspension
 	for clock.Sleep(ctx, utilizationInterval) {
 		e.memoryBudget.CutOffStalled()
-		if lost := suspension.Note(e.deployment.Clock(), time.Now()); lost > 0 {
-			e.log.Warn().Dur("stood", lost).Int("ended", e.proxy.CancelExpired()).Msg("machine-suspended")
+		if suspended := suspension.Note(e.deployment.Clock(), time.Now()); suspended > 0 {
+			e.log.Warn().Dur("stood", suspended).Int("ended", e.proxy.CancelExpired()).Msg("machine-suspended")
 		}
 		now, total := e.now(), e.proxy.BytesCarried()
-		was := busy
+		wasBusy := busy
 		busy = u.record(total-carried, e.settings.Link, now-last, now-last-utilizationInterval, now)
 		last, carried = now, total
-		if busy != was {
+		if busy != wasBusy {
 			e.members.SetBusy(busy)
 			e.log.Info().Bool("busy", busy).Float64("link", u.link).Dur("late", u.schedulingDelay).Msg("use")
 		}
