--- a/process/edge/configuration.go
+++ b/process/edge/configuration.go
@@ -130,8 +130,8 @@
 // reasonOther is the reason of a problem that does not concern a single row.
 const reasonOther = "other"
 
-// logSkipped logs the rows that have become unusable since the last compilation, at most maxNames of
-// them, and counts all unusable rows by reason. The caller holds compileMu.
+// logSkipped logs the rows that have become unusable since the last compilation, at most maxNames
+// of them, and counts all unusable rows by reason. The caller holds compileMu.
 func (e *Edge) logSkipped(problems []error) {
 	skipped := make(map[string]string, len(problems))
 	counts := make(map[string]int64)
--- a/process/edge/directory.go
+++ b/process/edge/directory.go
@@ -40,7 +40,8 @@
 	e.deployment.WriteAddresses(w, addresses, directoryTTL)
 }
 
-// homeRegions returns the names of the regions that may serve all routes of a host, or nil if all may.
+// homeRegions returns the names of the regions that may serve all routes of a host, or nil if all
+// may.
 func homeRegions(r *version.Routing, host string) map[string]bool {
 	homes := r.HostHomes(host)
 	if homes == nil {
@@ -56,7 +57,8 @@
 }
 
 // nearestInstances returns the live instances that a client should use: those of its hall if there
-// are enough, else those of its region, else those of the regions that may serve the host, else all.
+// are enough, else those of its region, else those of the regions that may serve the host, else
+// all.
 func nearestInstances(live []cluster.Member, q DirectoryQuery, homes map[string]bool) []cluster.Member {
 	region := inRegion(live, q.Region)
 	hall := filter(region, func(m cluster.Member) bool { return m.Hall == q.Hall })
@@ -89,11 +91,11 @@
 	return n
 }
 
-// largeWithCapacity returns the instances that are large, compared with the largest of their region,
-// and have free capacity. Clients spread their requests evenly over the instances that are listed, so
-// a small one among large ones would be overloaded while those are idle. Besides, an instance learns
-// about backend servers mainly from its own requests: a few instances with many requests each
-// know much more than many instances with few.
+// largeWithCapacity returns the instances that are large, compared with the largest of their
+// region, and have free capacity. Clients spread their requests evenly over the instances that are
+// listed, so a small one among large ones would be overloaded while those are idle. Besides, an
+// instance learns about backend servers mainly from its own requests: a few instances with many
+// requests each know much more than many instances with few.
 func largeWithCapacity(candidates, region []cluster.Member) []cluster.Member {
 	largest := cluster.Largest(region)
 	large := filter(candidates, func(m cluster.Member) bool { return largest.Fills(&m) })
--- a/process/edge/directory_test.go
+++ b/process/edge/directory_test.go
@@ -74,8 +74,8 @@
 	assert.Equal(t, countListed(without(testFleet(2, 3), "north-a-0", "north-a-1", "north-b-0", "north-b-1")), 4+6)
 }
 
-// TestPositionAmongLarge checks the positions among the instances that share what all of them may send
-// to a cold backend server.
+// TestPositionAmongLarge checks the positions among the instances that share what all of them may
+// send to a cold backend server.
 func TestPositionAmongLarge(t *testing.T) {
 	known := testFleet(2, 3)
 	seen := make(map[int]bool)
--- a/process/edge/introduce.go
+++ b/process/edge/discovery.go
@@ -25,15 +25,15 @@
 )
 
 // smallFleet is the number of instances up to which each one reads the rows of all others and
-// announces itself to all of them. In a larger fleet the cost of a start of all instances would grow
-// with the square of their number: there an instance reads some rows, announces itself to some
+// announces itself to all of them. In a larger fleet the cost of a start of all instances would
+// grow with the square of their number: there an instance reads some rows, announces itself to some
 // instances, and follows the table of instances along the distribution tree.
 const smallFleet = cluster.MostIntroduced
 
-// register writes this instance's row and reads those of the others, and reads them again at intervals.
-// At the first start of the whole system it writes first, so that of two instances that start at the
-// same time at least one finds the other. Otherwise the rows of the others are present, and reading
-// them first brings the tables sooner.
+// register writes this instance's row and reads those of the others, and reads them again at
+// intervals. At the first start of the whole system it writes first, so that of two instances that
+// start at the same time at least one finds the other. Otherwise the rows of the others are
+// present, and reading them first brings the tables sooner.
 func (e *Edge) register(ctx context.Context) {
 	written, read := false, false
 	pause := minRetryPause
@@ -58,8 +58,8 @@
 	}
 }
 
-// awaitReread waits until the rows have to be read again, and reports whether this instance's row has
-// to be written again before.
+// awaitReread waits until the rows have to be read again, and reports whether this instance's row
+// has to be written again before.
 func (e *Edge) awaitReread(ctx context.Context) bool {
 	select {
 	case <-e.rowLost:
@@ -115,9 +115,9 @@
 	e.members.Learn(false, list...)
 }
 
-// followInstances merges changes of the table of instances, if it is followed, until the context ends.
-// A deleted row is ignored: an instance that stops announces that itself, and a late delete may
-// remove the row of its next start.
+// followInstances merges changes of the table of instances, if it is followed, until the context
+// ends. A deleted row is ignored: an instance that stops announces that itself, and a late delete
+// may remove the row of its next start.
 func (e *Edge) followInstances(ctx context.Context) {
 	table := e.follower.Tables[e.deployment.InstanceTable]
 	var before []state.Row
@@ -133,8 +133,8 @@
 	}
 }
 
-// changedRows returns the rows in now that before lacks or has in another version. Both lists are ordered
-// by key.
+// changedRows returns the rows in now that before lacks or has in another version. Both lists are
+// ordered by key.
 func changedRows(before, now []state.Row) (out []state.Row) {
 	for _, r := range now {
 		for len(before) > 0 && before[0].Key < r.Key {
@@ -158,8 +158,8 @@
 	return err
 }
 
-// querySeeds discovers other instances through the seeds while the store provides none, until there is a
-// configuration.
+// querySeeds discovers other instances through the seeds while the store provides none, until there
+// is a configuration.
 func (e *Edge) querySeeds(ctx context.Context) {
 	pause := firstSeedPause
 	for e.table.Routing() == nil && clock.Sleep(ctx, pause) {
--- a/process/edge/introduce_test.go
+++ b/process/edge/discovery_test.go
@@ -72,8 +72,8 @@
 }
 
 // TestStartCostIndependentOfFleetSize checks that the rows that a starting instance reads and the
-// datagrams that it sends do not grow with the fleet. When each instance read all rows and announced
-// itself to all, a start of 985 instances took 240 MB and 970,000 datagrams.
+// datagrams that it sends do not grow with the fleet. When each instance read all rows and
+// announced itself to all, a start of 985 instances took 240 MB and 970,000 datagrams.
 func TestStartCostIndependentOfFleetSize(t *testing.T) {
 	for _, x := range []struct {
 		fleet, rows, calls int
--- a/process/edge/document.go
+++ b/process/edge/document.go
@@ -17,7 +17,8 @@
 
 // DocumentSelector selects the operator's document that is in force: the newest valid one. If the
 // current one is invalid, all other rows still take effect, since what leaves or is evacuated must
-// not wait until the document has been corrected. The fields are set before use. It is not safe for concurrent use.
+// not wait until the document has been corrected. The fields are set before use. It is not safe for
+// concurrent use.
 type DocumentSelector struct {
 	// Key is the key of the document's row.
 	Key string
@@ -31,10 +32,12 @@
 	rejection error     // why it was rejected; nil if it was not
 }
 
-// RetryRejected makes the next call evaluate a rejected document again: what it refers to has changed.
+// RetryRejected makes the next call evaluate a rejected document again: what it refers to has
+// changed.
 func (d *DocumentSelector) RetryRejected() { d.rejection = nil }
 
-// Configuration returns the configuration of the rows with the newest valid document, and all problems.
+// Configuration returns the configuration of the rows with the newest valid document, and all
+// problems.
 func (d *DocumentSelector) Configuration(operator, backends []state.Row) (*version.Config, []error) {
 	at := slices.IndexFunc(operator, func(r state.Row) bool { return r.Key == d.Key })
 	if at < 0 {
--- a/process/edge/drain.go
+++ b/process/edge/drain.go
@@ -27,8 +27,8 @@
 	firstRequestTimeout = time.Second
 )
 
-// drainListener is a listener that can be closed without losing connections: those that are waiting to
-// be accepted are accepted first.
+// drainListener is a listener that can be closed without losing connections: those that are waiting
+// to be accepted are accepted first.
 type drainListener struct {
 	*net.TCPListener
 	drainDeadline atomic.Pointer[time.Time] // nil: not draining
@@ -62,8 +62,8 @@
 	return c, err
 }
 
-// newConnections holds the open connections of a server on which no request has arrived yet. The zero
-// value is ready for use.
+// newConnections holds the open connections of a server on which no request has arrived yet. The
+// zero value is ready for use.
 type newConnections struct {
 	mu       sync.Mutex
 	openedAt map[net.Conn]time.Time
--- a/process/edge/drain_test.go
+++ b/process/edge/drain_test.go
@@ -24,8 +24,8 @@
 	return s.drainListener.Accept()
 }
 
-// TestDrainServesWaitingConnections checks that clients that have connected and sent a request while
-// the process was not accepting still get a response after a planned stop.
+// TestDrainServesWaitingConnections checks that clients that have connected and sent a request
+// while the process was not accepting still get a response after a planned stop.
 func TestDrainServesWaitingConnections(t *testing.T) {
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -71,7 +71,8 @@
 	assert.NilError(t, s.Close())
 }
 
-// TestDrainEndsUnderContinuousConnections checks that a listener closes although clients keep connecting.
+// TestDrainEndsUnderContinuousConnections checks that a listener closes although clients keep
+// connecting.
 func TestDrainEndsUnderContinuousConnections(t *testing.T) {
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/process/edge/edge.go
+++ b/process/edge/edge.go
@@ -86,7 +86,7 @@
 	// followsInstances is set if the fleet is so large that the table of instances is followed.
 	followsInstances atomic.Bool
 	spare            spare
-	// rewriteRow tells register that the store may have lost this instance's row.
+	// rowLost tells register that the store may have lost this instance's row.
 	rowLost     chan struct{}
 	compileMu   sync.Mutex
 	documents   DocumentSelector // guarded by compileMu
--- a/process/edge/epoch.go
+++ b/process/edge/epoch.go
@@ -68,8 +68,8 @@
 }
 
 // keepLaterStarts replaces each backend server in now by the one in before if that started later. A
-// restored store may have the row of an earlier start, and an instance that was not running when that
-// one ended would take it for a new backend server. Both lists are ordered by name.
+// restored store may have the row of an earlier start, and an instance that was not running when
+// that one ended would take it for a new backend server. Both lists are ordered by name.
 func keepLaterStarts(now, before []*version.Announced) {
 	for i, x := range now {
 		for len(before) > 0 && before[0].Name < x.Name {
--- a/process/edge/belief.go
+++ b/process/edge/eventlog.go
@@ -66,8 +66,8 @@
 	e.log.Info().Str("backend", backend).Int("failures", failures).Dur("pause", pause).Msg("backend-suspended")
 }
 
-// logNotice logs that a backend server has announced that it is leaving or that it needs a backoff. Own
-// is set if this instance received the notice itself, and not by gossip.
+// logNotice logs that a backend server has announced that it is leaving or that it needs a backoff.
+// Own is set if this instance received the notice itself, and not by gossip.
 func (e *Edge) logNotice(backend string, n request.Notice, own bool) {
 	if n.Leaving {
 		e.log.Info().Str("backend", backend).Bool("own", own).Msg("backend-leaving")
@@ -117,8 +117,8 @@
 	}
 }
 
-// compareMembers returns the names that are only in now, and those that are only in before. Both lists
-// are ordered by name.
+// compareMembers returns the names that are only in now, and those that are only in before. Both
+// lists are ordered by name.
 func compareMembers(before, now []cluster.Member) (found, lost []string) {
 	for len(before) > 0 || len(now) > 0 {
 		switch {
--- a/process/edge/lapse.go
+++ b/process/edge/expired.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// maxExpiredRowTime bounds how long expired rows of backend servers are kept after the store has
-	// come back from an outage. Live backend servers have written theirs again by then.
+	// maxExpiredRowTime bounds how long expired rows of backend servers are kept after the store
+	// has come back from an outage. Live backend servers have written theirs again by then.
 	maxExpiredRowTime = 2200 * time.Millisecond
-	// expiredRowMargin is how long before the end of DrainWithin expired rows are dropped, so that a
-	// backend server that has left gets no requests after that time.
+	// expiredRowMargin is how long before the end of DrainWithin expired rows are dropped, so that
+	// a backend server that has left gets no requests after that time.
 	expiredRowMargin = 400 * time.Millisecond
 )
 
-// expiredRows keeps the rows of backend servers that expired during an outage of the store, in which
-// they could not be renewed, until there was time to write them again. The zero value with keepFor
-// set is ready for use. It is not safe for concurrent use.
+// expiredRows keeps the rows of backend servers that expired during an outage of the store, in
+// which they could not be renewed, until there was time to write them again. The zero value with
+// keepFor set is ready for use. It is not safe for concurrent use.
 type expiredRows struct {
 	keepFor time.Duration // how long after the end of the outage
 
@@ -34,9 +34,9 @@
 	return max(0, min(maxExpiredRowTime, drainWithin-expiredRowMargin))
 }
 
-// merge returns the present rows and those that are kept, ordered by key. Returned is when the store
-// last came back from an outage, zero if there was none. Again is when merge has to be called once
-// more, zero if no row is kept.
+// merge returns the present rows and those that are kept, ordered by key. Returned is when the
+// store last came back from an outage, zero if there was none. Again is when merge has to be called
+// once more, zero if no row is kept.
 func (l *expiredRows) merge(present []state.Row, returned, now time.Duration) (all []state.Row, again time.Duration) {
 	all = present
 	l.until = returned + l.keepFor
--- a/process/edge/lapse_test.go
+++ b/process/edge/expired_test.go
@@ -29,8 +29,8 @@
 	return out
 }
 
-// TestExpiredRowsKeptAfterStoreReturns simulates a store that comes back without the rows of live backend
-// servers.
+// TestExpiredRowsKeptAfterStoreReturns simulates a store that comes back without the rows of live
+// backend servers.
 func TestExpiredRowsKeptAfterStoreReturns(t *testing.T) {
 	const returned = 10 * time.Second
 	l := expiredRows{keepFor: 1600 * time.Millisecond}
--- a/process/edge/margin_test.go
+++ b/process/edge/margin_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestStopEndsBeforeKill checks that a stopping process has time to accept requests, to finish them and
-// to exit before it would be killed, however short KillAfter is.
+// TestStopEndsBeforeKill checks that a stopping process has time to accept requests, to finish them
+// and to exit before it would be killed, however short KillAfter is.
 func TestStopEndsBeforeKill(t *testing.T) {
 	for _, killAfter := range []time.Duration{minKillAfter, 2 * time.Second, 6 * time.Second, time.Minute} {
 		s := Settings{KillAfter: killAfter}
--- a/process/edge/place.go
+++ b/process/edge/position.go
@@ -19,12 +19,12 @@
 	at           time.Duration // when it was computed; zero: unknown
 }
 
-// sharePosition returns this instance's index, from 0, among the instances that share what all of them together
-// may send to a cold backend server, and their number; zeros while they are not known. The instances that
-// are listed for clients divide it among themselves, since they get nearly all requests. An instance
-// that is not listed takes its part of an equal division among all instances: the requests
-// that arrive there add less than a second whole allowance, and a cold backend server tolerates half
-// as much again and some requests more.
+// sharePosition returns this instance's index, from 0, among the instances that share what all of
+// them together may send to a cold backend server, and their number; zeros while they are not
+// known. The instances that are listed for clients divide it among themselves, since they get
+// nearly all requests. An instance that is not listed takes its part of an equal division among all
+// instances: the requests that arrive there add less than a second whole allowance, and a cold
+// backend server tolerates half as much again and some requests more.
 func (e *Edge) sharePosition() (index, count int) {
 	pos := &e.position
 	pos.mu.Lock()
@@ -44,8 +44,8 @@
 	return pos.index, pos.count
 }
 
-// positionAmongLarge returns the index of an instance among the large instances of all regions, and their
-// number; zeros if it is not one of them.
+// positionAmongLarge returns the index of an instance among the large instances of all regions, and
+// their number; zeros if it is not one of them.
 func positionAmongLarge(known []cluster.Member, self string) (index, count int) {
 	found := false
 	largest := make(map[string]cluster.Room) // by region
--- a/process/edge/silent.go
+++ b/process/edge/probe.go
@@ -21,9 +21,9 @@
 	maxProbes = 8
 )
 
-// probeUnresponsive probes unresponsive instances that are relevant to roll-outs while one is running.
-// Otherwise instances of other regions count as live until a call to them fails, and those of this
-// region for some seconds.
+// probeUnresponsive probes unresponsive instances that are relevant to roll-outs while one is
+// running. Otherwise instances of other regions count as live until a call to them fails, and those
+// of this region for some seconds.
 func (e *Edge) probeUnresponsive(ctx context.Context) {
 	for e.rolloutState.active.wait(ctx) && clock.Sleep(ctx, probeInterval) {
 		if e.rolloutState.running.Load() == 0 {
@@ -38,9 +38,9 @@
 	}
 }
 
-// relevantToRollouts returns a predicate for the instances that are relevant to roll-outs: the owners,
-// which receive the reports, or all instances if this one is an owner and a roll-out moves all
-// requests to its target: that phase ends once no live instance has requests in flight.
+// relevantToRollouts returns a predicate for the instances that are relevant to roll-outs: the
+// owners, which receive the reports, or all instances if this one is an owner and a roll-out moves
+// all requests to its target: that phase ends once no live instance has requests in flight.
 func (e *Edge) relevantToRollouts() func(cluster.Member) bool {
 	owners := make(map[string]bool)
 	for _, name := range e.activeServices() {
--- a/process/edge/quarantine.go
+++ b/process/edge/quarantine.go
@@ -111,9 +111,9 @@
 // syncSources is the number of instances that a starting instance requests the list from at a time.
 const syncSources = 2
 
-// pollUntilSynced calls fetch until the list is known or the context ends. Fetch reports
-// whether a request was made and failed, which doubles the pause; it is false if there was no one to
-// send it to.
+// pollUntilSynced calls fetch until the list is known or the context ends. Fetch reports whether a
+// request was made and failed, which doubles the pause; it is false if there was no one to send it
+// to.
 func (e *Edge) pollUntilSynced(ctx context.Context, fetch func(context.Context) bool) {
 	pause := minListPause
 	for !e.quarantine.Synced() && ctx.Err() == nil {
@@ -146,8 +146,8 @@
 	return e.storeCall(ctx, e.loadQuarantine) != nil
 }
 
-// mustAwaitQuarantine reports whether a starting instance still has to wait for the list of requests
-// to refuse. The caller holds compileMu.
+// mustAwaitQuarantine reports whether a starting instance still has to wait for the list of
+// requests to refuse. The caller holds compileMu.
 func (e *Edge) mustAwaitQuarantine() bool {
 	if e.settings.First || e.quarantine.Synced() {
 		return false
@@ -176,8 +176,8 @@
 // listFetch records whether a list is being requested.
 type listFetch struct{ running atomic.Bool }
 
-// refreshList requests the list of an instance whose entries differ, unless a list is being requested
-// or was within minListInterval.
+// refreshList requests the list of an instance whose entries differ, unless a list is being
+// requested or was within minListInterval.
 func (e *Edge) refreshList(address string) {
 	if !e.listFetch.running.CompareAndSwap(false, true) {
 		return
--- a/process/edge/quarantinerow.go
+++ b/process/edge/quarantinestore.go
@@ -53,7 +53,8 @@
 	clear(r.stamps)
 }
 
-// diff returns the entries that are newer than their rows, and the rows that have no entry any more.
+// diff returns the entries that are newer than their rows, and the rows that have no entry any
+// more.
 func (r *storedEntries) diff(entries []quarantine.Entry) (missing []quarantine.Entry, obsolete []request.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,8 +93,8 @@
 	return nil
 }
 
-// persistQuarantine writes the entries whose rows this instance owns to the store, until the context
-// ends.
+// persistQuarantine writes the entries whose rows this instance owns to the store, until the
+// context ends.
 func (e *Edge) persistQuarantine(ctx context.Context) {
 	pause := persistInterval
 	for clock.Sleep(ctx, pause) {
--- a/process/edge/quota.go
+++ b/process/edge/quota.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// listedInstances returns how many instances the directory lists for clients, over all regions; zero
-// while the other instances are not known.
+// listedInstances returns how many instances the directory lists for clients, over all regions;
+// zero while the other instances are not known.
 func (e *Edge) listedInstances() int {
 	if e.members.Count() == 0 {
 		return 0
--- a/process/edge/limit.go
+++ b/process/edge/ratelimit.go
@@ -26,9 +26,9 @@
 	return ratelimit.Owner{Name: m.Name, Address: m.Peer}
 }
 
-// logRateLimit logs that a backend server's rate limit begins, changes or, with zero, ends. Own is set if
-// this instance received it from the backend server itself, and not by gossip. A limit that was
-// received without its rate is infinite.
+// logRateLimit logs that a backend server's rate limit begins, changes or, with zero, ends. Own is
+// set if this instance received it from the backend server itself, and not by gossip. A limit that
+// was received without its rate is infinite.
 func (e *Edge) logRateLimit(backend string, limit float64, own bool) {
 	e.log.Info().Str("backend", backend).Float64("limit", limit).Bool("own", own).Msg("backend-limited")
 }
--- a/process/edge/record.go
+++ b/process/edge/record.go
@@ -12,8 +12,8 @@
 	"shalewick/process/state"
 )
 
-// knownRecord is the record of a service's latest roll-out, as read from its row. The zero value stands
-// for no record.
+// knownRecord is the record of a service's latest roll-out, as read from its row. The zero value
+// stands for no record.
 type knownRecord struct {
 	record      *rollout.Record
 	revision    int64
--- a/process/edge/retry_test.go
+++ b/process/edge/retry_test.go
@@ -12,10 +12,10 @@
 )
 
 // TestFleetRetriesWithinBound simulates instances that learn their number late, each with random
-// requests, and checks for each span that the retries of all instances together are within the ratio
-// and the fixed number, of which each instance uses the shares in margin.go. The requests counted are
-// those in the span, or in the one half a span or a whole span earlier, whichever has most: a retry
-// may belong to a request that has left the span.
+// requests, and checks for each span that the retries of all instances together are within the
+// ratio and the fixed number, of which each instance uses the shares in margin.go. The requests
+// counted are those in the span, or in the one half a span or a whole span earlier, whichever has
+// most: a retry may belong to a request that has left the span.
 func TestFleetRetriesWithinBound(t *testing.T) {
 	const (
 		span  = 10 * time.Second
--- a/process/edge/rollout.go
+++ b/process/edge/rollout.go
@@ -67,8 +67,8 @@
 	return rollout.Owner{Name: m.Name, Address: m.Peer}
 }
 
-// messageAddresses returns the message addresses of the instances that may have requests in flight, ""
-// for this one.
+// messageAddresses returns the message addresses of the instances that may have requests in flight,
+// "" for this one.
 func (e *Edge) messageAddresses() []string {
 	live := e.members.AtWork()
 	out := make([]string, 0, len(live))
@@ -107,8 +107,8 @@
 }
 
 // maxRecordsWait bounds how long a starting instance waits for the records of roll-outs before it
-// serves without them: other instances provide them within a few round trips, and a relay reads them
-// within a second.
+// serves without them: other instances provide them within a few round trips, and a relay reads
+// them within a second.
 const maxRecordsWait = 1500 * time.Millisecond
 
 // mustAwaitRecords reports whether a starting instance still has to wait for the records, since an
@@ -170,8 +170,8 @@
 	return nil
 }
 
-// rolloutServices returns the state in the tables of the services that have an order or the record of a
-// roll-out that has not ended.
+// rolloutServices returns the state in the tables of the services that have an order or the record
+// of a roll-out that has not ended.
 func rolloutServices(r *version.Routing, software map[string]version.Software, orders map[string]*rollout.Order, records map[string]knownRecord) []rollout.Service {
 	var out []rollout.Service
 	for _, name := range activeServiceNames(orders, records) {
@@ -209,13 +209,14 @@
 	return false
 }
 
-// countWithoutOrder returns the number of roll-outs that have not ended although their order is gone.
+// countWithoutOrder returns the number of roll-outs that have not ended although their order is
+// gone.
 func countWithoutOrder(orders map[string]*rollout.Order, records map[string]knownRecord) int {
 	return len(activeServiceNames(orders, records)) - len(orders)
 }
 
-// slotsAndHomes returns the slots of the backend servers that are open to requests and run the version
-// in force of a service, and those that are open to requests and run the target.
+// slotsAndHomes returns the slots of the backend servers that are open to requests and run the
+// version in force of a service, and those that are open to requests and run the target.
 func slotsAndHomes(r *version.Routing, service string) (slots int, homes []rollout.Home) {
 	for i := range r.Backends {
 		b := &r.Backends[i]
@@ -232,9 +233,9 @@
 	return slots, homes
 }
 
-// tickRollouts exchanges messages with the owners of roll-outs until the context ends, and measures the
-// scheduling delay of this process. While no roll-out is active, watchMembers does the
-// ticks: which instances were live shortly before a roll-out matters to it.
+// tickRollouts exchanges messages with the owners of roll-outs until the context ends, and measures
+// the scheduling delay of this process. While no roll-out is active, watchMembers does the ticks:
+// which instances were live shortly before a roll-out matters to it.
 func (e *Edge) tickRollouts(ctx context.Context) {
 	for e.rolloutState.active.wait(ctx) {
 		e.schedulingDelay.Waits(e.now() + rollout.TickTime)
--- a/process/edge/rollout_test.go
+++ b/process/edge/rollout_test.go
@@ -17,8 +17,8 @@
 	"shalewick/version"
 )
 
-// testConfig returns a configuration of services with backend servers, each given as its service and the
-// version of its software.
+// testConfig returns a configuration of services with backend servers, each given as its service
+// and the version of its software.
 func testConfig(backends ...[2]string) *version.Config {
 	c := &version.Config{Seq: 1, Resources: make(map[version.Key]version.Resource)}
 	add := func(r version.Resource) { c.Resources[r.Key] = r }
@@ -42,8 +42,8 @@
 	return out
 }
 
-// TestAdmitOnlyServicesReportingVersions checks for which services versions are held back, and that this
-// also applies to a service after all of its backend servers are gone.
+// TestAdmitOnlyServicesReportingVersions checks for which services versions are held back, and that
+// this also applies to a service after all of its backend servers are gone.
 func TestAdmitOnlyServicesReportingVersions(t *testing.T) {
 	c := testConfig([2]string{"s", "v1"}, [2]string{"s", "v2"}, [2]string{"t", ""}, [2]string{"u", ""}, [2]string{"u", "v1"})
 	got := admitVersions(c, nil, nil, nil)
@@ -56,8 +56,8 @@
 	assert.Equal(t, admitVersions(c, nil, nil, got)["s"], version.Software{InForce: "v1"})
 }
 
-// TestRecordOverridesRunningVersions checks that a starting instance follows the record if the rows of
-// both versions are present.
+// TestRecordOverridesRunningVersions checks that a starting instance follows the record if the rows
+// of both versions are present.
 func TestRecordOverridesRunningVersions(t *testing.T) {
 	c := testConfig([2]string{"s", "v1"}, [2]string{"s", "v2"})
 	done := testRecords(rollout.Record{Service: "s", Target: "v2", Before: "v1", Phase: rollout.Completed})
@@ -71,8 +71,8 @@
 	assert.Equal(t, sumCounts(a.heldBack(version.Software{InForce: "v1"})), 3)
 }
 
-// TestRolloutServices checks the state that the roll-outs get: that of services with an order or a running
-// record, and the slots of backend servers that are open to requests.
+// TestRolloutServices checks the state that the roll-outs get: that of services with an order or a
+// running record, and the slots of backend servers that are open to requests.
 func TestRolloutServices(t *testing.T) {
 	c := testConfig([2]string{"s", "v1"}, [2]string{"s", "v2"}, [2]string{"s", "v2"}, [2]string{"s", "v1"}, [2]string{"t", "v1"}, [2]string{"u", "v1"})
 	leaving := c.Resources[version.Key{Kind: version.KindBackend, Name: "b-2"}]
--- a/process/edge/software.go
+++ b/process/edge/software.go
@@ -82,8 +82,8 @@
 }
 
 // admitVersions returns which versions of each service's software may get requests. Services whose
-// backend servers have never announced a version are left out: all their backend servers may. Before is
-// the previous result.
+// backend servers have never announced a version are left out: all their backend servers may.
+// Before is the previous result.
 func admitVersions(c *version.Config, orders map[string]*rollout.Order, records map[string]knownRecord, before map[string]version.Software) map[string]version.Software {
 	out := make(map[string]version.Software)
 	all := runningVersionsByService(c)
@@ -104,8 +104,8 @@
 	return out
 }
 
-// logHeldBack logs changes of the backend servers that get no requests because the version that they
-// run was not ordered.
+// logHeldBack logs changes of the backend servers that get no requests because the version that
+// they run was not ordered.
 func (e *Edge) logHeldBack(c *version.Config) {
 	all := runningVersionsByService(c)
 	for _, service := range slices.Sorted(maps.Keys(c.Software)) {
--- a/process/edge/spare.go
+++ b/process/edge/spare.go
@@ -39,8 +39,8 @@
 // spare is the state of an instance that may do without the backend servers: it is one of the small
 // instances of a large fleet, and clients are sent to the large ones. In such a fleet the row of a
 // backend server would be sent to ten times as many instances as use it. Requests that arrive
-// nevertheless are forwarded to large instances, which are configured in place of the backend servers.
-// The zero value is ready for use.
+// nevertheless are forwarded to large instances, which are configured in place of the backend
+// servers. The zero value is ready for use.
 type spare struct {
 	active      atomic.Bool
 	usesKeys    atomic.Bool  // callers send keys, which are not forwarded
@@ -81,7 +81,8 @@
 	return active
 }
 
-// neededInRegion reports whether clients may be sent to this instance, given the capacity in its region.
+// neededInRegion reports whether clients may be sent to this instance, given the capacity in its
+// region.
 func neededInRegion(c cluster.Capacity) bool {
 	return c.Self || c.Free < max(minFree, int(freeShare*float64(c.Large)))
 }
--- a/process/edge/spare_test.go
+++ b/process/edge/spare_test.go
@@ -18,8 +18,8 @@
 	"shalewick/version"
 )
 
-// newFleetMember returns an instance of a fleet in one region, of which every tenth instance is large, and
-// its clock. The instance is small unless large is set.
+// newFleetMember returns an instance of a fleet in one region, of which every tenth instance is
+// large, and its clock. The instance is small unless large is set.
 func newFleetMember(t *testing.T, instances int, large bool) (*Edge, *time.Duration) {
 	t.Helper()
 	now := 2 * spareStartTime
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestSpareInstanceActivates checks that a spare instance follows the backend servers once callers send
-// keys, a roll-out begins or few large instances are free, and for a while after that.
+// TestSpareInstanceActivates checks that a spare instance follows the backend servers once callers
+// send keys, a roll-out begins or few large instances are free, and for a while after that.
 func TestSpareInstanceActivates(t *testing.T) {
 	const instances = 330
 	busy := func(e *Edge, busy bool) {
@@ -100,8 +100,8 @@
 	}
 }
 
-// TestSpareInstanceForwards checks that a spare instance has large instances of its region in place of
-// each service's backend servers, although each of them has the same address for all services.
+// TestSpareInstanceForwards checks that a spare instance has large instances of its region in place
+// of each service's backend servers, although each of them has the same address for all services.
 func TestSpareInstanceForwards(t *testing.T) {
 	e, _ := newFleetMember(t, 330, false)
 	assert.Assert(t, e.isSpare())
--- a/process/edge/step.go
+++ b/process/edge/step.go
@@ -25,8 +25,8 @@
 	failuresToHandOver = 3
 )
 
-// stepWriter writes the steps of the roll-outs that this instance owns. It is not safe for concurrent
-// use.
+// stepWriter writes the steps of the roll-outs that this instance owns. It is not safe for
+// concurrent use.
 type stepWriter struct {
 	edge     *Edge
 	owned    map[string]ownership // by service
@@ -162,8 +162,8 @@
 	w.readRecords(ctx)
 }
 
-// recordResult records whether the store responded to a call. An owner that gets no responses from the
-// store reports this to all instances, so that another one takes over.
+// recordResult records whether the store responded to a call. An owner that gets no responses from
+// the store reports this to all instances, so that another one takes over.
 func (w *stepWriter) recordResult(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
--- a/process/edge/stop.go
+++ b/process/edge/stop.go
@@ -44,9 +44,9 @@
 	e.log.Info().Int64("running", e.proxy.InFlight()).Dur("took", time.Since(start)).Msg("stopped")
 }
 
-// awaitIdle waits until no request has been in flight for minIdleTime, in which requests arrive that
-// were on their way to the draining listener. Requests that are in flight when the context ends are
-// aborted.
+// awaitIdle waits until no request has been in flight for minIdleTime, in which requests arrive
+// that were on their way to the draining listener. Requests that are in flight when the context
+// ends are aborted.
 func (e *Edge) awaitIdle(ctx context.Context) {
 	idle := time.Duration(0)
 	for idle < minIdleTime && ctx.Err() == nil {
--- a/process/edge/use.go
+++ b/process/edge/utilization.go
@@ -13,8 +13,8 @@
 const (
 	// utilizationInterval is the pause between two measurements of the instance's utilization.
 	utilizationInterval = 500 * time.Millisecond
-	// busyLinkShare is the link utilization, in one direction, from which an instance is busy. Above
-	// 0.7 the wait for the link is over twice the transmission time.
+	// busyLinkShare is the link utilization, in one direction, from which an instance is busy.
+	// Above 0.7 the wait for the link is over twice the transmission time.
 	busyLinkShare = 0.6
 	// busySchedulingDelay is the average delay of a timer from which processor time counts as
 	// scarce. A request is scheduled some ten times, and 10 ms each would be a third of
@@ -34,8 +34,8 @@
 	busyUntil       time.Duration // until when the instance counts as busy
 }
 
-// record adds a measurement: the bytes that went through the link within elapsed, and the delay of the
-// timer. It reports whether the instance is busy.
+// record adds a measurement: the bytes that went through the link within elapsed, and the delay of
+// the timer. It reports whether the instance is busy.
 func (u *utilization) record(bytes int64, linkMbps float64, elapsed, delay, now time.Duration) bool {
 	if linkMbps > 0 && elapsed > 0 {
 		share := float64(bytes) * 8 / (linkMbps * 1e6 * elapsed.Seconds())
@@ -53,8 +53,8 @@
 	e.log.Info().Str("owner", c.Owner).Str("waitedFor", c.Kind.String()).Int64("held", c.Held).Dur("stalled", c.Stalled).Msg("memory-freed")
 }
 
-// watchUtilization announces to the other instances whether this one is busy until the context ends, and
-// cuts off requests that hold memory for backend servers that do not read.
+// watchUtilization announces to the other instances whether this one is busy until the context
+// ends, and cuts off requests that hold memory for backend servers that do not read.
 func (e *Edge) watchUtilization(ctx context.Context) {
 	var u utilization
 	busy := false
