--- a/process/edge/discovery.go
+++ b/process/edge/discovery.go
@@ -86,11 +86,11 @@
 	}
 	if more {
 		e.followsInstances.Store(true)
-		neighbours, _, err := e.deployment.Store.ReadSome(ctx, e.deployment.InstanceTable, e.settings.Instance, smallFleet)
+		adjacent, _, err := e.deployment.Store.ReadSome(ctx, e.deployment.InstanceTable, e.settings.Instance, smallFleet)
 		if err != nil {
 			return err
 		}
-		rows = append(rows, neighbours...) // adjacent names mostly belong to the same hall
+		rows = append(rows, adjacent...) // adjacent names mostly belong to the same hall
 	}
 	first := !e.members.KnowsOthers()
 	e.mergeInstanceRows(rows)
--- a/process/edge/edge.go
+++ b/process/edge/edge.go
@@ -86,7 +86,7 @@
 	// followsInstances is set if the fleet is so large that the table of instances is followed.
 	followsInstances atomic.Bool
 	spare            spare
-	// rowLost tells register that the store may have lost this instance's row.
+	// rowLost signals to register that the store may have lost this instance's row.
 	rowLost     chan struct{}
 	compileMu   sync.Mutex
 	documents   DocumentSelector // guarded by compileMu
@@ -95,7 +95,7 @@
 	// by compileMu.
 	lastAnnounced []*version.Announced
 	skipped       map[string]string // reasons of the rows that cannot be used at present, by key; guarded by compileMu
-	// skippedCounts holds the gauges of such rows by reason; guarded by compileMu.
+	// skippedCounts holds the numbers of such rows by reason; guarded by compileMu.
 	skippedCounts    map[string]int64
 	expiredRowsTimer *time.Timer // recompiles when expired rows are dropped; guarded by compileMu
 	quarantineTimer  *time.Timer // recompiles when the start has waited long enough for the quarantine; guarded by compileMu
--- a/process/edge/quarantine.go
+++ b/process/edge/quarantine.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// pathQuarantine is where an instance fetches the list of another one, and pathQuarantineView
-	// where operators read it.
+	// pathQuarantine is where an instance fetches another one's list of quarantined requests, and
+	// pathQuarantineView where operators read it.
 	pathQuarantine     = "/peer/quarantine"
 	pathQuarantineView = "/v1/quarantine"
 	// maxSyncWait bounds how long a starting instance waits for the list before it serves without
@@ -98,7 +98,7 @@
 			e.pollUntilSynced(ctx, func(ctx context.Context) bool { return e.fetchListFromSource(ctx, i) })
 		})
 	}
-	all.Go(func() { e.pollUntilSynced(ctx, e.loadListFromRelay) })
+	all.Go(func() { e.pollUntilSynced(ctx, e.loadListFromStore) })
 	select {
 	case <-e.quarantine.SyncDone():
 		e.recompile() // the start may have waited for the list
@@ -138,8 +138,8 @@
 	return err != nil && ctx.Err() == nil
 }
 
-// loadListFromRelay reads the rows of the store, if this instance is a relay.
-func (e *Edge) loadListFromRelay(ctx context.Context) bool {
+// loadListFromStore reads the rows of the store, if this instance is a relay.
+func (e *Edge) loadListFromStore(ctx context.Context) bool {
 	if !e.peers.Relay() {
 		return false
 	}
