--- a/process/edge/quarantine.go
+++ b/process/edge/quarantine.go
@@ -20,51 +20,51 @@
 )
 
 const (
-	// pathQuarantine is where an instance asks another one for its list, and
+	// pathQuarantine is where an instance fetches another one's list of quarantined requests, and
 	// pathQuarantineView where operators read it.
 	pathQuarantine     = "/peer/quarantine"
 	pathQuarantineView = "/v1/quarantine"
-	// learnWait is how long an instance that starts waits for the list before it serves
-	// without: others tell it within a few round trips, and a relay reads it within one.
-	learnWait = time.Second
-	// learnLeast and learnMost bound the pause between two questions for the list, which
+	// maxSyncWait bounds how long a starting instance waits for the list before it serves without
+	// it: other instances provide it within a few round trips, and a relay reads it within one.
+	maxSyncWait = time.Second
+	// minListPause and maxListPause bound the pause between two requests for the list, which
 	// doubles.
-	learnLeast = 20 * time.Millisecond
-	learnMost  = time.Second
-	// listHold is how long an instance holds a question for the list that it awaits itself.
-	listHold = time.Second
-	// listPause is the least time between two questions for the list of one that differs,
-	// so that news that reaches all in one round trip is seldom asked for.
-	listPause = 300 * time.Millisecond
+	minListPause = 20 * time.Millisecond
+	maxListPause = time.Second
+	// maxListWait bounds how long a request for the list waits until this instance has it.
+	maxListWait = time.Second
+	// minListInterval is the minimum time between two requests for a list that differs, so that
+	// changes that reach all instances within one round trip are rarely requested.
+	minListInterval = 300 * time.Millisecond
 )
 
-// newQuarantine returns the quarantine of requests, made together with the other instances.
+// newQuarantine returns the quarantine of requests, which the instances maintain together.
 func (e *Edge) newQuarantine() *quarantine.Quarantine {
 	q := quarantine.New()
 	q.Now, q.Owners, q.Log = e.now, e.quarantineOwners, e.log
-	q.Send, q.SendAll = e.beats.SendMessage, e.beats.BroadcastMessage
-	e.beats.Digest, e.beats.OnDigestMismatch = q.Digest, e.askList
+	q.Send, q.SendAll = e.heartbeats.SendMessage, e.heartbeats.BroadcastMessage
+	e.heartbeats.Digest, e.heartbeats.OnDigestMismatch = q.Digest, e.refreshList
 	return q
 }
 
-// backendCrashed writes that a backend server has ended, and which requests were in flight
-// there from this instance, and counts it against them.
-func (e *Edge) backendCrashed(c crash.Crash) {
+// onBackendCrash logs the crash of a backend server and the requests that were in flight there from
+// this instance, and attributes the crash to them.
+func (e *Edge) onBackendCrash(c crash.Crash) {
 	requests := make([]string, 0, len(c.Suspects))
 	for _, s := range c.Suspects {
 		requests = append(requests, s.Request.String())
 	}
 	e.metrics.Counter("backend_crashes_total").Inc(1)
-	e.log.Info().Str("backend", c.Backend).Str("service", c.Service).Strs("requests", few(requests)).
+	e.log.Info().Str("backend", c.Backend).Str("service", c.Service).Strs("requests", firstNames(requests)).
 		Int("lost", len(requests)).Msg("backend-crashed")
 	e.quarantine.RecordCrash(c)
 }
 
-// quarantineOwners returns who counts the crashes of a service, over all regions and within
-// the own one.
+// quarantineOwners returns the instances that count the crashes of a service, over all regions and
+// within this instance's region.
 func (e *Edge) quarantineOwners(service string) (owner, regional quarantine.Owner) {
-	number := xxhash.Sum64String(service)
-	return e.quarantineOwner(e.members.OwnerIn("", number)), e.quarantineOwner(e.members.OwnerIn(e.settings.Region, number))
+	hash := xxhash.Sum64String(service)
+	return e.quarantineOwner(e.members.OwnerIn("", hash)), e.quarantineOwner(e.members.OwnerIn(e.settings.Region, hash))
 }
 
 func (e *Edge) quarantineOwner(m cluster.Member) quarantine.Owner {
@@ -74,7 +74,7 @@
 	return quarantine.Owner{Name: m.Name, Address: m.Peer}
 }
 
-// tickQuarantine sends and decides what is due, until the context ends.
+// tickQuarantine sends messages and takes decisions that are due, until the context ends.
 func (e *Edge) tickQuarantine(ctx context.Context) {
 	for {
 		select {
@@ -87,35 +87,38 @@
 	}
 }
 
-// learnQuarantine learns what others know when this instance starts, from them or, if it
-// reads the store for others, from there: whoever tells it first, as with the tables.
-func (e *Edge) learnQuarantine(ctx context.Context) {
+// syncQuarantine gets the list when this instance starts: from other instances or, if this
+// instance is a relay, from the store, whichever responds first, as with the tables.
+func (e *Edge) syncQuarantine(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var all sync.WaitGroup
-	for i := range learnSources {
-		all.Go(func() { e.learnFrom(ctx, func(ctx context.Context) bool { return e.askSource(ctx, i) }) })
+	for i := range syncSources {
+		all.Go(func() {
+			e.pollUntilSynced(ctx, func(ctx context.Context) bool { return e.fetchListFromSource(ctx, i) })
+		})
 	}
-	all.Go(func() { e.learnFrom(ctx, e.askStore) })
+	all.Go(func() { e.pollUntilSynced(ctx, e.loadListFromStore) })
 	select {
 	case <-e.quarantine.SyncDone():
-		e.recompile() // the start may have waited for it
+		e.recompile() // the start may have waited for the list
 	case <-ctx.Done():
 	}
 	cancel()
 	all.Wait()
 }
 
-// learnSources is the number of instances that are asked for the list at a time at a start.
-const learnSources = 2
+// syncSources is the number of instances that a starting instance requests the list from at a time.
+const syncSources = 2
 
-// learnFrom asks until the list is known, or the context ends. Ask returns false if there was
-// nobody to ask.
-func (e *Edge) learnFrom(ctx context.Context, ask func(context.Context) bool) {
-	pause := learnLeast
+// pollUntilSynced calls fetch until the list is known or the context ends. Fetch reports whether a
+// request was made and failed, which doubles the pause; it is false if there was no one to send it
+// to.
+func (e *Edge) pollUntilSynced(ctx context.Context, fetch func(context.Context) bool) {
+	pause := minListPause
 	for !e.quarantine.Synced() && ctx.Err() == nil {
-		if ask(ctx) {
-			pause = min(2*pause, learnMost)
+		if fetch(ctx) {
+			pause = min(2*pause, maxListPause)
 		}
 		select {
 		case <-e.quarantine.SyncDone():
@@ -125,8 +128,8 @@
 	}
 }
 
-// askSource asks the i-th of the instances that this one learns the tables from.
-func (e *Edge) askSource(ctx context.Context, i int) bool {
+// fetchListFromSource requests the list from the i-th of the instances that provide the tables.
+func (e *Edge) fetchListFromSource(ctx context.Context, i int) bool {
 	sources := e.members.Sources()
 	if i >= len(sources) {
 		return false
@@ -135,76 +138,76 @@
 	return err != nil && ctx.Err() == nil
 }
 
-// askStore reads the rows, if this instance reads the store for others.
-func (e *Edge) askStore(ctx context.Context) bool {
+// loadListFromStore reads the rows of the store, if this instance is a relay.
+func (e *Edge) loadListFromStore(ctx context.Context) bool {
 	if !e.peers.Relay() {
 		return false
 	}
-	return e.storeCall(ctx, e.readQuarantine) != nil
+	return e.storeCall(ctx, e.loadQuarantine) != nil
 }
 
-// awaitsQuarantine reports whether an instance that starts has to learn first which requests
-// to refuse. The caller holds compiling.
-func (e *Edge) awaitsQuarantine() bool {
+// mustAwaitQuarantine reports whether a starting instance still has to wait for the list of
+// requests to refuse. The caller holds compileMu.
+func (e *Edge) mustAwaitQuarantine() bool {
 	if e.settings.First || e.quarantine.Synced() {
 		return false
 	}
-	left := learnWait - e.age()
+	left := maxSyncWait - e.uptime()
 	if left <= 0 {
 		return false
 	}
-	if e.learnEnd == nil {
-		e.learnEnd = time.AfterFunc(left, e.recompile)
+	if e.quarantineTimer == nil {
+		e.quarantineTimer = time.AfterFunc(left, e.recompile)
 	}
 	return true
 }
 
-// fetchList asks the instance at an address for its list.
+// fetchList requests the list from the instance at an address, and merges it.
 func (e *Edge) fetchList(ctx context.Context, address string) error {
-	ctx, cancel := context.WithTimeout(ctx, listHold+peerSilence)
+	ctx, cancel := context.WithTimeout(ctx, maxListWait+peerAckTimeout)
 	defer cancel()
-	text, err := e.peers.Query(ctx, address, pathQuarantine)
+	reply, err := e.peers.Query(ctx, address, pathQuarantine)
 	if err != nil {
 		return err
 	}
-	return e.quarantine.MergeReply(text, address)
+	return e.quarantine.MergeReply(reply, address)
 }
 
-// asking says whether a list is being asked for.
-type asking struct{ busy atomic.Bool }
+// listFetch records whether a list is being requested.
+type listFetch struct{ running atomic.Bool }
 
-// askList asks an instance that knows other entries for its list, unless one was asked a
-// moment ago.
-func (e *Edge) askList(address string) {
-	if !e.asking.busy.CompareAndSwap(false, true) {
+// refreshList requests the list of an instance whose entries differ, unless a list is being
+// requested or was within minListInterval.
+func (e *Edge) refreshList(address string) {
+	if !e.listFetch.running.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer e.asking.busy.Store(false)
+		defer e.listFetch.running.Store(false)
 		if err := e.fetchList(context.Background(), address); err != nil {
 			e.log.Info().Err(err).Str("from", address).Msg("quarantine-not-told")
 		}
-		time.Sleep(listPause)
+		time.Sleep(minListInterval)
 	}()
 }
 
-// serveList answers another instance, once this one knows the list itself, or after listHold.
+// serveList sends the list to another instance, once this one is synced or after maxListWait.
 func (e *Edge) serveList(w http.ResponseWriter, r *http.Request) {
 	select {
 	case <-e.quarantine.SyncDone():
 	case <-r.Context().Done():
-	case <-time.After(listHold):
+	case <-time.After(maxListWait):
 	}
-	text, err := e.quarantine.EncodeReply()
+	reply, err := e.quarantine.EncodeReply()
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	_, _ = w.Write(text) // the other instance asks again
+	_, _ = w.Write(reply) // the other instance requests it again
 }
 
-// viewed is an entry as operators read it.
-type viewed struct {
+// entryView is the representation of an entry for operators.
+type entryView struct {
 	Request     string    `json:"request"`
 	Service     string    `json:"service"`
 	Path        string    `json:"path"`
@@ -215,18 +218,18 @@
 	Refused bool `json:"refused"`
 }
 
-// serveQuarantine shows operators the list.
+// serveQuarantine sends the list to operators.
 func (e *Edge) serveQuarantine(w http.ResponseWriter, _ *http.Request) {
-	out := []viewed{}
+	out := []entryView{}
 	for _, x := range e.quarantine.Entries() {
-		out = append(out, viewed{
+		out = append(out, entryView{
 			Request: x.Request.String(), Service: x.Service, Path: x.Path, Crashes: x.Crashes,
 			At: time.UnixMilli(x.At).UTC(), Quarantined: x.Quarantined(), Refused: e.quarantine.Refuses(x.Request),
 		})
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(out) // a reader that is gone needs no list
+	_ = json.NewEncoder(w).Encode(out) // an error means that the reader has disconnected
 }
 
-// letThrough takes up which requests operators let through.
-func (e *Edge) letThrough(c *version.Config) { e.quarantine.LetThrough(c.ReleasedFingerprints) }
+// applyLetThrough installs the list of requests that operators let through.
+func (e *Edge) applyLetThrough(c *version.Config) { e.quarantine.LetThrough(c.ReleasedFingerprints) }
--- a/process/edge/stop.go
+++ b/process/edge/stop.go
@@ -9,27 +9,27 @@
 
 // Times of a planned stop.
 const (
-	stopPoll = 10 * time.Millisecond
-	// idleTime is how long no request must have been in flight.
-	idleTime = 150 * time.Millisecond
-	// loopTime is how long the end of the process's loops is waited for.
-	loopTime = 200 * time.Millisecond
+	idlePollInterval = 10 * time.Millisecond
+	// minIdleTime is how long no request must have been in flight.
+	minIdleTime = 150 * time.Millisecond
+	// loopEndTimeout bounds the wait for the background loops.
+	loopEndTimeout = 200 * time.Millisecond
 )
 
-// Stop ends the instance as planned.
+// Stop stops the instance as planned.
 func (e *Edge) Stop() {
-	begun := time.Now()
+	start := time.Now()
 	e.leaving.Store(true)
 	e.members.SetLeaving()
 	e.proxy.DisableKeepAlives()
-	e.beats.Announce()
+	e.heartbeats.Announce()
 	e.log.Info().Int64("running", e.proxy.InFlight()).Msg("stopping")
-	go e.deleteRow()
+	go e.deleteInstanceRow()
 	time.Sleep(e.settings.linger())
-	e.beats.Announce()
-	ctx, cancel := context.WithDeadline(context.Background(), begun.Add(e.settings.grace()))
+	e.heartbeats.Announce()
+	ctx, cancel := context.WithDeadline(context.Background(), start.Add(e.settings.grace()))
 	defer cancel()
-	e.accepting.Drain()
+	e.frontListener.Drain()
 	e.awaitIdle(ctx)
 	ended := make(chan struct{})
 	go func() {
@@ -38,36 +38,36 @@
 	}()
 	select {
 	case <-ended:
-	case <-time.After(loopTime): // a call that does not end must not hold the process up
+	case <-time.After(loopEndTimeout): // a call that does not return must not delay the exit
 		e.log.Warn().Msg("loops-left")
 	}
-	e.log.Info().Int64("running", e.proxy.InFlight()).Dur("took", time.Since(begun)).Msg("stopped")
+	e.log.Info().Int64("running", e.proxy.InFlight()).Dur("took", time.Since(start)).Msg("stopped")
 }
 
-// awaitIdle waits until no request has been in flight for a moment, in which
-// requests that were under way to the draining listener arrive. What is in flight
-// when the context ends is cut off.
+// awaitIdle waits until no request has been in flight for minIdleTime, in which requests arrive
+// that were on their way to the draining listener. Requests that are in flight when the context
+// ends are aborted.
 func (e *Edge) awaitIdle(ctx context.Context) {
 	idle := time.Duration(0)
-	for idle < idleTime && ctx.Err() == nil {
-		time.Sleep(stopPoll)
-		idle += stopPoll
-		if e.proxy.InFlight() > 0 || e.fresh.count() > 0 {
+	for idle < minIdleTime && ctx.Err() == nil {
+		time.Sleep(idlePollInterval)
+		idle += idlePollInterval
+		if e.proxy.InFlight() > 0 || e.newConns.count() > 0 {
 			idle = 0
 		}
 	}
 }
 
-// Kill ends the instance at once.
+// Kill stops the instance at once.
 func (e *Edge) Kill() {
 	e.cancel()
 	for _, s := range e.servers {
-		_ = s.Close() // nothing more can be done about a failure
+		_ = s.Close() // nothing can be done about an error
 	}
 	e.loops.Wait()
 }
 
-func (e *Edge) deleteRow() {
+func (e *Edge) deleteInstanceRow() {
 	err := e.storeCall(context.Background(), func(ctx context.Context) error {
 		return e.deployment.Store.Delete(ctx, e.deployment.InstanceTable, e.settings.Instance)
 	})
