--- a/cmd/shalewick-edge/main.go
+++ b/cmd/shalewick-edge/main.go
@@ -62,7 +62,7 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&path, "boot", platform.DefaultSettings, "path of the platform's settings file")
+	f.StringVar(&path, "boot", platform.DefaultSettingsPath, "path of the platform's settings file")
 	f.StringVar(&level, "log-level", "info", "least level of log lines: debug, info, warn, error")
 	f.BoolVar(&check, "check", false, "check the settings, print what they say, and end")
 	f.IntVar(&collect, "collect", 50, "growth of the heap in percent after which garbage is collected")
@@ -87,7 +87,7 @@
 }
 
 func run(path, level string, signals <-chan os.Signal) error {
-	live, err := platform.ReadLive(path)
+	live, err := platform.LoadSettingsFile(path)
 	if err != nil {
 		return err
 	}
@@ -109,7 +109,7 @@
 
 // awaitEnd waits for the signal to end, and takes up changed settings
 // meanwhile, which may come with a signal or without.
-func awaitEnd(live *platform.Live, e *edge.Edge, signals <-chan os.Signal) {
+func awaitEnd(live *platform.SettingsFile, e *edge.Edge, signals <-chan os.Signal) {
 	look := time.NewTicker(lookPause)
 	defer look.Stop()
 	for {
@@ -120,7 +120,7 @@
 			}
 			e.Reloaded(live.Reload())
 		case <-look.C:
-			if live.Changed() {
+			if live.Modified() {
 				e.Reloaded(live.Reload())
 			}
 		}
