--- a/process/entry/balance.go
+++ b/process/entry/balance.go
@@ -111,16 +111,16 @@
 		e.log.Debug().Err(err).Str("peer", m.GetId()).Msg("lease-failed")
 		return 0
 	}
-	e.slots.Renewed(m.GetId(), fromTokens(reply.GetRenewed()), asked, e.now())
+	e.slots.ApplyRenewals(m.GetId(), fromTokens(reply.GetRenewed()), asked, e.now())
 	granted := fromTokens(reply.GetGranted())
-	e.slots.Borrow(m.GetId(), granted, asked, e.now())
+	e.slots.AddBorrowed(m.GetId(), granted, asked, e.now())
 	return len(granted)
 }
 
 // keepUp renews leases and returns tokens.
 func (b *balancer) keepUp(ctx context.Context) {
 	e := b.e
-	for lessor, u := range e.slots.Upkeep(e.now()) {
+	for lessor, u := range e.slots.MaintainLeases(e.now()) {
 		m := e.members.Find(lessor)
 		if m == nil {
 			continue
--- a/process/entry/entry_test.go
+++ b/process/entry/entry_test.go
@@ -92,7 +92,7 @@
 
 // FuzzAbsorb feeds what a peer may send.
 func FuzzAbsorb(f *testing.F) {
-	split, err := json.Marshal(slots.Split{Epoch: 2, Members: []string{"m"}, Pools: map[string]slots.PoolSplit{"upstream/u0": {Homes: []int32{0, 0}}}})
+	split, err := json.Marshal(slots.Split{Epoch: 2, Members: []string{"m"}, Pools: map[string]slots.PoolSplit{"upstream/u0": {Owners: []int32{0, 0}}}})
 	assert.NilError(f, err)
 	for _, st := range []*peer.State{
 		{},
--- a/process/entry/platform.go
+++ b/process/entry/platform.go
@@ -28,7 +28,7 @@
 	pollTime = 2 * time.Second
 	// pollAlone is the time without peers, when only the platform can
 	// confirm the version in force.
-	pollAlone = slots.ConfirmTime / 4
+	pollAlone = slots.ConfirmationTTL / 4
 	// pollPerMember bounds what all members ask for together: each polls the
 	// less often the more they are.
 	pollPerMember = 50 * time.Millisecond
--- a/process/entry/server.go
+++ b/process/entry/server.go
@@ -85,7 +85,7 @@
 
 // Return takes lent tokens back.
 func (p *peerServer) Return(_ context.Context, in *peer.ReturnRequest) (*peer.ReturnReply, error) {
-	p.e.slots.TakeBack(in.GetHolder(), fromTokens(in.GetTokens()), p.e.now())
+	p.e.slots.AcceptReturns(in.GetHolder(), fromTokens(in.GetTokens()), p.e.now())
 	return &peer.ReturnReply{}, nil
 }
 
@@ -127,7 +127,7 @@
 	}
 	for _, s := range e.slots.Status(now) {
 		out.Pools = append(out.Pools, &peer.PoolStatus{
-			Pool: s.Name, Size: int32(s.Size), Home: int32(s.Home), Free: int32(s.Free),
+			Pool: s.Name, Size: int32(s.Size), Home: int32(s.Owned), Free: int32(s.Free),
 			Busy: int32(s.Busy), Lent: int32(s.Lent), Borrowed: int32(s.Borrowed),
 		})
 	}
--- a/process/entry/split.go
+++ b/process/entry/split.go
@@ -89,19 +89,19 @@
 	}
 	now := e.now()
 	live := e.candidates(b.View)
-	in := slots.PlanInput{Live: live, Dead: e.members.Dead(now), View: b.View, Ceder: e.members.Self().GetId()}
+	in := slots.PlanInput{Live: live, Down: e.members.Dead(now), View: b.View, Planner: e.members.Self().GetId()}
 	_, needed := slots.Plan(e.slots.Split(), in)
 	if !needed {
 		e.splitter.due = 0
 		if e.rank(live) == 0 {
-			e.sweepRows(ctx, in.Dead)
+			e.sweepRows(ctx, in.Down)
 		}
 		if now-e.splitter.ceded < cedeEvery {
 			return
 		}
 		e.splitter.ceded = now
-		in.Ceded = e.slots.Cede(live, cedeLimit, now)
-		if len(in.Ceded) > 0 {
+		in.Transferred = e.slots.StartTransfer(live, cedeLimit, now)
+		if len(in.Transferred) > 0 {
 			e.commitSplit(ctx, in)
 		}
 		return
@@ -155,7 +155,7 @@
 
 // commitSplit plans on the platform's present split and commits the plan.
 func (e *Entry) commitSplit(ctx context.Context, in slots.PlanInput) {
-	e.splitter.ceding = in.Ceded
+	e.splitter.ceding = in.Transferred
 	if err := e.readSplit(ctx); err != nil {
 		e.splitter.boundTo = -1 // nothing was sent
 		return
@@ -216,7 +216,7 @@
 		e.writeSplit(ctx, &same, revision)
 		return false
 	}
-	e.slots.Uncede(s.ceding, e.now())
+	e.slots.CancelTransfer(s.ceding, e.now())
 	s.ceding = nil
 	s.boundTo = -1
 	return true
--- a/process/entry/split_test.go
+++ b/process/entry/split_test.go
@@ -66,7 +66,7 @@
 		assert.NilError(t, err)
 		own := 0
 		for i := range 4 {
-			if row.Home("upstream/u0", i) == self {
+			if row.Owner("upstream/u0", i) == self {
 				own++
 			}
 		}
--- a/process/entry/stop.go
+++ b/process/entry/stop.go
@@ -34,12 +34,12 @@
 func (e *Entry) Stop(ctx context.Context) {
 	begun := e.now()
 	e.members.UpdateSelf(func(m *peer.Member) { m.Leaving = true })
-	e.slots.Leave()
+	e.slots.StartDraining()
 	e.routes.proxy.DisableKeepAlives()
 	e.log.Info().Msg("stopping")
 	e.pushAll(ctx)
 	clock.Sleep(ctx, e.settings.Grace-keepBefore)
-	e.slots.Keep()
+	e.slots.StopLending()
 	clock.Sleep(ctx, min(e.settings.Grace, keepBefore))
 	e.front.Close()
 	e.awaitRunning(ctx)
@@ -144,10 +144,10 @@
 	live := e.candidates(b.View)
 	const tries = 3
 	for range tries {
-		in := slots.PlanInput{Live: live, View: b.View, Dead: e.members.Dead(e.now()), Ceder: e.members.Self().GetId()}
-		in.Ceded = e.slots.Cede(live, version.MaxSlots, e.now())
-		in.Ceded = append(in.Ceded, e.splitter.ceding...)
-		if len(in.Ceded) == 0 || len(live) == 0 {
+		in := slots.PlanInput{Live: live, View: b.View, Down: e.members.Dead(e.now()), Planner: e.members.Self().GetId()}
+		in.Transferred = e.slots.StartTransfer(live, version.MaxSlots, e.now())
+		in.Transferred = append(in.Transferred, e.splitter.ceding...)
+		if len(in.Transferred) == 0 || len(live) == 0 {
 			return
 		}
 		e.commitSplit(ctx, in)
--- a/process/slots/lease.go
+++ b/process/slots/lease.go
@@ -32,12 +32,12 @@
 func (t *Table) Lend(holder string, w Want, now time.Duration) []Lease {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.view == nil || t.keeping || holder == t.Self {
+	if t.view == nil || t.lendingStopped || holder == t.Self {
 		return nil
 	}
 	if w.Pool != "" {
 		p := t.pools[w.Pool]
-		if p == nil || p.place < 0 || p.wanted {
+		if p == nil || p.index < 0 || p.short {
 			return nil
 		}
 		return t.lendFrom(p, holder, w.Tokens, now)
@@ -60,7 +60,7 @@
 	if g == nil {
 		return 0
 	}
-	if g.waiting > 0 && !t.leaving {
+	if g.waiting > 0 && !t.draining {
 		return 0
 	}
 	free := 0
@@ -68,7 +68,7 @@
 		free += p.usable(now)
 	}
 	needed := int(math.Ceil(g.peak)) - g.busy
-	if t.leaving {
+	if t.draining {
 		needed = 0
 	}
 	return free - max(0, needed)
@@ -86,9 +86,9 @@
 		if t.view.Backends[u].Drained || t.counters.Closed[u].Load() {
 			continue
 		}
-		ps = append(ps, t.bound[t.view.Backends[u].Pool])
+		ps = append(ps, t.byIndex[t.view.Backends[u].Pool])
 	}
-	slices.SortStableFunc(ps, func(a, b *pool) int { return t.published(b) - t.published(a) })
+	slices.SortStableFunc(ps, func(a, b *pool) int { return t.publishedFree(b) - t.publishedFree(a) })
 	return ps
 }
 
@@ -101,11 +101,11 @@
 		if k.lessor != "" || !k.usable(now, p.size()) {
 			continue
 		}
-		t.leases++
+		t.lastLease++
 		k.state = stateLent
 		k.holder = holder
-		k.lease = t.leases
-		k.until = now + Lifetime(&p.spec)
+		k.lease = t.lastLease
+		k.until = now + ReclaimTime(&p.spec)
 		out = append(out, Lease{Pool: p.spec.Name, Index: k.index, Number: k.lease})
 	}
 	t.publish(p, now)
@@ -119,37 +119,37 @@
 	defer t.mu.Unlock()
 	var out []Lease
 	for _, l := range leases {
-		p, k := t.lent(holder, l)
-		if k == nil || k.state != stateLent || k.index >= p.size() || t.wantedBack(p) {
+		p, k := t.findLent(holder, l)
+		if k == nil || k.state != stateLent || k.index >= p.size() || t.neededHere(p) {
 			continue
 		}
-		k.until = now + Lifetime(&p.spec)
+		k.until = now + ReclaimTime(&p.spec)
 		out = append(out, l)
 	}
 	return out
 }
 
-func (t *Table) wantedBack(p *pool) bool {
-	return t.leaving || p.wanted || p.group != nil && p.group.waiting > 0
+func (t *Table) neededHere(p *pool) bool {
+	return t.draining || p.short || p.group != nil && p.group.waiting > 0
 }
 
-func (t *Table) lent(holder string, l Lease) (*pool, *token) {
+func (t *Table) findLent(holder string, l Lease) (*pool, *token) {
 	p := t.pools[l.Pool]
 	if p == nil {
 		return nil, nil
 	}
 	k := p.find(func(k *token) bool {
-		out := k.state == stateLent || k.state == stateAwaiting
+		out := k.state == stateLent || k.state == stateAwaitingResponse
 		return k.lessor == "" && out && k.index == l.Index && k.lease == l.Number && k.holder == holder
 	})
 	return p, k
 }
 
 // TakeBack frees tokens that a holder returned.
-func (t *Table) TakeBack(holder string, leases []Lease, now time.Duration) {
+func (t *Table) AcceptReturns(holder string, leases []Lease, now time.Duration) {
 	t.mu.Lock()
 	for _, l := range leases {
-		p, k := t.lent(holder, l)
+		p, k := t.findLent(holder, l)
 		if k == nil {
 			continue
 		}
@@ -163,7 +163,7 @@
 
 // Borrow adds tokens that a lessor lent. Asked is when the request for them
 // was sent; the lease is counted from there.
-func (t *Table) Borrow(lessor string, leases []Lease, asked, now time.Duration) {
+func (t *Table) AddBorrowed(lessor string, leases []Lease, asked, now time.Duration) {
 	t.mu.Lock()
 	for _, l := range leases {
 		p := t.pools[l.Pool]
@@ -180,7 +180,7 @@
 }
 
 // Renewed notes the leases that a lessor lengthened.
-func (t *Table) Renewed(lessor string, leases []Lease, asked, now time.Duration) {
+func (t *Table) ApplyRenewals(lessor string, leases []Lease, asked, now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, l := range leases {
@@ -197,23 +197,23 @@
 }
 
 // Upkeep is what is to be said to one lessor.
-type Upkeep struct {
+type LeaseUpdates struct {
 	Renew  []Lease
 	Return []Lease
 }
 
 // Times of a holder's upkeep.
 const (
-	renewBefore = LeaseTime * 2 / 3
-	idleReturn  = time.Second
+	renewWithin = LeaseTime * 2 / 3
+	idleTimeout = time.Second
 )
 
 // Upkeep goes through the borrowed tokens, drops those that are over or no
 // longer needed, and returns what to say to each lessor.
-func (t *Table) Upkeep(now time.Duration) map[string]*Upkeep {
+func (t *Table) MaintainLeases(now time.Duration) map[string]*LeaseUpdates {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make(map[string]*Upkeep)
+	out := make(map[string]*LeaseUpdates)
 	for name, p := range t.pools {
 		for i := len(p.tokens) - 1; i >= 0; i-- {
 			k := p.tokens[i]
@@ -222,17 +222,17 @@
 			}
 			u := out[k.lessor]
 			if u == nil {
-				u = &Upkeep{}
+				u = &LeaseUpdates{}
 				out[k.lessor] = u
 			}
 			l := Lease{Pool: name, Index: k.index, Number: k.lease}
-			idle := k.state == stateFree || k.state == stateResting && now >= k.until
+			idle := k.state == stateFree || k.state == stateDelayed && now >= k.until
 			switch {
 			case idle && (k.expired(now) || t.unneeded(p, k, now)):
 				p.remove(k)
 				t.publish(p, now)
 				u.Return = append(u.Return, l)
-			case !k.expired(now) && k.end-now < renewBefore:
+			case !k.expired(now) && k.end-now < renewWithin:
 				u.Renew = append(u.Renew, l)
 			}
 		}
@@ -241,22 +241,22 @@
 }
 
 // spareFactor is how far above the recent demand a member keeps tokens.
-const spareFactor = 1.25
+const demandHeadroom = 1.25
 
 // wantParts is the part of a link's or shift's tokens that is asked for at once.
-const wantParts = 16
+const borrowFraction = 16
 
 // Cede takes free tokens off this member that others should have, at most
 // limit, and returns them. They stay unusable until Uncede or a split that
 // gives them away.
-func (t *Table) Cede(live []Candidate, limit int, now time.Duration) []TokenID {
+func (t *Table) StartTransfer(live []Candidate, limit int, now time.Duration) []TokenID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.split == nil || t.view == nil {
 		return nil
 	}
 	var out []TokenID
-	for _, p := range t.bound {
+	for _, p := range t.byIndex {
 		surplus := t.split.Surplus(t.Self, Eligible(live, t.view, &p.spec), &p.spec)
 		for _, k := range p.tokens {
 			if surplus == 0 || len(out) >= limit {
@@ -265,7 +265,7 @@
 			if k.lessor != "" || k.state != stateFree || k.revoked {
 				continue
 			}
-			k.state = stateCeding
+			k.state = stateTransferring
 			surplus--
 			out = append(out, TokenID{Pool: p.spec.Name, Index: k.index})
 		}
@@ -275,11 +275,11 @@
 }
 
 // Uncede makes tokens usable again that were ceded but not given away.
-func (t *Table) Uncede(ids []TokenID, now time.Duration) {
+func (t *Table) CancelTransfer(ids []TokenID, now time.Duration) {
 	t.mu.Lock()
 	for _, id := range ids {
 		p := t.pools[id.Pool]
-		if k := p.atHome(id.Index); k != nil && k.state == stateCeding {
+		if k := p.owned(id.Index); k != nil && k.state == stateTransferring {
 			k.state = stateFree
 			t.publish(p, now)
 		}
@@ -289,18 +289,18 @@
 }
 
 // Leave makes the member lend and return all it can, and borrow nothing more.
-func (t *Table) Leave() {
+func (t *Table) StartDraining() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.leaving = true
+	t.draining = true
 }
 
 // Keep makes the member lend nothing more, so that all that it lent is back
 // after a lease.
-func (t *Table) Keep() {
+func (t *Table) StopLending() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.keeping = true
+	t.lendingStopped = true
 }
 
 // Outstanding reports whether tokens are lent out, borrowed or in use.
--- a/process/slots/sim_pools_test.go
+++ b/process/slots/sim_pools_test.go
@@ -9,7 +9,7 @@
 
 // borrow asks a home for tokens; request and answer can be late or lost.
 func (s *sim) borrow(m *simMember) {
-	from := s.awake()
+	from := s.randomRunning()
 	if m == nil || from == nil || from == m {
 		return
 	}
@@ -23,19 +23,19 @@
 			return
 		}
 		granted := from.table.Lend(m.id, w, s.now)
-		s.shorten(from)
+		s.shortenReclaim(from)
 		s.send(m, func() {
-			if s.variant.lateLease {
+			if s.variant.leaseFromArrival {
 				asked = s.now
 			}
-			m.table.Borrow(from.id, granted, asked, s.now)
+			m.table.AddBorrowed(from.id, granted, asked, s.now)
 		})
 	})
 }
 
 // shorten is the variant that takes back at the end of the lease.
-func (s *sim) shorten(m *simMember) {
-	if !s.variant.noDeadline {
+func (s *sim) shortenReclaim(m *simMember) {
+	if !s.variant.reclaimAtLeaseEnd {
 		return
 	}
 	for _, p := range m.table.pools {
@@ -47,58 +47,58 @@
 	}
 }
 
-func (s *sim) upkeep(m *simMember) {
+func (s *sim) maintainLeases(m *simMember) {
 	if m == nil {
 		return
 	}
-	upkeep := m.table.Upkeep(s.now)
+	upkeep := m.table.MaintainLeases(s.now)
 	for _, id := range slices.Sorted(maps.Keys(upkeep)) { // the same order in each run
 		u := upkeep[id]
 		lessor := s.find(id)
 		asked := s.now
-		s.send(lessor, func() { lessor.table.TakeBack(m.id, u.Return, s.now) })
+		s.send(lessor, func() { lessor.table.AcceptReturns(m.id, u.Return, s.now) })
 		s.send(lessor, func() {
 			renewed := lessor.table.Renew(m.id, u.Renew, s.now)
-			s.shorten(lessor)
-			s.send(m, func() { m.table.Renewed(id, renewed, asked, s.now) })
+			s.shortenReclaim(lessor)
+			s.send(m, func() { m.table.ApplyRenewals(id, renewed, asked, s.now) })
 		})
 	}
 }
 
 // split does a member's round of splitting: settle what it was ceding, then
 // plan and write, with an answer that can be lost or a write that lands late.
-func (s *sim) split(m *simMember) {
-	if m == nil || !s.settle(m) {
+func (s *sim) updateSplit(m *simMember) {
+	if m == nil || !s.finishTransfer(m) {
 		return
 	}
-	in := PlanInput{Dead: make(map[string]bool), View: m.view, Ceder: m.id}
+	in := PlanInput{Down: make(map[string]bool), View: m.view, Planner: m.id}
 	for _, o := range s.members {
-		if (o.dead || o.frozen) && s.now-o.since > s.lapse {
-			in.Dead[o.id] = true // its beat has lapsed and the list has dropped it
+		if (o.down || o.frozen) && s.now-o.since > s.downAfter {
+			in.Down[o.id] = true // its beat has lapsed and the list has dropped it
 			continue
 		}
-		if !o.dead {
+		if !o.down {
 			in.Live = append(in.Live, Candidate{ID: o.id, Region: "a"})
 		}
 	}
-	if m.table.Split().Epoch < s.row.Epoch {
-		m.table.SetSplit(s.row, s.now)
+	if m.table.Split().Epoch < s.storedSplit.Epoch {
+		m.table.SetSplit(s.storedSplit, s.now)
 		return
 	}
-	m.ceding = m.table.Cede(in.Live, 2, s.now)
-	in.Ceded = m.ceding
-	next, changed := Plan(s.row, in)
-	m.boundTo = -1
+	m.transferring = m.table.StartTransfer(in.Live, 2, s.now)
+	in.Transferred = m.transferring
+	next, changed := Plan(s.storedSplit, in)
+	m.writtenAt = -1
 	if !changed {
 		return
 	}
 	switch s.rnd.IntN(6) {
 	case 0: // the write lands, its answer is lost
-		m.boundTo = s.rev
+		m.writtenAt = s.storedRevision
 		s.write(next)
 	case 1, 2: // the write may land later
-		m.boundTo = s.rev
-		s.late = append(s.late, lateWrite{next, s.rev})
+		m.writtenAt = s.storedRevision
+		s.lateWrites = append(s.lateWrites, lateWrite{next, s.storedRevision})
 	default:
 		s.write(next)
 		m.table.SetSplit(next, s.now)
@@ -106,44 +106,44 @@
 }
 
 func (s *sim) write(next *Split) {
-	s.row = next
-	s.rev++
+	s.storedSplit = next
+	s.storedRevision++
 }
 
-func (s *sim) settle(m *simMember) bool {
-	if len(m.ceding) == 0 {
+func (s *sim) finishTransfer(m *simMember) bool {
+	if len(m.transferring) == 0 {
 		return true
 	}
-	m.table.SetSplit(s.row, s.now)
-	if m.boundTo >= 0 && s.rev == m.boundTo && !s.variant.uncedeEarly {
-		same := *s.row
+	m.table.SetSplit(s.storedSplit, s.now)
+	if m.writtenAt >= 0 && s.storedRevision == m.writtenAt && !s.variant.cancelTransferEarly {
+		same := *s.storedSplit
 		same.Epoch++
 		s.write(&same)
 		m.table.SetSplit(&same, s.now)
 		return false
 	}
-	m.table.Uncede(m.ceding, s.now)
-	m.ceding = nil
+	m.table.CancelTransfer(m.transferring, s.now)
+	m.transferring = nil
 	return s.rnd.IntN(4) == 0 // the next look for surplus comes later
 }
 
 // deliverLate lets some of what is on its way arrive.
-func (s *sim) deliverLate() {
-	if len(s.late) > 0 && s.rnd.IntN(8) == 0 {
-		w := s.late[0]
-		s.late = s.late[1:]
-		if w.rev == s.rev {
+func (s *sim) deliverDelayed() {
+	if len(s.lateWrites) > 0 && s.rnd.IntN(8) == 0 {
+		w := s.lateWrites[0]
+		s.lateWrites = s.lateWrites[1:]
+		if w.rev == s.storedRevision {
 			s.write(w.next)
 		}
 	}
-	all := s.mail
-	s.mail = nil
+	all := s.messages
+	s.messages = nil
 	for _, m := range all {
 		if s.rnd.IntN(4) == 0 {
 			s.deliver(m)
 			continue
 		}
-		s.mail = append(s.mail, m)
+		s.messages = append(s.messages, m)
 	}
 }
 
--- a/process/slots/sim_requests_test.go
+++ b/process/slots/sim_requests_test.go
@@ -24,26 +24,26 @@
 			c.Pools[0], c.NumPools = int32(i), 1
 		}
 	}
-	g, ok := m.table.Take(m.view.Seq, &c, s.now)
+	g, ok := m.table.Acquire(m.view.Seq, &c, s.now)
 	if !ok {
 		return
 	}
 	if s.rnd.IntN(6) == 0 { // frozen between the taking and the sending
 		s.now += time.Duration(s.rnd.IntN(12)) * time.Second
-		s.landFlights()
-		s.split(s.awake())
+		s.endExpiredRequests()
+		s.updateSplit(s.randomRunning())
 	}
 	if !s.fresh(m) || !m.table.Valid(&g, s.now) {
 		m.table.Release(&g, s.now)
 		return
 	}
-	f := &flight{by: m, grant: g, names: []TokenID{{name, g.tokens[0].index}}, end: s.now + s.deadline}
+	f := &simRequest{by: m, grant: g, names: []TokenID{{name, g.tokens[0].index}}, end: s.now + s.deadline}
 	s.check(f)
-	s.flying = append(s.flying, f)
+	s.inFlight = append(s.inFlight, f)
 }
 
-func (s *sim) check(f *flight) {
-	for _, other := range s.flying {
+func (s *sim) check(f *simRequest) {
+	for _, other := range s.inFlight {
 		if other.names[0] == f.names[0] && s.err == nil {
 			s.err = fmt.Errorf("at %v: %v used by %s and %s", s.now, f.names[0], other.by.id, f.by.id)
 		}
@@ -65,30 +65,30 @@
 }
 
 // landFlights ends requests at their deadline, as the backend server does.
-func (s *sim) landFlights() {
-	var keep []*flight
-	for _, f := range s.flying {
+func (s *sim) endExpiredRequests() {
+	var keep []*simRequest
+	for _, f := range s.inFlight {
 		if s.now < f.end {
 			keep = append(keep, f)
 			continue
 		}
 		s.release(f)
 	}
-	s.flying = keep
+	s.inFlight = keep
 }
 
-func (s *sim) release(f *flight) {
-	if f.by.dead {
+func (s *sim) release(f *simRequest) {
+	if f.by.down {
 		return
 	}
 	g := f.grant
 	by := f.by
 	free := func() {
 		by.table.Release(&g, s.now)
-		if s.variant.noRest {
+		if s.variant.noCooldown {
 			for _, p := range by.table.pools {
 				for _, k := range p.tokens {
-					if k.state == stateResting && p.spec.Kind == version.PoolRate {
+					if k.state == stateDelayed && p.spec.Kind == version.PoolRate {
 						k.state = stateFree
 					}
 				}
@@ -96,18 +96,18 @@
 		}
 	}
 	if by.frozen {
-		s.mail = append(s.mail, mail{by, free})
+		s.messages = append(s.messages, message{by, free})
 		return
 	}
 	free()
 }
 
 func (s *sim) finish() {
-	if len(s.flying) == 0 {
+	if len(s.inFlight) == 0 {
 		return
 	}
-	i := s.rnd.IntN(len(s.flying))
-	f := s.flying[i]
-	s.flying = append(s.flying[:i], s.flying[i+1:]...)
+	i := s.rnd.IntN(len(s.inFlight))
+	f := s.inFlight[i]
+	s.inFlight = append(s.inFlight[:i], s.inFlight[i+1:]...)
 	s.release(f)
 }
--- a/process/slots/sim_test.go
+++ b/process/slots/sim_test.go
@@ -22,12 +22,12 @@
 
 // variant switches one rule off, to see that the check finds it.
 type variant struct {
-	noFence     bool // tokens of the dead are used at once
-	noConfirm   bool // an unconfirmed member goes on dispatching
-	lateLease   bool // leases count from the answer's arrival
-	noDeadline  bool // a lessor takes back at the end of the lease
-	noRest      bool // rate tokens are free again at once
-	uncedeEarly bool // ceding is undone although its write may still land
+	noFence             bool // tokens of the dead are used at once
+	noConfirmation      bool // an unconfirmed member goes on dispatching
+	leaseFromArrival    bool // leases count from the answer's arrival
+	reclaimAtLeaseEnd   bool // a lessor takes back at the end of the lease
+	noCooldown          bool // rate tokens are free again at once
+	cancelTransferEarly bool // ceding is undone although its write may still land
 }
 
 const (
@@ -37,39 +37,39 @@
 
 // sim is one run.
 type sim struct {
-	rnd     *rand.Rand
-	variant variant
-	now     time.Duration
-	members []*simMember
-	row     *Split // in the platform
-	rev     int64
-	late    []lateWrite
-	flying  []*flight
-	starts  map[string][]time.Duration // of rate pools
-	mail    []mail
-	size    int
-	err     error
+	rnd            *rand.Rand
+	variant        variant
+	now            time.Duration
+	members        []*simMember
+	storedSplit    *Split // in the platform
+	storedRevision int64
+	lateWrites     []lateWrite
+	inFlight       []*simRequest
+	starts         map[string][]time.Duration // of rate pools
+	messages       []message
+	size           int
+	err            error
 	// deadline is that of requests, lapse how long a member must be frozen
 	// or dead before it is declared dead; both are drawn for each run.
-	deadline time.Duration
-	lapse    time.Duration
+	deadline  time.Duration
+	downAfter time.Duration
 }
 
 type simMember struct {
-	id        string
-	table     *Table
-	counters  *version.Counters
-	view      *version.View
-	frozen    bool
-	dead      bool
-	since     time.Duration // frozen or dead since
-	confirmed time.Duration
-	ceding    []TokenID
-	boundTo   int64
+	id           string
+	table        *Table
+	counters     *version.Counters
+	view         *version.View
+	frozen       bool
+	down         bool
+	since        time.Duration // frozen or dead since
+	confirmed    time.Duration
+	transferring []TokenID
+	writtenAt    int64
 }
 
 // flight is a request at a backend server.
-type flight struct {
+type simRequest struct {
 	by    *simMember
 	grant Grant
 	names []TokenID
@@ -83,7 +83,7 @@
 }
 
 // mail is a message on its way.
-type mail struct {
+type message struct {
 	to      *simMember
 	deliver func()
 }
@@ -117,22 +117,22 @@
 func newSim(seed uint64, v variant) *sim {
 	s := &sim{
 		rnd: rand.New(rand.NewPCG(seed, 1)), variant: v, now: time.Hour,
-		row: &Split{}, starts: make(map[string][]time.Duration), size: simSlots,
+		storedSplit: &Split{}, starts: make(map[string][]time.Duration), size: simSlots,
 	}
 	s.deadline = []time.Duration{time.Second, 12 * time.Second}[s.rnd.IntN(2)]
-	s.lapse = []time.Duration{0, 3 * time.Second}[s.rnd.IntN(2)]
+	s.downAfter = []time.Duration{0, 3 * time.Second}[s.rnd.IntN(2)]
 	for range 3 {
-		s.join()
+		s.addMember()
 	}
 	// The first member has all tokens at first and cedes to the others.
 	first := Candidate{ID: s.members[0].id, Region: "a"}
-	s.row, _ = Plan(s.row, PlanInput{Live: []Candidate{first}, View: s.members[0].view})
+	s.storedSplit, _ = Plan(s.storedSplit, PlanInput{Live: []Candidate{first}, View: s.members[0].view})
 	return s
 }
 
-func (s *sim) join() {
+func (s *sim) addMember() {
 	id := fmt.Sprintf("m%d", len(s.members))
-	m := &simMember{id: id, table: &Table{Self: id, OnFree: func(int32) {}}, boundTo: -1}
+	m := &simMember{id: id, table: &Table{Self: id, OnFree: func(int32) {}}, writtenAt: -1}
 	s.members = append(s.members, m)
 	s.install(m, 1)
 	s.confirm(m)
@@ -145,9 +145,9 @@
 }
 
 // awake returns a random member that runs, or nil.
-func (s *sim) awake() *simMember {
+func (s *sim) randomRunning() *simMember {
 	m := s.members[s.rnd.IntN(len(s.members))]
-	if m.frozen || m.dead {
+	if m.frozen || m.down {
 		return nil
 	}
 	return m
@@ -155,7 +155,7 @@
 
 // confirm reads the split from the platform; the answer can come late.
 func (s *sim) confirm(m *simMember) {
-	asked, split := s.now, s.row
+	asked, split := s.now, s.storedSplit
 	s.send(m, func() {
 		m.table.SetSplit(split, s.now)
 		m.confirmed = max(m.confirmed, asked)
@@ -168,7 +168,7 @@
 func (s *sim) dropFences(m *simMember) {
 	for _, p := range m.table.pools {
 		for _, k := range p.tokens {
-			if k.state == stateResting && p.spec.Kind != version.PoolRate {
+			if k.state == stateDelayed && p.spec.Kind != version.PoolRate {
 				k.until = s.now
 			}
 		}
@@ -180,33 +180,33 @@
 	switch s.rnd.IntN(8) {
 	case 0: // lost
 	case 1, 2:
-		s.mail = append(s.mail, mail{to, deliver})
+		s.messages = append(s.messages, message{to, deliver})
 	default:
-		s.deliver(mail{to, deliver})
+		s.deliver(message{to, deliver})
 	}
 }
 
-func (s *sim) deliver(m mail) {
-	if m.to.dead {
+func (s *sim) deliver(m message) {
+	if m.to.down {
 		return
 	}
 	if m.to.frozen {
-		s.mail = append(s.mail, m)
+		s.messages = append(s.messages, m)
 		return
 	}
 	m.deliver()
 }
 
 func (s *sim) fresh(m *simMember) bool {
-	return s.variant.noConfirm || s.now-m.confirmed < ConfirmTime
+	return s.variant.noConfirmation || s.now-m.confirmed < ConfirmationTTL
 }
 
 // step does one random thing.
 func (s *sim) step() {
 	s.now += time.Duration(s.rnd.IntN(200)) * time.Millisecond
-	s.landFlights()
-	s.deliverLate()
-	m := s.awake()
+	s.endExpiredRequests()
+	s.deliverDelayed()
+	m := s.randomRunning()
 	switch s.rnd.IntN(16) {
 	case 0, 1, 2, 3:
 		s.dispatch(m, m != nil && s.rnd.IntN(3) == 0)
@@ -215,20 +215,20 @@
 	case 5, 6:
 		s.borrow(m)
 	case 7:
-		s.upkeep(m)
+		s.maintainLeases(m)
 	case 8, 9:
 		for _, m := range s.members {
-			if !m.frozen && !m.dead {
+			if !m.frozen && !m.down {
 				m.table.Tick(s.now)
 				s.confirm(m)
 			}
 		}
 	case 10:
-		s.freezeOrDie()
+		s.freezeOrStop()
 	case 11:
 		s.thaw()
 	case 12, 13:
-		s.split(m)
+		s.updateSplit(m)
 	case 14, 15:
 		s.resize(m)
 	}
@@ -243,8 +243,8 @@
 	return nil
 }
 
-func (s *sim) freezeOrDie() {
-	m := s.awake()
+func (s *sim) freezeOrStop() {
+	m := s.randomRunning()
 	if m == nil {
 		return
 	}
@@ -253,9 +253,9 @@
 		m.frozen = true
 		return
 	}
-	m.dead = true
+	m.down = true
 	if len(s.members) < 6 {
-		s.join()
+		s.addMember()
 	}
 }
 
@@ -284,16 +284,16 @@
 
 // TestTokensAreConserved runs the simulation as the code is, and then with
 // each rule off, which must be found.
-func TestTokensAreConserved(t *testing.T) {
+func TestTokenConservation(t *testing.T) {
 	seed, err := simulate(variant{}, 400)
 	assert.NilError(t, err, "seed %d", seed)
 	for name, v := range map[string]variant{
 		"no fence":                      {noFence: true},
-		"no confirmation":               {noConfirm: true},
-		"lease from arrival":            {lateLease: true},
-		"taken back at the lease's end": {noDeadline: true},
-		"no rest of rate tokens":        {noRest: true},
-		"ceding undone early":           {uncedeEarly: true},
+		"no confirmation":               {noConfirmation: true},
+		"lease from arrival":            {leaseFromArrival: true},
+		"taken back at the lease's end": {reclaimAtLeaseEnd: true},
+		"no rest of rate tokens":        {noCooldown: true},
+		"ceding undone early":           {cancelTransferEarly: true},
 	} {
 		seed, err := simulate(v, 12000)
 		assert.Assert(t, err != nil, "%s was not found", name)
--- a/process/slots/split.go
+++ b/process/slots/split.go
@@ -24,7 +24,7 @@
 // PoolSplit is the split of one pool.
 type PoolSplit struct {
 	// Homes are indexes into Split.Members, by token.
-	Homes []int32 `json:"homes"`
+	Owners []int32 `json:"homes"`
 	// Fenced are the tokens that came from a dead member. Their home uses
 	// them only after a fence.
 	Fenced []int32 `json:"fenced,omitempty"`
@@ -33,7 +33,7 @@
 // Check returns an error for a split that names members that it does not have.
 func (s *Split) Check() error {
 	for name, ps := range s.Pools {
-		for _, h := range ps.Homes {
+		for _, h := range ps.Owners {
 			if int(h) >= len(s.Members) {
 				return errors.Errorf("split %d: %s has a home that is not listed", s.Epoch, name)
 			}
@@ -52,8 +52,8 @@
 }
 
 // Home returns the member that is the home of a token, or "".
-func (s *Split) Home(pool string, index int) string {
-	hs := s.Pools[pool].Homes
+func (s *Split) Owner(pool string, index int) string {
+	hs := s.Pools[pool].Owners
 	if index >= len(hs) || hs[index] < 0 {
 		return ""
 	}
@@ -75,12 +75,12 @@
 // PlanInput is what the next split is made from.
 type PlanInput struct {
 	Live []Candidate     // members that may get tokens
-	Dead map[string]bool // members whose tokens are split anew
+	Down map[string]bool // members whose tokens are split anew
 	// Ceder is the member that plans; Ceded are tokens that it has taken off
 	// itself. One whose home is another by now is left alone.
-	Ceder string
-	Ceded []TokenID
-	View  *version.View
+	Planner     string
+	Transferred []TokenID
+	View        *version.View
 }
 
 // Plan returns the split that follows old, and whether it differs. A token
@@ -90,7 +90,7 @@
 func Plan(old *Split, in PlanInput) (*Split, bool) {
 	p := newPlanner(old, in)
 	for i := range in.View.Pools {
-		p.pool(&in.View.Pools[i])
+		p.assignPool(&in.View.Pools[i])
 	}
 	if !p.changed {
 		return old, false
@@ -101,36 +101,36 @@
 }
 
 type planner struct {
-	old     *Split
-	in      PlanInput
-	next    *Split
-	ceded   map[TokenID]bool
-	totals  map[string]int // tokens by member
-	member  map[string]int32
-	changed bool
+	old         *Split
+	in          PlanInput
+	next        *Split
+	transferred map[TokenID]bool
+	totals      map[string]int // tokens by member
+	member      map[string]int32
+	changed     bool
 }
 
 func newPlanner(old *Split, in PlanInput) *planner {
 	p := &planner{
-		old:    old,
-		in:     in,
-		next:   &Split{Members: slices.Clone(old.Members), Pools: maps.Clone(old.Pools)},
-		ceded:  make(map[TokenID]bool),
-		totals: make(map[string]int),
-		member: make(map[string]int32),
+		old:         old,
+		in:          in,
+		next:        &Split{Members: slices.Clone(old.Members), Pools: maps.Clone(old.Pools)},
+		transferred: make(map[TokenID]bool),
+		totals:      make(map[string]int),
+		member:      make(map[string]int32),
 	}
 	if p.next.Pools == nil {
 		p.next.Pools = make(map[string]PoolSplit)
 	}
-	for _, id := range in.Ceded {
-		p.ceded[id] = true
+	for _, id := range in.Transferred {
+		p.transferred[id] = true
 	}
 	for i, id := range old.Members {
 		p.member[id] = int32(i)
 	}
 	for name, ps := range old.Pools {
-		for i := range ps.Homes {
-			if home := old.Home(name, i); p.keeps(name, i, home) {
+		for i := range ps.Owners {
+			if home := old.Owner(name, i); p.keepsOwner(name, i, home) {
 				p.totals[home]++
 			}
 		}
@@ -139,58 +139,58 @@
 }
 
 // keeps reports whether a token stays with its home.
-func (p *planner) keeps(pool string, index int, home string) bool {
-	ceded := home == p.in.Ceder && p.ceded[TokenID{pool, index}]
-	return home != "" && !p.in.Dead[home] && !ceded
+func (p *planner) keepsOwner(pool string, index int, home string) bool {
+	ceded := home == p.in.Planner && p.transferred[TokenID{pool, index}]
+	return home != "" && !p.in.Down[home] && !ceded
 }
 
 // pool splits what has no home in one pool. Tokens beyond a lowered size keep
 // their homes, so that they are still accounted for when the size rises again.
-func (p *planner) pool(pool *version.Pool) {
-	ps := p.old.Pools[pool.Name]
-	homes := slices.Clone(ps.Homes)
+func (p *planner) assignPool(assignPool *version.Pool) {
+	ps := p.old.Pools[assignPool.Name]
+	homes := slices.Clone(ps.Owners)
 	fenced := slices.Clone(ps.Fenced)
-	eligible := Eligible(p.in.Live, p.in.View, pool)
-	counts := p.counts(pool.Name, homes)
+	eligible := Eligible(p.in.Live, p.in.View, assignPool)
+	counts := p.tokenCounts(assignPool.Name, homes)
 	touched := false
-	for i := range max(pool.Size, len(homes)) {
-		home := p.old.Home(pool.Name, i)
-		if p.keeps(pool.Name, i, home) {
+	for i := range max(assignPool.Size, len(homes)) {
+		home := p.old.Owner(assignPool.Name, i)
+		if p.keepsOwner(assignPool.Name, i, home) {
 			continue
 		}
-		to := p.poorest(eligible, counts)
+		to := p.leastLoaded(eligible, counts)
 		if to == "" || to == home {
 			continue
 		}
 		for len(homes) <= i {
 			homes = append(homes, -1)
 		}
-		homes[i] = p.indexOf(to)
+		homes[i] = p.memberIndex(to)
 		counts[to]++
 		p.totals[to]++
 		fenced = slices.DeleteFunc(fenced, func(f int32) bool { return f == int32(i) })
-		if p.in.Dead[home] {
+		if p.in.Down[home] {
 			fenced = append(fenced, int32(i))
 		}
 		touched = true
 	}
 	if touched {
 		p.changed = true
-		p.next.Pools[pool.Name] = PoolSplit{Homes: homes, Fenced: fenced}
+		p.next.Pools[assignPool.Name] = PoolSplit{Owners: homes, Fenced: fenced}
 	}
 }
 
-func (p *planner) counts(pool string, homes []int32) map[string]int {
+func (p *planner) tokenCounts(pool string, homes []int32) map[string]int {
 	counts := make(map[string]int)
 	for i := range homes {
-		if home := p.old.Home(pool, i); p.keeps(pool, i, home) {
+		if home := p.old.Owner(pool, i); p.keepsOwner(pool, i, home) {
 			counts[home]++
 		}
 	}
 	return counts
 }
 
-func (p *planner) poorest(eligible []string, counts map[string]int) string {
+func (p *planner) leastLoaded(eligible []string, counts map[string]int) string {
 	if len(eligible) == 0 {
 		return ""
 	}
@@ -203,7 +203,7 @@
 	})
 }
 
-func (p *planner) indexOf(id string) int32 {
+func (p *planner) memberIndex(id string) int32 {
 	if i, ok := p.member[id]; ok {
 		return i
 	}
@@ -220,8 +220,8 @@
 	}
 	var members []string
 	for name, ps := range p.next.Pools {
-		homes := make([]int32, len(ps.Homes))
-		for i, h := range ps.Homes {
+		homes := make([]int32, len(ps.Owners))
+		for i, h := range ps.Owners {
 			if h < 0 {
 				homes[i] = -1
 				continue
@@ -232,7 +232,7 @@
 			}
 			homes[i] = used[h]
 		}
-		p.next.Pools[name] = PoolSplit{Homes: homes, Fenced: ps.Fenced}
+		p.next.Pools[name] = PoolSplit{Owners: homes, Fenced: ps.Fenced}
 	}
 	p.next.Members = members
 }
@@ -257,8 +257,8 @@
 // above an even share, rounded up, or all when it is not eligible.
 func (s *Split) Surplus(id string, eligible []string, pool *version.Pool) int {
 	own := 0
-	for i := range s.Pools[pool.Name].Homes {
-		if s.Home(pool.Name, i) == id {
+	for i := range s.Pools[pool.Name].Owners {
+		if s.Owner(pool.Name, i) == id {
 			own++
 		}
 	}
--- a/process/slots/status.go
+++ b/process/slots/status.go
@@ -7,7 +7,7 @@
 )
 
 // Held returns how many slots of a service this member can use at once now.
-func (t *Table) Held(service string, now time.Duration) int {
+func (t *Table) SlotCapacity(service string, now time.Duration) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
@@ -26,7 +26,7 @@
 type PoolStatus struct {
 	Name     string
 	Size     int
-	Home     int // at home here
+	Owned    int // at home here
 	Free     int // usable now, own or borrowed
 	Busy     int
 	Lent     int
@@ -37,18 +37,18 @@
 func (t *Table) Status(now time.Duration) []PoolStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make([]PoolStatus, 0, len(t.bound))
-	for _, p := range t.bound {
+	out := make([]PoolStatus, 0, len(t.byIndex))
+	for _, p := range t.byIndex {
 		s := PoolStatus{Name: p.spec.Name, Size: p.spec.Size, Free: p.usable(now), Busy: p.busy()}
 		for _, k := range p.tokens {
 			switch {
 			case k.lessor != "":
 				s.Borrowed++
-			case k.state == stateLent || k.state == stateAwaiting:
+			case k.state == stateLent || k.state == stateAwaitingResponse:
 				s.Lent++
-				s.Home++
+				s.Owned++
 			default:
-				s.Home++
+				s.Owned++
 			}
 		}
 		out = append(out, s)
@@ -56,21 +56,21 @@
 	return out
 }
 
-func (t *Table) published(p *pool) int {
-	if p.place < 0 {
+func (t *Table) publishedFree(p *pool) int {
+	if p.index < 0 {
 		return 0
 	}
-	return int(t.counters.Free[p.place].Load())
+	return int(t.counters.Free[p.index].Load())
 }
 
 func (t *Table) publish(p *pool, now time.Duration) {
-	if p.place >= 0 {
-		t.counters.Free[p.place].Store(int32(p.usable(now)))
+	if p.index >= 0 {
+		t.counters.Free[p.index].Store(int32(p.usable(now)))
 	}
 }
 
 func (t *Table) publishAll(now time.Duration) {
-	for _, p := range t.bound {
+	for _, p := range t.byIndex {
 		t.publish(p, now)
 	}
 }
--- a/process/slots/table.go
+++ b/process/slots/table.go
@@ -21,18 +21,18 @@
 	// AwaitWord calls then, without a lock of its own held, once a backend server
 	// has answered something that was sent at since or later. Nil means that
 	// time alone frees slot tokens.
-	AwaitWord func(backend string, since time.Duration, then func())
+	AwaitResponse func(backend string, since time.Duration, then func())
 
-	mu       sync.Mutex
-	view     *version.View
-	counters *version.Counters
-	split    *Split
-	pools    map[string]*pool
-	bound    []*pool // by index in the view's pools
-	groups   map[groupKey]*group
-	leases   uint64
-	leaving  bool // lends and returns all it can
-	keeping  bool // lends nothing more
+	mu             sync.Mutex
+	view           *version.View
+	counters       *version.Counters
+	split          *Split
+	pools          map[string]*pool
+	byIndex        []*pool // by index in the view's pools
+	groups         map[groupKey]*group
+	lastLease      uint64
+	draining       bool // lends and returns all it can
+	lendingStopped bool // lends nothing more
 }
 
 type groupKey struct {
@@ -51,26 +51,26 @@
 	t.view, t.counters = v, n
 	t.groups = make(map[groupKey]*group)
 	for _, p := range t.pools {
-		p.place = -1
+		p.index = -1
 		p.group = nil
 	}
-	t.bound = make([]*pool, len(v.Pools))
+	t.byIndex = make([]*pool, len(v.Pools))
 	for i, spec := range v.Pools {
 		p := t.pools[spec.Name]
 		if p == nil {
 			p = &pool{}
 			t.pools[spec.Name] = p
 		}
-		p.spec, p.place = spec, i
-		t.bound[i] = p
+		p.spec, p.index = spec, i
+		t.byIndex[i] = p
 	}
 	for i := range v.Backends {
 		u := &v.Backends[i]
-		p := t.bound[u.Pool]
+		p := t.byIndex[u.Pool]
 		p.group = t.groupOf(v.Services[u.Service].Name, v.Regions[u.Region], old)
 		p.group.busy += p.busy()
 	}
-	t.syncHomes(now)
+	t.syncOwned(now)
 	t.publishAll(now)
 }
 
@@ -107,7 +107,7 @@
 		return
 	}
 	t.split = s
-	t.syncHomes(now)
+	t.syncOwned(now)
 	t.publishAll(now)
 	t.mu.Unlock()
 	t.OnFree(version.None)
@@ -124,24 +124,24 @@
 }
 
 // syncHomes makes the tokens at home here those that the split names.
-func (t *Table) syncHomes(now time.Duration) {
+func (t *Table) syncOwned(now time.Duration) {
 	if t.split == nil {
 		return
 	}
 	for name, p := range t.pools {
-		t.loseTokens(name, p)
-		if p.place >= 0 {
-			t.gainHomes(name, p, now)
+		t.dropLost(name, p)
+		if p.index >= 0 {
+			t.addOwned(name, p, now)
 		}
 	}
 }
 
 // loseTokens drops the tokens that have another home now: own ones, and
 // borrowed ones that are no longer their lessor's.
-func (t *Table) loseTokens(name string, p *pool) {
+func (t *Table) dropLost(name string, p *pool) {
 	for i := len(p.tokens) - 1; i >= 0; i-- {
 		k := p.tokens[i]
-		if t.split.Home(name, k.index) == cmp.Or(k.lessor, t.Self) {
+		if t.split.Owner(name, k.index) == cmp.Or(k.lessor, t.Self) {
 			continue
 		}
 		if k.state == stateBusy {
@@ -152,20 +152,20 @@
 	}
 }
 
-func (t *Table) gainHomes(name string, p *pool, now time.Duration) {
+func (t *Table) addOwned(name string, p *pool, now time.Duration) {
 	ps := t.split.Pools[name]
 	fenced := make(map[int32]bool, len(ps.Fenced))
 	for _, i := range ps.Fenced {
 		fenced[i] = true
 	}
-	for i := range ps.Homes {
-		if t.split.Home(name, i) != t.Self || p.atHome(i) != nil {
+	for i := range ps.Owners {
+		if t.split.Owner(name, i) != t.Self || p.owned(i) != nil {
 			continue
 		}
 		k := &token{index: i}
 		if fenced[int32(i)] {
-			k.state = stateResting
-			k.until = now + Fence(&p.spec)
+			k.state = stateDelayed
+			k.until = now + FenceTime(&p.spec)
 		}
 		p.tokens = append(p.tokens, k)
 	}
@@ -177,30 +177,30 @@
 func (t *Table) Tick(now time.Duration) (soon bool) {
 	t.mu.Lock()
 	freed := false
-	var awaited []*awaitedToken
+	var awaited []*pendingToken
 	for _, p := range t.pools {
 		before := p.usable(now)
 		for _, k := range p.tokens {
-			over := k.state == stateResting || k.state == stateLent
-			soon = soon || k.state == stateResting && p.spec.Kind == version.PoolRate
+			over := k.state == stateDelayed || k.state == stateLent
+			soon = soon || k.state == stateDelayed && p.spec.Kind == version.PoolRate
 			if !over || now < k.until {
 				continue
 			}
-			if p.spec.Kind == version.PoolSlots && t.AwaitWord != nil {
-				k.state = stateAwaiting
-				awaited = append(awaited, &awaitedToken{table: t, pool: p, token: k, lease: k.lease})
+			if p.spec.Kind == version.PoolSlots && t.AwaitResponse != nil {
+				k.state = stateAwaitingResponse
+				awaited = append(awaited, &pendingToken{table: t, pool: p, token: k, lease: k.lease})
 				continue
 			}
 			k.state = stateFree
 			k.holder = ""
 		}
 		after := p.usable(now)
-		freed = freed || after > before || t.published(p) < after
+		freed = freed || after > before || t.publishedFree(p) < after
 		t.publish(p, now)
 	}
 	t.mu.Unlock()
 	for _, a := range awaited {
-		t.AwaitWord(a.pool.spec.Backend(), now, a.heard)
+		t.AwaitResponse(a.pool.spec.Backend(), now, a.responded)
 	}
 	if freed {
 		t.OnFree(version.None)
@@ -210,7 +210,7 @@
 
 // awaitedToken is a slot token whose time is over while its backend server may still
 // hold the request.
-type awaitedToken struct {
+type pendingToken struct {
 	table *Table
 	pool  *pool
 	token *token
@@ -218,10 +218,10 @@
 }
 
 // heard frees the token, unless it has been returned and lent anew.
-func (a *awaitedToken) heard() {
+func (a *pendingToken) responded() {
 	t := a.table
 	t.mu.Lock()
-	free := a.token.state == stateAwaiting && a.token.lease == a.lease
+	free := a.token.state == stateAwaitingResponse && a.token.lease == a.lease
 	if free {
 		a.token.state = stateFree
 		a.token.holder = ""
@@ -239,32 +239,32 @@
 	defer t.mu.Unlock()
 	for _, g := range t.groups {
 		g.peak /= 2
-		g.note()
+		g.updatePeak()
 	}
 	for _, p := range t.pools {
-		p.wanted = false
+		p.short = false
 	}
 }
 
 // Wait changes the number of requests that wait for a service in a region.
-func (t *Table) Wait(service, region string, by int) {
+func (t *Table) AddWaiting(service, region string, by int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	g := t.groupOf(service, region, nil)
 	g.waiting += by
-	g.note()
+	g.updatePeak()
 }
 
 // Miss notes that a request could have used one more slot of a service in a
 // region, and a token of each of the named pools.
-func (t *Table) Miss(service, region string, pools ...string) {
+func (t *Table) RecordShortage(service, region string, pools ...string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	g := t.groupOf(service, region, nil)
 	g.peak = max(g.peak, float64(g.busy+g.waiting+1))
 	for _, name := range pools {
 		if p := t.pools[name]; p != nil {
-			p.wanted = true
+			p.short = true
 		}
 	}
 }
--- a/process/slots/token.go
+++ b/process/slots/token.go
@@ -13,36 +13,36 @@
 	// LeaseTime is how long a borrowed token may be used for new requests.
 	LeaseTime = 1500 * time.Millisecond
 	// ConfirmTime is how long a view counts as confirmed (the V of the design).
-	ConfirmTime = 2 * time.Second
+	ConfirmationTTL = 2 * time.Second
 	// Margin covers the time on the way and clocks that run unevenly.
-	Margin = time.Second
+	SafetyMargin = time.Second
 	// RestTime is how long a rate token rests after its request's end.
-	RestTime = 1010 * time.Millisecond
+	RateCooldown = 1010 * time.Millisecond
 )
 
 // Fence is how long a token of a dead member is kept unused, counted from when
 // its new home learned of it: until the dead member can neither dispatch on an
 // unconfirmed view, nor a borrower on its lease, nor a request still run.
-func Fence(p *version.Pool) time.Duration {
-	return ConfirmTime + LeaseTime + p.Deadline + Margin
+func FenceTime(p *version.Pool) time.Duration {
+	return ConfirmationTTL + LeaseTime + p.Deadline + SafetyMargin
 }
 
 // Lifetime is how long the home waits for a lent token that is not returned.
-func Lifetime(p *version.Pool) time.Duration {
-	return LeaseTime + p.Deadline + Margin
+func ReclaimTime(p *version.Pool) time.Duration {
+	return LeaseTime + p.Deadline + SafetyMargin
 }
 
 type state uint8
 
 const (
-	stateFree    state = iota
-	stateBusy          // a request holds it
-	stateResting       // free at until
-	stateLent          // another member has it; back at until at the latest
-	stateCeding        // taken off, while its transaction runs
+	stateFree         state = iota
+	stateBusy               // a request holds it
+	stateDelayed            // free at until
+	stateLent               // another member has it; back at until at the latest
+	stateTransferring       // taken off, while its transaction runs
 	// stateAwaiting is a slot token whose time is over. It is free once its
 	// backend server was heard from, which may be frozen with the request in hand.
-	stateAwaiting
+	stateAwaitingResponse
 )
 
 // token is one token that is at home here or borrowed. The Table's lock guards it.
@@ -67,7 +67,7 @@
 	if t.index >= size || t.revoked || t.expired(now) {
 		return false
 	}
-	return t.state == stateFree || t.state == stateResting && now >= t.until
+	return t.state == stateFree || t.state == stateDelayed && now >= t.until
 }
 
 // expired reports whether a borrowed token's lease has ended.
@@ -78,10 +78,10 @@
 // pool is the part of a version.Pool's tokens that this member knows.
 type pool struct {
 	spec   version.Pool
-	place  int // index in the view's pools; -1 when not in the view
+	index  int // index in the view's pools; -1 when not in the view
 	tokens []*token
 	group  *group // of slot pools; nil otherwise
-	wanted bool   // a request lately lacked a token; not for slot pools
+	short  bool   // a request lately lacked a token; not for slot pools
 }
 
 // group adds up the slot pools of one service in one region.
@@ -91,13 +91,13 @@
 	peak    float64 // recent most of busy and waiting, decaying
 }
 
-func (g *group) note() {
+func (g *group) updatePeak() {
 	g.peak = max(g.peak, float64(g.busy+g.waiting))
 }
 
 // size returns the number of tokens that the version in force allows.
 func (p *pool) size() int {
-	if p.place < 0 {
+	if p.index < 0 {
 		return 0
 	}
 	return p.spec.Size
@@ -114,7 +114,7 @@
 }
 
 // take returns a usable token, its own before borrowed ones.
-func (p *pool) take(now time.Duration) *token {
+func (p *pool) pick(now time.Duration) *token {
 	var found *token
 	for _, t := range p.tokens {
 		if !t.usable(now, p.size()) {
@@ -138,7 +138,7 @@
 }
 
 // atHome returns the token with this index whose home is here, or nil.
-func (p *pool) atHome(index int) *token {
+func (p *pool) owned(index int) *token {
 	return p.find(func(t *token) bool { return t.lessor == "" && t.index == index })
 }
 
--- a/process/slots/upkeep.go
+++ b/process/slots/upkeep.go
@@ -11,7 +11,7 @@
 func (t *Table) Wants(now time.Duration) []Want {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.view == nil || t.leaving {
+	if t.view == nil || t.draining {
 		return nil
 	}
 	var out []Want
@@ -19,7 +19,7 @@
 		if g.peak < 0.5 {
 			continue
 		}
-		need := int(math.Ceil(g.peak*spareFactor)) + 1
+		need := int(math.Ceil(g.peak*demandHeadroom)) + 1
 		have := 0
 		for _, p := range t.groupPools(k.service, k.region) {
 			have += p.usable(now) + p.busy()
@@ -28,9 +28,9 @@
 			out = append(out, Want{Service: k.service, Region: k.region, Tokens: need - have})
 		}
 	}
-	for _, p := range t.bound {
-		if p.wanted && p.usable(now) == 0 {
-			out = append(out, Want{Pool: p.spec.Name, Tokens: 1 + p.spec.Size/wantParts})
+	for _, p := range t.byIndex {
+		if p.short && p.usable(now) == 0 {
+			out = append(out, Want{Pool: p.spec.Name, Tokens: 1 + p.spec.Size/borrowFraction})
 		}
 	}
 	return out
@@ -49,8 +49,8 @@
 		pools = []*pool{p}
 	}
 	for _, p := range pools {
-		for i := range t.split.Pools[p.spec.Name].Homes {
-			if home := t.split.Home(p.spec.Name, i); home != "" && home != t.Self {
+		for i := range t.split.Pools[p.spec.Name].Owners {
+			if home := t.split.Owner(p.spec.Name, i); home != "" && home != t.Self {
 				out[home] = true
 			}
 		}
@@ -59,14 +59,14 @@
 }
 
 func (t *Table) unneeded(p *pool, k *token, now time.Duration) bool {
-	if p.place < 0 || k.index >= p.size() || t.leaving {
+	if p.index < 0 || k.index >= p.size() || t.draining {
 		return true
 	}
-	if now-k.lastUsed < idleReturn {
+	if now-k.lastUsed < idleTimeout {
 		return false
 	}
 	if p.group == nil {
-		return !p.wanted
+		return !p.short
 	}
 	return p.group.waiting == 0
 }
--- a/process/steer/steer.go
+++ b/process/steer/steer.go
@@ -68,7 +68,7 @@
 // Fresh reports whether the version in force was confirmed lately.
 func (s *Steerer) Fresh() bool {
 	age, ok := s.Confirmed()
-	return ok && age < slots.ConfirmTime
+	return ok && age < slots.ConfirmationTTL
 }
 
 // Install puts a view in force.
@@ -213,7 +213,7 @@
 		if c.Backend == version.None {
 			return nil, c.Open
 		}
-		if g, ok := s.Slots.Take(b.View.Seq, &c, now); ok {
+		if g, ok := s.Slots.Acquire(b.View.Seq, &c, now); ok {
 			return &Place{Bound: b, Backend: c.Backend, Queue: b.Queues[svc], s: s, grant: g, since: now}, true
 		}
 	}
@@ -235,7 +235,7 @@
 // noteMiss tells the token table of tokens that were lacking.
 func (s *Steerer) noteMiss(b *Bound, q *version.Query, c *version.Choice) {
 	if c.Link != version.None {
-		s.Slots.Miss(b.View.Services[q.Service].Name, b.View.Regions[q.Region], b.View.Pools[c.Link].Name)
+		s.Slots.RecordShortage(b.View.Services[q.Service].Name, b.View.Regions[q.Region], b.View.Pools[c.Link].Name)
 	}
 	if c.Missed == version.None {
 		return
@@ -247,13 +247,13 @@
 			names = append(names, b.View.Pools[p].Name)
 		}
 	}
-	s.Slots.Miss(b.View.Services[q.Service].Name, b.View.Regions[c.Missed], names...)
+	s.Slots.RecordShortage(b.View.Services[q.Service].Name, b.View.Regions[c.Missed], names...)
 	s.Short()
 }
 
 // wait queues the request until it has a place or none in time.
 func (s *Steerer) wait(ctx context.Context, a *Ask, q *queue.Queue, limit int) (*Place, *request.Result) {
-	expect := q.Expect(q.Ahead(a.Class), s.Slots.Held(a.Service, s.Now()))
+	expect := q.Expect(q.Ahead(a.Class), s.Slots.SlotCapacity(a.Service, s.Now()))
 	if time.Until(a.Deadline) < expect {
 		return nil, refuse(request.DeadlineNear, expect)
 	}
@@ -264,8 +264,8 @@
 	}
 	defer q.Leave(w)
 	region := s.RegionName()
-	s.Slots.Wait(a.Service, region, 1)
-	defer s.Slots.Wait(a.Service, region, -1)
+	s.Slots.AddWaiting(a.Service, region, 1)
+	defer s.Slots.AddWaiting(a.Service, region, -1)
 	s.Short()
 	latest := time.NewTimer(time.Until(a.Deadline) - q.Expect(0, 1))
 	defer latest.Stop()
@@ -320,7 +320,7 @@
 // once it is heard from again.
 func (p *Place) release(silent bool) {
 	if silent {
-		p.s.Slots.ReleaseWay(&p.grant, p.s.Now())
+		p.s.Slots.ReleaseLinkAndRate(&p.grant, p.s.Now())
 		p.s.Health.AwaitWord(p.Name(), p.s.Now(), func() { p.release(false) })
 		return
 	}
