--- a/process/slots/await_test.go
+++ b/process/slots/await_test.go
@@ -11,86 +11,87 @@
 	"shalewick/version"
 )
 
-// words records whose word is awaited, and lets a test give it.
+// responses records the callbacks that wait for a backend server's response, and
+// lets a test run them.
 type responses struct {
 	callbacks map[string][]func()
 }
 
-func (w *responses) await(backend string, _ time.Duration, then func()) {
-	w.callbacks[backend] = append(w.callbacks[backend], then)
+func (r *responses) await(backend string, _ time.Duration, then func()) {
+	r.callbacks[backend] = append(r.callbacks[backend], then)
 }
 
-func (w *responses) deliver(backend string) {
-	due := w.callbacks[backend]
-	delete(w.callbacks, backend)
+func (r *responses) deliver(backend string) {
+	due := r.callbacks[backend]
+	delete(r.callbacks, backend)
 	for _, f := range due {
 		f()
 	}
 }
 
-// oneBackend is a table with all four slots of one backend server at home.
+// newOneBackendTable returns a table that owns all four slots of one backend server.
 func newOneBackendTable(t *testing.T, fenced []int32) (*Table, *responses) {
 	t.Helper()
-	docs := "kind: region\nname: r\nspec: {}\n---\nkind: hall\nname: h\nspec: {region: r}\n---\nkind: service\nname: s\n" +
+	config := "kind: region\nname: r\nspec: {}\n---\nkind: hall\nname: h\nspec: {region: r}\n---\nkind: service\nname: s\n" +
 		"spec: {routes: [{prefix: /, class: read, repeatable: true, deadline: 400ms}]}\n---\n" +
 		"kind: backend\nname: u\nspec: {service: s, hall: h, address: \"10.0.0.1:1\", slots: 4}\n"
-	rs, err := version.Parse([]byte(docs))
+	rs, err := version.Parse([]byte(config))
 	assert.NilError(t, err)
 	c, _, err := (&version.Config{}).Propose(version.Change{Operation: "o", Puts: rs})
 	assert.NilError(t, err)
 	v, err := version.Compile(c)
 	assert.NilError(t, err)
-	w := &responses{callbacks: make(map[string][]func())}
-	x := &Table{Self: "self", OnFree: func(int32) {}, AwaitResponse: w.await}
-	x.Install(v, version.NewCounters(v), 0)
-	x.SetSplit(&Split{Epoch: 1, Members: []string{"self"}, Pools: map[string]PoolSplit{
+	responses := &responses{callbacks: make(map[string][]func())}
+	table := &Table{Self: "self", OnFree: func(int32) {}, AwaitResponse: responses.await}
+	table.Install(v, version.NewCounters(v), 0)
+	table.SetSplit(&Split{Epoch: 1, Members: []string{"self"}, Pools: map[string]PoolSplit{
 		"upstream/u": {Owners: []int32{0, 0, 0, 0}, Fenced: fenced},
 	}}, 0)
-	return x, w
+	return table, responses
 }
 
-func freeCount(x *Table, now time.Duration) int { return x.Status(now)[0].Free }
+func freeCount(table *Table, now time.Duration) int { return table.Status(now)[0].Free }
 
-// TestTimeAloneFreesNoSlot is the known red of TestNoBackendAboveSlots: a
-// borrower dispatched to a backend server that is frozen and holds the request. The
-// lessor must not use the token before the backend server was heard from again.
+// A borrower may have dispatched a request to a backend server that is frozen and
+// still holds it. The lessor must not reuse the token before the backend server has
+// responded again, however long the lease is over; otherwise the backend server gets
+// more requests than it has slots, as TestNoBackendAboveSlots checks.
 func TestExpiredLeaseWaitsForBackendResponse(t *testing.T) {
-	x, w := newOneBackendTable(t, nil)
-	assert.Equal(t, freeCount(x, 0), 4)
-	lent := x.Lend("other", Want{Service: "s", Region: "r", Tokens: 2}, 0)
+	table, responses := newOneBackendTable(t, nil)
+	assert.Equal(t, freeCount(table, 0), 4)
+	lent := table.Lend("other", Want{Service: "s", Region: "r", Tokens: 2}, 0)
 	assert.Equal(t, len(lent), 2)
-	x.AcceptReturns("other", lent[:1], time.Second)
-	assert.Equal(t, freeCount(x, time.Second), 3, "a token that was returned is free")
-	late := ReclaimTime(&x.view.Pools[0]) + time.Second
-	x.Tick(late)
-	assert.Equal(t, freeCount(x, late), 3, "the other one waits for the backend server's word")
-	x.Tick(late + time.Hour)
-	assert.Equal(t, len(w.callbacks["u"]), 1, "the word is asked for once")
-	w.deliver("u")
-	assert.Equal(t, freeCount(x, late), 4)
+	table.AcceptReturns("other", lent[:1], time.Second)
+	assert.Equal(t, freeCount(table, time.Second), 3, "a token that was returned is free")
+	late := ReclaimTime(&table.view.Pools[0]) + time.Second
+	table.Tick(late)
+	assert.Equal(t, freeCount(table, late), 3, "the other one waits for a response of the backend server")
+	table.Tick(late + time.Hour)
+	assert.Equal(t, len(responses.callbacks["u"]), 1, "the response is awaited once")
+	responses.deliver("u")
+	assert.Equal(t, freeCount(table, late), 4)
 }
 
-// TestFenceAloneFreesNoSlot is the same for the tokens of a dead member.
+// The same as TestExpiredLeaseWaitsForBackendResponse for tokens of a member that is down.
 func TestExpiredFenceWaitsForBackendResponse(t *testing.T) {
-	x, w := newOneBackendTable(t, []int32{1, 2})
-	assert.Equal(t, freeCount(x, 0), 2)
-	late := FenceTime(&x.view.Pools[0]) + time.Second
-	x.Tick(late)
-	assert.Equal(t, freeCount(x, late), 2)
-	w.deliver("u")
-	assert.Equal(t, freeCount(x, late), 4)
+	table, responses := newOneBackendTable(t, []int32{1, 2})
+	assert.Equal(t, freeCount(table, 0), 2)
+	late := FenceTime(&table.view.Pools[0]) + time.Second
+	table.Tick(late)
+	assert.Equal(t, freeCount(table, late), 2)
+	responses.deliver("u")
+	assert.Equal(t, freeCount(table, late), 4)
 }
 
-// TestLateReturnFreesAnAwaitingToken checks that a holder that returns its token
-// after the lessor's time frees it.
+// A holder that returns its token after the reclaim time frees it.
 func TestLateReturnFreesAwaitingToken(t *testing.T) {
-	x, w := newOneBackendTable(t, nil)
-	lent := x.Lend("other", Want{Service: "s", Region: "r", Tokens: 1}, 0)
-	late := ReclaimTime(&x.view.Pools[0]) + time.Second
-	x.Tick(late)
-	x.AcceptReturns("other", lent, late)
-	assert.Equal(t, freeCount(x, late), 4)
-	again := x.Lend("other", Want{Service: "s", Region: "r", Tokens: 4}, late)
-	w.deliver("u") // the word of the earlier wait says nothing of the new lease
-	assert.Equal(t, freeCount(x, late), 4-len(again))
+	table, responses := newOneBackendTable(t, nil)
+	lent := table.Lend("other", Want{Service: "s", Region: "r", Tokens: 1}, 0)
+	late := ReclaimTime(&table.view.Pools[0]) + time.Second
+	table.Tick(late)
+	table.AcceptReturns("other", lent, late)
+	assert.Equal(t, freeCount(table, late), 4)
+	again := table.Lend("other", Want{Service: "s", Region: "r", Tokens: 4}, late)
+	responses.deliver("u") // the response awaited for the earlier lease must not free the newly lent tokens
+	assert.Equal(t, freeCount(table, late), 4-len(again))
 }
--- a/process/slots/grant.go
+++ b/process/slots/grant.go
@@ -8,15 +8,16 @@
 	"shalewick/version"
 )
 
-// Grant is what a request holds: one token of each pool that it needs.
+// Grant holds the tokens of a request: one from each pool that it needs.
 type Grant struct {
 	count  int
 	pools  [version.MaxPools]*pool
 	tokens [version.MaxPools]*token
 }
 
-// Take takes one token of each pool that the choice needs, or none. The seq
-// is that of the view that the choice was made on.
+// Acquire takes one token from each pool that the choice needs, or none at all.
+// It fails if seq, the sequence number of the view that the choice was made on,
+// is no longer in force.
 func (t *Table) Acquire(seq int64, c *version.Choice, now time.Duration) (Grant, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -24,17 +25,17 @@
 	if t.view == nil || t.view.Seq != seq {
 		return g, false
 	}
-	for _, place := range c.Pools[:c.NumPools] {
-		p := t.byIndex[place]
-		k := p.pick(now)
-		if k == nil {
+	for _, index := range c.Pools[:c.NumPools] {
+		p := t.byIndex[index]
+		tok := p.pick(now)
+		if tok == nil {
 			t.rollback(&g, now)
 			t.publish(p, now)
 			return Grant{}, false
 		}
-		k.state = stateBusy
-		k.lastUsed = now
-		g.pools[g.count], g.tokens[g.count] = p, k
+		tok.state = stateBusy
+		tok.lastUsed = now
+		g.pools[g.count], g.tokens[g.count] = p, tok
 		g.count++
 		if p.group != nil {
 			p.group.busy++
@@ -45,11 +46,11 @@
 	return g, true
 }
 
-// undo puts tokens back that no request used.
+// rollback frees tokens that no request has used.
 func (t *Table) rollback(g *Grant, now time.Duration) {
 	for i := range g.count {
-		p, k := g.pools[i], g.tokens[i]
-		k.state = stateFree
+		p, tok := g.pools[i], g.tokens[i]
+		tok.state = stateFree
 		if p.group != nil {
 			p.group.busy--
 		}
@@ -58,21 +59,22 @@
 	g.count = 0
 }
 
-// Valid reports whether the tokens may still be used for a request that has
-// not left yet.
+// Valid reports whether the tokens may still be used for a request that has not
+// been sent yet.
 func (t *Table) Valid(g *Grant, now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range g.count {
-		k := g.tokens[i]
-		if k.revoked || k.expired(now) || k.index >= g.pools[i].size() {
+		tok := g.tokens[i]
+		if tok.revoked || tok.expired(now) || tok.index >= g.pools[i].size() {
 			return false
 		}
 	}
 	return true
 }
 
-// Release gives the tokens of a grant back, after the backend server let go.
+// Release returns the tokens of a grant once the backend server has finished with
+// the request.
 func (t *Table) Release(g *Grant, now time.Duration) {
 	t.mu.Lock()
 	for i := range g.count {
@@ -83,18 +85,17 @@
 	t.OnFree(version.None)
 }
 
-// ReleaseWay gives back the tokens for the way to the backend server only: those of
-// links and rates.
+// ReleaseLinkAndRate returns only the link and rate tokens of a grant.
 func (t *Table) ReleaseLinkAndRate(g *Grant, now time.Duration) {
 	t.mu.Lock()
 	kept := 0
 	for i := range g.count {
-		p, k := g.pools[i], g.tokens[i]
+		p, tok := g.pools[i], g.tokens[i]
 		if p.spec.Kind == version.PoolLink || p.spec.Kind == version.PoolRate {
-			t.release(p, k, now)
+			t.release(p, tok, now)
 			continue
 		}
-		g.pools[kept], g.tokens[kept] = p, k
+		g.pools[kept], g.tokens[kept] = p, tok
 		kept++
 	}
 	g.count = kept
@@ -102,15 +103,15 @@
 	t.OnFree(version.None)
 }
 
-func (t *Table) release(p *pool, k *token, now time.Duration) {
-	k.state = stateFree
-	k.lastUsed = now
+func (t *Table) release(p *pool, tok *token, now time.Duration) {
+	tok.state = stateFree
+	tok.lastUsed = now
 	if p.spec.Kind == version.PoolRate {
-		k.state = stateDelayed
-		k.until = now + RateCooldown
+		tok.state = stateDelayed
+		tok.until = now + RateCooldown
 	}
-	if k.revoked {
-		p.remove(k)
+	if tok.revoked {
+		p.remove(tok)
 	}
 	if p.group != nil {
 		p.group.busy--
--- a/process/slots/lease.go
+++ b/process/slots/lease.go
@@ -10,16 +10,16 @@
 	"shalewick/version"
 )
 
-// Lease names a token that was lent.
+// Lease identifies a lent token.
 type Lease struct {
 	Pool  string
 	Index int
-	// Number is the lessor's own number for the lease.
+	// Number is the lease number, assigned by the lessor.
 	Number uint64
 }
 
-// Want is a number of tokens that a member would like to borrow: of one pool,
-// or, with Pool empty, slot tokens of a service in a region.
+// Want is a number of tokens that a member would like to borrow: tokens of one
+// pool, or, if Pool is empty, slot tokens of a service in a region.
 type Want struct {
 	Pool    string
 	Service string
@@ -27,8 +27,8 @@
 	Tokens  int
 }
 
-// Lend takes free tokens off this member for a holder. It keeps back what its
-// own requests lately needed.
+// Lend lends free tokens to a holder. It keeps as many as this member's own
+// requests have recently needed.
 func (t *Table) Lend(holder string, w Want, now time.Duration) []Lease {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -54,7 +54,8 @@
 	return out
 }
 
-// spare returns how many tokens of a group its own requests do not need.
+// spare returns how many free tokens of a group this member's own requests do not
+// need.
 func (t *Table) spare(service, region string, pools []*pool, now time.Duration) int {
 	g := t.groups[groupKey{service, region}]
 	if g == nil {
@@ -74,8 +75,8 @@
 	return free - max(0, needed)
 }
 
-// groupPools returns the pools of the open backend servers of a service in a region,
-// those with the most free tokens first.
+// groupPools returns the pools of the backend servers of a service in a region that
+// are open to requests, those with the most free tokens first.
 func (t *Table) groupPools(service, region string) []*pool {
 	s, r := t.view.Service(service), t.view.Region(region)
 	if s == version.None || r == version.None {
@@ -94,84 +95,86 @@
 
 func (t *Table) lendFrom(p *pool, holder string, limit int, now time.Duration) []Lease {
 	var out []Lease
-	for _, k := range p.tokens {
+	for _, tok := range p.tokens {
 		if len(out) >= limit {
 			break
 		}
-		if k.lessor != "" || !k.usable(now, p.size()) {
+		if tok.lessor != "" || !tok.usable(now, p.size()) {
 			continue
 		}
 		t.lastLease++
-		k.state = stateLent
-		k.holder = holder
-		k.lease = t.lastLease
-		k.until = now + ReclaimTime(&p.spec)
-		out = append(out, Lease{Pool: p.spec.Name, Index: k.index, Number: k.lease})
+		tok.state = stateLent
+		tok.holder = holder
+		tok.lease = t.lastLease
+		tok.until = now + ReclaimTime(&p.spec)
+		out = append(out, Lease{Pool: p.spec.Name, Index: tok.index, Number: tok.lease})
 	}
 	t.publish(p, now)
 	return out
 }
 
-// Renew lengthens leases of a holder. It leaves out tokens that are no longer
-// here, or that this member wants back.
+// Renew extends a holder's leases and returns those that it extended. It omits
+// tokens that this member no longer owns or needs itself.
 func (t *Table) Renew(holder string, leases []Lease, now time.Duration) []Lease {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Lease
 	for _, l := range leases {
-		p, k := t.findLent(holder, l)
-		if k == nil || k.state != stateLent || k.index >= p.size() || t.neededHere(p) {
+		p, tok := t.findLent(holder, l)
+		if tok == nil || tok.state != stateLent || tok.index >= p.size() || t.neededHere(p) {
 			continue
 		}
-		k.until = now + ReclaimTime(&p.spec)
+		tok.until = now + ReclaimTime(&p.spec)
 		out = append(out, l)
 	}
 	return out
 }
 
+// neededHere reports whether this member wants the lent tokens of a pool back.
 func (t *Table) neededHere(p *pool) bool {
 	return t.draining || p.short || p.group != nil && p.group.waiting > 0
 }
 
+// findLent returns the lent token that a lease identifies and its pool.
 func (t *Table) findLent(holder string, l Lease) (*pool, *token) {
 	p := t.pools[l.Pool]
 	if p == nil {
 		return nil, nil
 	}
-	k := p.find(func(k *token) bool {
-		out := k.state == stateLent || k.state == stateAwaitingResponse
-		return k.lessor == "" && out && k.index == l.Index && k.lease == l.Number && k.holder == holder
+	tok := p.find(func(tok *token) bool {
+		out := tok.state == stateLent || tok.state == stateAwaitingResponse
+		return tok.lessor == "" && out && tok.index == l.Index && tok.lease == l.Number && tok.holder == holder
 	})
-	return p, k
+	return p, tok
 }
 
-// TakeBack frees tokens that a holder returned.
+// AcceptReturns frees tokens that a holder has returned.
 func (t *Table) AcceptReturns(holder string, leases []Lease, now time.Duration) {
 	t.mu.Lock()
 	for _, l := range leases {
-		p, k := t.findLent(holder, l)
-		if k == nil {
+		p, tok := t.findLent(holder, l)
+		if tok == nil {
 			continue
 		}
-		k.state = stateFree
-		k.holder = ""
+		tok.state = stateFree
+		tok.holder = ""
 		t.publish(p, now)
 	}
 	t.mu.Unlock()
 	t.OnFree(version.None)
 }
 
-// Borrow adds tokens that a lessor lent. Asked is when the request for them
-// was sent; the lease is counted from there.
-func (t *Table) AddBorrowed(lessor string, leases []Lease, asked, now time.Duration) {
+// AddBorrowed adds tokens that a lessor has lent. The leases run from requestedAt,
+// when the request for them was sent.
+func (t *Table) AddBorrowed(lessor string, leases []Lease, requestedAt, now time.Duration) {
 	t.mu.Lock()
 	for _, l := range leases {
 		p := t.pools[l.Pool]
 		if p == nil {
-			continue // the lessor takes it back in time
+			continue // the lessor reclaims it in time
 		}
 		p.tokens = append(p.tokens, &token{
-			index: l.Index, lessor: lessor, lease: l.Number, end: asked + LeaseTime, lastUsed: now,
+			index: l.Index, lessor: lessor, lease: l.Number, end: requestedAt + LeaseTime, lastUsed: now,
 		})
 		t.publish(p, now)
 	}
@@ -179,8 +182,9 @@
 	t.OnFree(version.None)
 }
 
-// Renewed notes the leases that a lessor lengthened.
-func (t *Table) ApplyRenewals(lessor string, leases []Lease, asked, now time.Duration) {
+// ApplyRenewals extends the leases that a lessor has renewed. They run from
+// requestedAt, when the request was sent.
+func (t *Table) ApplyRenewals(lessor string, leases []Lease, requestedAt, now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, l := range leases {
@@ -188,51 +192,53 @@
 		if p == nil {
 			continue
 		}
-		k := p.find(func(k *token) bool { return k.lessor == lessor && k.lease == l.Number && k.index == l.Index })
-		if k == nil || k.expired(now) {
+		tok := p.find(func(tok *token) bool { return tok.lessor == lessor && tok.lease == l.Number && tok.index == l.Index })
+		if tok == nil || tok.expired(now) {
 			continue
 		}
-		k.end = max(k.end, asked+LeaseTime)
+		tok.end = max(tok.end, requestedAt+LeaseTime)
 	}
 }
 
-// Upkeep is what is to be said to one lessor.
+// LeaseUpdates lists the leases to renew with one lessor and those to return to it.
 type LeaseUpdates struct {
 	Renew  []Lease
 	Return []Lease
 }
 
-// Times of a holder's upkeep.
+// Thresholds for a holder's lease maintenance.
 const (
+	// renewWithin is the remaining lease time below which a lease is renewed.
 	renewWithin = LeaseTime * 2 / 3
+	// idleTimeout is how long a borrowed token may be unused before it is returned.
 	idleTimeout = time.Second
 )
 
-// Upkeep goes through the borrowed tokens, drops those that are over or no
-// longer needed, and returns what to say to each lessor.
+// MaintainLeases drops borrowed tokens that have expired or are no longer needed,
+// and returns the updates to send, by lessor.
 func (t *Table) MaintainLeases(now time.Duration) map[string]*LeaseUpdates {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make(map[string]*LeaseUpdates)
 	for name, p := range t.pools {
 		for i := len(p.tokens) - 1; i >= 0; i-- {
-			k := p.tokens[i]
-			if k.lessor == "" {
+			tok := p.tokens[i]
+			if tok.lessor == "" {
 				continue
 			}
-			u := out[k.lessor]
+			u := out[tok.lessor]
 			if u == nil {
 				u = &LeaseUpdates{}
-				out[k.lessor] = u
+				out[tok.lessor] = u
 			}
-			l := Lease{Pool: name, Index: k.index, Number: k.lease}
-			idle := k.state == stateFree || k.state == stateDelayed && now >= k.until
+			l := Lease{Pool: name, Index: tok.index, Number: tok.lease}
+			idle := tok.state == stateFree || tok.state == stateDelayed && now >= tok.until
 			switch {
-			case idle && (k.expired(now) || t.unneeded(p, k, now)):
-				p.remove(k)
+			case idle && (tok.expired(now) || t.unneeded(p, tok, now)):
+				p.remove(tok)
 				t.publish(p, now)
 				u.Return = append(u.Return, l)
-			case !k.expired(now) && k.end-now < renewWithin:
+			case !tok.expired(now) && tok.end-now < renewWithin:
 				u.Renew = append(u.Renew, l)
 			}
 		}
@@ -240,15 +246,17 @@
 	return out
 }
 
-// spareFactor is how far above the recent demand a member keeps tokens.
+// demandHeadroom is the factor by which a member keeps more tokens than its recent
+// demand.
 const demandHeadroom = 1.25
 
-// wantParts is the part of a link's or shift's tokens that is asked for at once.
+// borrowFraction is the divisor of a link's or shift's size that gives how many of
+// its tokens are requested at once.
 const borrowFraction = 16
 
-// Cede takes free tokens off this member that others should have, at most
-// limit, and returns them. They stay unusable until Uncede or a split that
-// gives them away.
+// StartTransfer withholds up to limit free tokens that other members should own,
+// and returns them. They stay unusable until CancelTransfer, or until a split
+// assigns them to another owner.
 func (t *Table) StartTransfer(live []Candidate, limit int, now time.Duration) []TokenID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -258,29 +266,29 @@
 	var out []TokenID
 	for _, p := range t.byIndex {
 		surplus := t.split.Surplus(t.Self, Eligible(live, t.view, &p.spec), &p.spec)
-		for _, k := range p.tokens {
+		for _, tok := range p.tokens {
 			if surplus == 0 || len(out) >= limit {
 				break
 			}
-			if k.lessor != "" || k.state != stateFree || k.revoked {
+			if tok.lessor != "" || tok.state != stateFree || tok.revoked {
 				continue
 			}
-			k.state = stateTransferring
+			tok.state = stateTransferring
 			surplus--
-			out = append(out, TokenID{Pool: p.spec.Name, Index: k.index})
+			out = append(out, TokenID{Pool: p.spec.Name, Index: tok.index})
 		}
 		t.publish(p, now)
 	}
 	return out
 }
 
-// Uncede makes tokens usable again that were ceded but not given away.
+// CancelTransfer makes tokens usable again whose transfer was not written.
 func (t *Table) CancelTransfer(ids []TokenID, now time.Duration) {
 	t.mu.Lock()
 	for _, id := range ids {
 		p := t.pools[id.Pool]
-		if k := p.owned(id.Index); k != nil && k.state == stateTransferring {
-			k.state = stateFree
+		if tok := p.owned(id.Index); tok != nil && tok.state == stateTransferring {
+			tok.state = stateFree
 			t.publish(p, now)
 		}
 	}
@@ -288,28 +296,29 @@
 	t.OnFree(version.None)
 }
 
-// Leave makes the member lend and return all it can, and borrow nothing more.
+// StartDraining makes the member lend and return as many tokens as possible, and
+// borrow no more.
 func (t *Table) StartDraining() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.draining = true
 }
 
-// Keep makes the member lend nothing more, so that all that it lent is back
-// after a lease.
+// StopLending makes the member lend no more tokens, so that all tokens that it has
+// lent are back after one lease.
 func (t *Table) StopLending() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lendingStopped = true
 }
 
-// Outstanding reports whether tokens are lent out, borrowed or in use.
+// Outstanding reports whether tokens are lent, borrowed or in use.
 func (t *Table) Outstanding() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range t.pools {
-		for _, k := range p.tokens {
-			if k.lessor != "" || k.state == stateLent || k.state == stateBusy {
+		for _, tok := range p.tokens {
+			if tok.lessor != "" || tok.state == stateLent || tok.state == stateBusy {
 				return true
 			}
 		}
--- a/process/slots/sim_pools_test.go
+++ b/process/slots/sim_pools_test.go
@@ -7,41 +7,43 @@
 	"slices"
 )
 
-// borrow asks a home for tokens; request and answer can be late or lost.
+// borrow requests tokens from an owner. The request and the response can be delayed or
+// lost.
 func (s *sim) borrow(m *simMember) {
-	from := s.randomRunning()
-	if m == nil || from == nil || from == m {
+	lessor := s.randomRunning()
+	if m == nil || lessor == nil || lessor == m {
 		return
 	}
 	w := Want{Service: "s", Region: "a", Tokens: 2}
 	if s.rnd.IntN(3) == 0 {
 		w = Want{Pool: "shift/x/rate", Tokens: 1}
 	}
-	asked := s.now
-	s.send(from, func() {
-		if !s.fresh(from) {
+	requestedAt := s.now
+	s.send(lessor, func() {
+		if !s.fresh(lessor) {
 			return
 		}
-		granted := from.table.Lend(m.id, w, s.now)
-		s.shortenReclaim(from)
+		granted := lessor.table.Lend(m.id, w, s.now)
+		s.shortenReclaim(lessor)
 		s.send(m, func() {
 			if s.variant.leaseFromArrival {
-				asked = s.now
+				requestedAt = s.now
 			}
-			m.table.AddBorrowed(from.id, granted, asked, s.now)
+			m.table.AddBorrowed(lessor.id, granted, requestedAt, s.now)
 		})
 	})
 }
 
-// shorten is the variant that takes back at the end of the lease.
+// shortenReclaim implements variant.reclaimAtLeaseEnd: the lessor reclaims lent tokens
+// when their lease ends.
 func (s *sim) shortenReclaim(m *simMember) {
 	if !s.variant.reclaimAtLeaseEnd {
 		return
 	}
 	for _, p := range m.table.pools {
-		for _, k := range p.tokens {
-			if k.state == stateLent {
-				k.until = min(k.until, s.now+LeaseTime)
+		for _, tok := range p.tokens {
+			if tok.state == stateLent {
+				tok.until = min(tok.until, s.now+LeaseTime)
 			}
 		}
 	}
@@ -51,34 +53,35 @@
 	if m == nil {
 		return
 	}
-	upkeep := m.table.MaintainLeases(s.now)
-	for _, id := range slices.Sorted(maps.Keys(upkeep)) { // the same order in each run
-		u := upkeep[id]
+	updates := m.table.MaintainLeases(s.now)
+	for _, id := range slices.Sorted(maps.Keys(updates)) { // a fixed order makes runs reproducible
+		u := updates[id]
 		lessor := s.find(id)
-		asked := s.now
+		requestedAt := s.now
 		s.send(lessor, func() { lessor.table.AcceptReturns(m.id, u.Return, s.now) })
 		s.send(lessor, func() {
 			renewed := lessor.table.Renew(m.id, u.Renew, s.now)
 			s.shortenReclaim(lessor)
-			s.send(m, func() { m.table.ApplyRenewals(id, renewed, asked, s.now) })
+			s.send(m, func() { m.table.ApplyRenewals(id, renewed, requestedAt, s.now) })
 		})
 	}
 }
 
-// split does a member's round of splitting: settle what it was ceding, then
-// plan and write, with an answer that can be lost or a write that lands late.
+// updateSplit performs one round of a member's split maintenance: it finishes the
+// previous transfer, plans the next split and writes it. The response to the write can
+// be lost, and the write can be delayed.
 func (s *sim) updateSplit(m *simMember) {
 	if m == nil || !s.finishTransfer(m) {
 		return
 	}
 	in := PlanInput{Down: make(map[string]bool), View: m.view, Planner: m.id}
-	for _, o := range s.members {
-		if (o.down || o.frozen) && s.now-o.since > s.downAfter {
-			in.Down[o.id] = true // its beat has lapsed and the list has dropped it
+	for _, other := range s.members {
+		if (other.down || other.frozen) && s.now-other.since > s.downAfter {
+			in.Down[other.id] = true // its heartbeat has expired and the platform's list no longer has it
 			continue
 		}
-		if !o.down {
-			in.Live = append(in.Live, Candidate{ID: o.id, Region: "a"})
+		if !other.down {
+			in.Live = append(in.Live, Candidate{ID: other.id, Region: "a"})
 		}
 	}
 	if m.table.Split().Epoch < s.storedSplit.Epoch {
@@ -93,10 +96,10 @@
 		return
 	}
 	switch s.rnd.IntN(6) {
-	case 0: // the write lands, its answer is lost
+	case 0: // the write succeeds, its response is lost
 		m.writtenAt = s.storedRevision
 		s.write(next)
-	case 1, 2: // the write may land later
+	case 1, 2: // the write may be carried out later
 		m.writtenAt = s.storedRevision
 		s.lateWrites = append(s.lateWrites, lateWrite{next, s.storedRevision})
 	default:
@@ -110,24 +113,28 @@
 	s.storedRevision++
 }
 
+// finishTransfer ends the member's previous transfer and reports whether it may start
+// another one. While a delayed write of the transfer can still be carried out, it first
+// writes a new revision, which makes the delayed write fail.
 func (s *sim) finishTransfer(m *simMember) bool {
 	if len(m.transferring) == 0 {
 		return true
 	}
 	m.table.SetSplit(s.storedSplit, s.now)
 	if m.writtenAt >= 0 && s.storedRevision == m.writtenAt && !s.variant.cancelTransferEarly {
-		same := *s.storedSplit
-		same.Epoch++
-		s.write(&same)
-		m.table.SetSplit(&same, s.now)
+		unchanged := *s.storedSplit
+		unchanged.Epoch++
+		s.write(&unchanged)
+		m.table.SetSplit(&unchanged, s.now)
 		return false
 	}
 	m.table.CancelTransfer(m.transferring, s.now)
 	m.transferring = nil
-	return s.rnd.IntN(4) == 0 // the next look for surplus comes later
+	return s.rnd.IntN(4) == 0 // the next search for a surplus comes later
 }
 
-// deliverLate lets some of what is on its way arrive.
+// deliverDelayed carries out some of the delayed writes and delivers some of the
+// delayed messages.
 func (s *sim) deliverDelayed() {
 	if len(s.lateWrites) > 0 && s.rnd.IntN(8) == 0 {
 		w := s.lateWrites[0]
@@ -147,7 +154,7 @@
 	}
 }
 
-// resize changes the number of slots; members take it up one by one.
+// resize changes the number of slots. Each member installs the change on its own.
 func (s *sim) resize(m *simMember) {
 	if m == nil {
 		return
--- a/process/slots/sim_requests_test.go
+++ b/process/slots/sim_requests_test.go
@@ -9,7 +9,7 @@
 	"shalewick/version"
 )
 
-// dispatch lets a request leave, if the member may.
+// dispatch sends a request to the backend server if the member may do so.
 func (s *sim) dispatch(m *simMember, rate bool) {
 	if m == nil || !s.fresh(m) {
 		return
@@ -28,7 +28,7 @@
 	if !ok {
 		return
 	}
-	if s.rnd.IntN(6) == 0 { // frozen between the taking and the sending
+	if s.rnd.IntN(6) == 0 { // the member freezes between acquiring the tokens and sending
 		s.now += time.Duration(s.rnd.IntN(12)) * time.Second
 		s.endExpiredRequests()
 		s.updateSplit(s.randomRunning())
@@ -37,77 +37,82 @@
 		m.table.Release(&g, s.now)
 		return
 	}
-	f := &simRequest{by: m, grant: g, names: []TokenID{{name, g.tokens[0].index}}, end: s.now + s.deadline}
-	s.check(f)
-	s.inFlight = append(s.inFlight, f)
+	req := &simRequest{by: m, grant: g, names: []TokenID{{name, g.tokens[0].index}}, end: s.now + s.deadline}
+	s.check(req)
+	s.inFlight = append(s.inFlight, req)
 }
 
-func (s *sim) check(f *simRequest) {
+// check records a violation if another request uses the same token, or if more requests
+// start within a second than the rate allows.
+func (s *sim) check(req *simRequest) {
 	for _, other := range s.inFlight {
-		if other.names[0] == f.names[0] && s.err == nil {
-			s.err = fmt.Errorf("at %v: %v used by %s and %s", s.now, f.names[0], other.by.id, f.by.id)
+		if other.names[0] == req.names[0] && s.err == nil {
+			s.err = fmt.Errorf("at %v: %v used by %s and %s", s.now, req.names[0], other.by.id, req.by.id)
 		}
 	}
-	if f.names[0].Pool != "shift/x/rate" {
+	if req.names[0].Pool != "shift/x/rate" {
 		return
 	}
-	starts := append(s.starts[f.names[0].Pool], s.now)
-	s.starts[f.names[0].Pool] = starts
-	in := 0
+	starts := append(s.starts[req.names[0].Pool], s.now)
+	s.starts[req.names[0].Pool] = starts
+	recent := 0
 	for _, at := range starts {
 		if s.now-at < time.Second {
-			in++
+			recent++
 		}
 	}
-	if in > simRate && s.err == nil {
-		s.err = fmt.Errorf("at %v: %d starts in a second", s.now, in)
+	if recent > simRate && s.err == nil {
+		s.err = fmt.Errorf("at %v: %d starts in a second", s.now, recent)
 	}
 }
 
-// landFlights ends requests at their deadline, as the backend server does.
+// endExpiredRequests ends requests at their deadline, as the backend server does.
 func (s *sim) endExpiredRequests() {
-	var keep []*simRequest
-	for _, f := range s.inFlight {
-		if s.now < f.end {
-			keep = append(keep, f)
+	var remaining []*simRequest
+	for _, req := range s.inFlight {
+		if s.now < req.end {
+			remaining = append(remaining, req)
 			continue
 		}
-		s.release(f)
+		s.release(req)
 	}
-	s.inFlight = keep
+	s.inFlight = remaining
 }
 
-func (s *sim) release(f *simRequest) {
-	if f.by.down {
+// release returns a request's tokens. A frozen member processes this once it runs again,
+// a member that is down never.
+func (s *sim) release(req *simRequest) {
+	if req.by.down {
 		return
 	}
-	g := f.grant
-	by := f.by
-	free := func() {
-		by.table.Release(&g, s.now)
+	g := req.grant
+	member := req.by
+	release := func() {
+		member.table.Release(&g, s.now)
 		if s.variant.noCooldown {
-			for _, p := range by.table.pools {
-				for _, k := range p.tokens {
-					if k.state == stateDelayed && p.spec.Kind == version.PoolRate {
-						k.state = stateFree
+			for _, p := range member.table.pools {
+				for _, tok := range p.tokens {
+					if tok.state == stateDelayed && p.spec.Kind == version.PoolRate {
+						tok.state = stateFree
 					}
 				}
 			}
 		}
 	}
-	if by.frozen {
-		s.messages = append(s.messages, message{by, free})
+	if member.frozen {
+		s.messages = append(s.messages, message{member, release})
 		return
 	}
-	free()
+	release()
 }
 
+// finish ends a random request.
 func (s *sim) finish() {
 	if len(s.inFlight) == 0 {
 		return
 	}
 	i := s.rnd.IntN(len(s.inFlight))
-	f := s.inFlight[i]
+	req := s.inFlight[i]
 	s.inFlight = append(s.inFlight[:i], s.inFlight[i+1:]...)
-	s.release(f)
+	s.release(req)
 }
--- a/process/slots/sim_test.go
+++ b/process/slots/sim_test.go
@@ -15,19 +15,19 @@
 	"shalewick/version"
 )
 
-// The simulation runs a few members on one virtual clock, with messages that
-// are lost or late, members that freeze, die and are declared dead, splits
-// whose answers are lost, and caps that change. Whenever a request leaves, it
-// checks that no other request uses the same token.
+// The simulation runs a few members on one virtual clock. Messages are lost or
+// delayed, members freeze, stop and are declared down, responses to writes of
+// splits are lost, and caps change. Whenever a request is sent, it checks that no
+// other request uses the same token.
 
-// variant switches one rule off, to see that the check finds it.
+// variant disables one rule of the protocol, to verify that the check detects it.
 type variant struct {
-	noFence             bool // tokens of the dead are used at once
-	noConfirmation      bool // an unconfirmed member goes on dispatching
-	leaseFromArrival    bool // leases count from the answer's arrival
-	reclaimAtLeaseEnd   bool // a lessor takes back at the end of the lease
+	noFence             bool // tokens of members that are down are used at once
+	noConfirmation      bool // a member whose view is unconfirmed continues to dispatch
+	leaseFromArrival    bool // leases count from the arrival of the response
+	reclaimAtLeaseEnd   bool // the lessor reclaims tokens when their lease ends
 	noCooldown          bool // rate tokens are free again at once
-	cancelTransferEarly bool // ceding is undone although its write may still land
+	cancelTransferEarly bool // a transfer is cancelled although its write may still be carried out
 }
 
 const (
@@ -35,7 +35,7 @@
 	simRate  = 2
 )
 
-// sim is one run.
+// sim is the state of one run.
 type sim struct {
 	rnd            *rand.Rand
 	variant        variant
@@ -49,8 +49,8 @@
 	messages       []message
 	size           int
 	err            error
-	// deadline is that of requests, lapse how long a member must be frozen
-	// or dead before it is declared dead; both are drawn for each run.
+	// deadline is that of requests; downAfter is how long a member must be frozen or
+	// stopped before it is declared down. Both are drawn for each run.
 	deadline  time.Duration
 	downAfter time.Duration
 }
@@ -62,13 +62,13 @@
 	view         *version.View
 	frozen       bool
 	down         bool
-	since        time.Duration // frozen or dead since
+	since        time.Duration // when it froze or stopped
 	confirmed    time.Duration
 	transferring []TokenID
 	writtenAt    int64
 }
 
-// flight is a request at a backend server.
+// simRequest is a request at a backend server.
 type simRequest struct {
 	by    *simMember
 	grant Grant
@@ -76,13 +76,13 @@
 	end   time.Duration
 }
 
-// lateWrite is a split whose write the platform carries out later.
+// lateWrite is a write of a split that the platform carries out later.
 type lateWrite struct {
 	next *Split
 	rev  int64
 }
 
-// mail is a message on its way.
+// message is a message in transit.
 type message struct {
 	to      *simMember
 	deliver func()
@@ -124,7 +124,7 @@
 	for range 3 {
 		s.addMember()
 	}
-	// The first member has all tokens at first and cedes to the others.
+	// The first member owns all tokens at first and transfers them to the others.
 	first := Candidate{ID: s.members[0].id, Region: "a"}
 	s.storedSplit, _ = Plan(s.storedSplit, PlanInput{Live: []Candidate{first}, View: s.members[0].view})
 	return s
@@ -144,7 +144,7 @@
 	m.table.Install(m.view, m.counters, s.now)
 }
 
-// awake returns a random member that runs, or nil.
+// randomRunning returns a random member, or nil if it is frozen or down.
 func (s *sim) randomRunning() *simMember {
 	m := s.members[s.rnd.IntN(len(s.members))]
 	if m.frozen || m.down {
@@ -153,12 +153,12 @@
 	return m
 }
 
-// confirm reads the split from the platform; the answer can come late.
+// confirm reads the split from the platform. The response can be delayed.
 func (s *sim) confirm(m *simMember) {
-	asked, split := s.now, s.storedSplit
+	requestedAt, split := s.now, s.storedSplit
 	s.send(m, func() {
 		m.table.SetSplit(split, s.now)
-		m.confirmed = max(m.confirmed, asked)
+		m.confirmed = max(m.confirmed, requestedAt)
 		if s.variant.noFence {
 			s.dropFences(m)
 		}
@@ -167,9 +167,9 @@
 
 func (s *sim) dropFences(m *simMember) {
 	for _, p := range m.table.pools {
-		for _, k := range p.tokens {
-			if k.state == stateDelayed && p.spec.Kind != version.PoolRate {
-				k.until = s.now
+		for _, tok := range p.tokens {
+			if tok.state == stateDelayed && p.spec.Kind != version.PoolRate {
+				tok.until = s.now
 			}
 		}
 	}
@@ -201,7 +201,7 @@
 	return s.variant.noConfirmation || s.now-m.confirmed < ConfirmationTTL
 }
 
-// step does one random thing.
+// step advances the clock and performs one random action.
 func (s *sim) step() {
 	s.now += time.Duration(s.rnd.IntN(200)) * time.Millisecond
 	s.endExpiredRequests()
@@ -268,7 +268,7 @@
 	}
 }
 
-// simulate returns the first seed that breaks the rule, of n.
+// simulate runs n seeds and returns the first that violates conservation.
 func simulate(v variant, n uint64) (uint64, error) {
 	const steps = 600
 	for seed := range n {
@@ -282,21 +282,21 @@
 	return 0, nil
 }
 
-// TestTokensAreConserved runs the simulation as the code is, and then with
-// each rule off, which must be found.
+// Runs the simulation with all rules, and then with each rule disabled in turn, which the
+// check must detect.
 func TestTokenConservation(t *testing.T) {
 	seed, err := simulate(variant{}, 400)
 	assert.NilError(t, err, "seed %d", seed)
 	for name, v := range map[string]variant{
-		"no fence":                      {noFence: true},
-		"no confirmation":               {noConfirmation: true},
-		"lease from arrival":            {leaseFromArrival: true},
-		"taken back at the lease's end": {reclaimAtLeaseEnd: true},
-		"no rest of rate tokens":        {noCooldown: true},
-		"ceding undone early":           {cancelTransferEarly: true},
+		"no fence":                     {noFence: true},
+		"no confirmation":              {noConfirmation: true},
+		"lease from arrival":           {leaseFromArrival: true},
+		"reclaimed at the lease's end": {reclaimAtLeaseEnd: true},
+		"no cooldown of rate tokens":   {noCooldown: true},
+		"transfer cancelled early":     {cancelTransferEarly: true},
 	} {
 		seed, err := simulate(v, 12000)
-		assert.Assert(t, err != nil, "%s was not found", name)
+		assert.Assert(t, err != nil, "%s was not detected", name)
 		t.Logf("%s: seed %d: %v", name, seed, err)
 	}
 }
--- a/process/slots/split.go
+++ b/process/slots/split.go
@@ -13,9 +13,9 @@
 	"shalewick/version"
 )
 
-// Split says which member is the home of each token. It is not changed once made.
+// Split assigns an owner to each token. It is immutable.
 type Split struct {
-	// Epoch rises with each change.
+	// Epoch increases with each change.
 	Epoch   int64                `json:"epoch"`
 	Members []string             `json:"members"`
 	Pools   map[string]PoolSplit `json:"pools"`
@@ -23,26 +23,26 @@
 
 // PoolSplit is the split of one pool.
 type PoolSplit struct {
-	// Homes are indexes into Split.Members, by token.
+	// Owners are indexes into Split.Members, by token; -1 means no owner.
 	Owners []int32 `json:"homes"`
-	// Fenced are the tokens that came from a dead member. Their home uses
-	// them only after a fence.
+	// Fenced are the tokens taken over from a member that is down. Their owner
+	// uses them only after a fence.
 	Fenced []int32 `json:"fenced,omitempty"`
 }
 
-// Check returns an error for a split that names members that it does not have.
+// Check returns an error if a token's owner is not listed in Members.
 func (s *Split) Check() error {
-	for name, ps := range s.Pools {
-		for _, h := range ps.Owners {
-			if int(h) >= len(s.Members) {
-				return errors.Errorf("split %d: %s has a home that is not listed", s.Epoch, name)
+	for name, poolSplit := range s.Pools {
+		for _, owner := range poolSplit.Owners {
+			if int(owner) >= len(s.Members) {
+				return errors.Errorf("split %d: %s has an owner that is not listed in members", s.Epoch, name)
 			}
 		}
 	}
 	return nil
 }
 
-// ParseSplit reads the JSON form.
+// ParseSplit decodes and checks the JSON form.
 func ParseSplit(b []byte) (*Split, error) {
 	var s Split
 	if err := json.Unmarshal(b, &s); err != nil {
@@ -51,42 +51,43 @@
 	return &s, s.Check()
 }
 
-// Home returns the member that is the home of a token, or "".
+// Owner returns the id of the member that owns a token, or "" if it has no owner.
 func (s *Split) Owner(pool string, index int) string {
-	hs := s.Pools[pool].Owners
-	if index >= len(hs) || hs[index] < 0 {
+	owners := s.Pools[pool].Owners
+	if index >= len(owners) || owners[index] < 0 {
 		return ""
 	}
-	return s.Members[hs[index]]
+	return s.Members[owners[index]]
 }
 
-// Candidate is a member that can be the home of tokens.
+// Candidate is a member that can own tokens.
 type Candidate struct {
 	ID     string
 	Region string
 }
 
-// TokenID names one token.
+// TokenID identifies a token.
 type TokenID struct {
 	Pool  string
 	Index int
 }
 
-// PlanInput is what the next split is made from.
+// PlanInput is the input from which Plan computes the next split.
 type PlanInput struct {
 	Live []Candidate     // members that may get tokens
-	Down map[string]bool // members whose tokens are split anew
-	// Ceder is the member that plans; Ceded are tokens that it has taken off
-	// itself. One whose home is another by now is left alone.
+	Down map[string]bool // members whose tokens are assigned to others
+	// Planner is the member that computes the plan; Transferred are tokens that it
+	// has withheld in order to transfer them. Those that have another owner by now
+	// are not changed.
 	Planner     string
 	Transferred []TokenID
 	View        *version.View
 }
 
-// Plan returns the split that follows old, and whether it differs. A token
-// keeps its home unless the home is dead or has ceded it. Free tokens go to
-// the live members of the pool's region that have the fewest tokens of the
-// pool, then the fewest in all.
+// Plan returns the split that follows old, and whether it differs from old. A
+// token keeps its owner unless the owner is down or transfers it. Tokens without
+// an owner go to the eligible live members with the fewest tokens of the pool,
+// and among these to those with the fewest tokens overall.
 func Plan(old *Split, in PlanInput) (*Split, bool) {
 	p := newPlanner(old, in)
 	for i := range in.View.Pools {
@@ -105,7 +106,7 @@
 	in          PlanInput
 	next        *Split
 	transferred map[TokenID]bool
-	totals      map[string]int // tokens by member
+	totals      map[string]int // number of tokens by member
 	member      map[string]int32
 	changed     bool
 }
@@ -128,68 +129,70 @@
 	for i, id := range old.Members {
 		p.member[id] = int32(i)
 	}
-	for name, ps := range old.Pools {
-		for i := range ps.Owners {
-			if home := old.Owner(name, i); p.keepsOwner(name, i, home) {
-				p.totals[home]++
+	for name, poolSplit := range old.Pools {
+		for i := range poolSplit.Owners {
+			if owner := old.Owner(name, i); p.keepsOwner(name, i, owner) {
+				p.totals[owner]++
 			}
 		}
 	}
 	return p
 }
 
-// keeps reports whether a token stays with its home.
-func (p *planner) keepsOwner(pool string, index int, home string) bool {
-	ceded := home == p.in.Planner && p.transferred[TokenID{pool, index}]
-	return home != "" && !p.in.Down[home] && !ceded
+// keepsOwner reports whether a token stays with its owner.
+func (p *planner) keepsOwner(pool string, index int, owner string) bool {
+	transferred := owner == p.in.Planner && p.transferred[TokenID{pool, index}]
+	return owner != "" && !p.in.Down[owner] && !transferred
 }
 
-// pool splits what has no home in one pool. Tokens beyond a lowered size keep
-// their homes, so that they are still accounted for when the size rises again.
-func (p *planner) assignPool(assignPool *version.Pool) {
-	ps := p.old.Pools[assignPool.Name]
-	homes := slices.Clone(ps.Owners)
-	fenced := slices.Clone(ps.Fenced)
-	eligible := Eligible(p.in.Live, p.in.View, assignPool)
-	counts := p.tokenCounts(assignPool.Name, homes)
-	touched := false
-	for i := range max(assignPool.Size, len(homes)) {
-		home := p.old.Owner(assignPool.Name, i)
-		if p.keepsOwner(assignPool.Name, i, home) {
+// assignPool assigns owners to the tokens of a pool that have none. Tokens above a
+// reduced size keep their owners, so that they are still accounted for when the
+// size is increased again.
+func (p *planner) assignPool(pool *version.Pool) {
+	poolSplit := p.old.Pools[pool.Name]
+	owners := slices.Clone(poolSplit.Owners)
+	fenced := slices.Clone(poolSplit.Fenced)
+	eligible := Eligible(p.in.Live, p.in.View, pool)
+	counts := p.tokenCounts(pool.Name, owners)
+	modified := false
+	for i := range max(pool.Size, len(owners)) {
+		owner := p.old.Owner(pool.Name, i)
+		if p.keepsOwner(pool.Name, i, owner) {
 			continue
 		}
-		to := p.leastLoaded(eligible, counts)
-		if to == "" || to == home {
+		target := p.leastLoaded(eligible, counts)
+		if target == "" || target == owner {
 			continue
 		}
-		for len(homes) <= i {
-			homes = append(homes, -1)
+		for len(owners) <= i {
+			owners = append(owners, -1)
 		}
-		homes[i] = p.memberIndex(to)
-		counts[to]++
-		p.totals[to]++
+		owners[i] = p.memberIndex(target)
+		counts[target]++
+		p.totals[target]++
 		fenced = slices.DeleteFunc(fenced, func(f int32) bool { return f == int32(i) })
-		if p.in.Down[home] {
+		if p.in.Down[owner] {
 			fenced = append(fenced, int32(i))
 		}
-		touched = true
+		modified = true
 	}
-	if touched {
+	if modified {
 		p.changed = true
-		p.next.Pools[assignPool.Name] = PoolSplit{Owners: homes, Fenced: fenced}
+		p.next.Pools[pool.Name] = PoolSplit{Owners: owners, Fenced: fenced}
 	}
 }
 
-func (p *planner) tokenCounts(pool string, homes []int32) map[string]int {
+func (p *planner) tokenCounts(pool string, owners []int32) map[string]int {
 	counts := make(map[string]int)
-	for i := range homes {
-		if home := p.old.Owner(pool, i); p.keepsOwner(pool, i, home) {
-			counts[home]++
+	for i := range owners {
+		if owner := p.old.Owner(pool, i); p.keepsOwner(pool, i, owner) {
+			counts[owner]++
 		}
 	}
 	return counts
 }
 
+// leastLoaded returns the eligible member with the fewest tokens, or "".
 func (p *planner) leastLoaded(eligible []string, counts map[string]int) string {
 	if len(eligible) == 0 {
 		return ""
@@ -203,6 +206,7 @@
 	})
 }
 
+// memberIndex returns the index of a member in the next split, adding it if needed.
 func (p *planner) memberIndex(id string) int32 {
 	if i, ok := p.member[id]; ok {
 		return i
@@ -212,49 +216,49 @@
 	return p.member[id]
 }
 
-// dropUnusedMembers removes members that are the home of nothing.
+// dropUnusedMembers removes members that own no tokens.
 func (p *planner) dropUnusedMembers() {
 	used := make([]int32, len(p.next.Members))
 	for i := range used {
 		used[i] = -1
 	}
 	var members []string
-	for name, ps := range p.next.Pools {
-		homes := make([]int32, len(ps.Owners))
-		for i, h := range ps.Owners {
-			if h < 0 {
-				homes[i] = -1
+	for name, poolSplit := range p.next.Pools {
+		owners := make([]int32, len(poolSplit.Owners))
+		for i, owner := range poolSplit.Owners {
+			if owner < 0 {
+				owners[i] = -1
 				continue
 			}
-			if used[h] < 0 {
-				used[h] = int32(len(members))
-				members = append(members, p.next.Members[h])
+			if used[owner] < 0 {
+				used[owner] = int32(len(members))
+				members = append(members, p.next.Members[owner])
 			}
-			homes[i] = used[h]
+			owners[i] = used[owner]
 		}
-		p.next.Pools[name] = PoolSplit{Owners: homes, Fenced: ps.Fenced}
+		p.next.Pools[name] = PoolSplit{Owners: owners, Fenced: poolSplit.Fenced}
 	}
 	p.next.Members = members
 }
 
-// Eligible returns the ids of the live members that should be the homes of a
-// pool's tokens: those of its region, or all where the region has none.
+// Eligible returns the ids of the live members that should own a pool's tokens:
+// those in its region, or all of them if its region has none.
 func Eligible(live []Candidate, v *version.View, pool *version.Pool) []string {
-	var near, all []string
+	var inRegion, all []string
 	for _, c := range live {
 		all = append(all, c.ID)
 		if c.Region == v.Regions[pool.Region] {
-			near = append(near, c.ID)
+			inRegion = append(inRegion, c.ID)
 		}
 	}
-	if len(near) > 0 {
-		return near
+	if len(inRegion) > 0 {
+		return inRegion
 	}
 	return all
 }
 
-// Surplus returns how many tokens of a pool a member should cede: what it has
-// above an even share, rounded up, or all when it is not eligible.
+// Surplus returns how many tokens of a pool a member should transfer: those above
+// an even share rounded up, or all if the member is not eligible.
 func (s *Split) Surplus(id string, eligible []string, pool *version.Pool) int {
 	own := 0
 	for i := range s.Pools[pool.Name].Owners {
--- a/process/slots/table.go
+++ b/process/slots/table.go
@@ -11,16 +11,16 @@
 )
 
 // Table holds the tokens of one member. Self and OnFree are set before use.
-// All times are durations on the process's own monotonic clock.
+// All times are durations on the process's monotonic clock.
 type Table struct {
 	// Self is the member's id.
 	Self string
-	// OnFree is called without a lock held when tokens of a service became
-	// free; None stands for any service.
+	// OnFree is called, with no lock held, when tokens of a service may have become
+	// free; version.None stands for any service.
 	OnFree func(service int32)
-	// AwaitWord calls then, without a lock of its own held, once a backend server
-	// has answered something that was sent at since or later. Nil means that
-	// time alone frees slot tokens.
+	// AwaitResponse calls then, with no lock held, once the backend server has
+	// responded to something that was sent at since or later. If it is nil, slot
+	// tokens become free by time alone.
 	AwaitResponse func(backend string, since time.Duration, then func())
 
 	mu             sync.Mutex
@@ -31,8 +31,8 @@
 	byIndex        []*pool // by index in the view's pools
 	groups         map[groupKey]*group
 	lastLease      uint64
-	draining       bool // lends and returns all it can
-	lendingStopped bool // lends nothing more
+	draining       bool // lends and returns as many tokens as possible
+	lendingStopped bool // lends no more tokens
 }
 
 type groupKey struct {
@@ -40,15 +40,16 @@
 	region  string
 }
 
-// Install puts a view in force. Free counts go to the counters from now on.
-func (t *Table) Install(v *version.View, n *version.Counters, now time.Duration) {
+// Install puts a view in force and publishes the numbers of free tokens to its
+// counters.
+func (t *Table) Install(v *version.View, counters *version.Counters, now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.pools == nil {
 		t.pools = make(map[string]*pool)
 	}
 	old := t.groups
-	t.view, t.counters = v, n
+	t.view, t.counters = v, counters
 	t.groups = make(map[groupKey]*group)
 	for _, p := range t.pools {
 		p.index = -1
@@ -65,26 +66,26 @@
 		t.byIndex[i] = p
 	}
 	for i := range v.Backends {
-		u := &v.Backends[i]
-		p := t.byIndex[u.Pool]
-		p.group = t.groupOf(v.Services[u.Service].Name, v.Regions[u.Region], old)
+		b := &v.Backends[i]
+		p := t.byIndex[b.Pool]
+		p.group = t.groupOf(v.Services[b.Service].Name, v.Regions[b.Region], old)
 		p.group.busy += p.busy()
 	}
 	t.syncOwned(now)
 	t.publishAll(now)
 }
 
-// groupOf returns the group of a service in a region, made on first use from
-// what an earlier view's group knew.
+// groupOf returns the group of a service in a region. A new group takes over the
+// demand recorded by its predecessor in old.
 func (t *Table) groupOf(service, region string, old map[groupKey]*group) *group {
-	k := groupKey{service, region}
-	g := t.groups[k]
+	key := groupKey{service, region}
+	g := t.groups[key]
 	if g == nil {
 		g = &group{}
-		if o := old[k]; o != nil {
+		if o := old[key]; o != nil {
 			g.peak, g.waiting = o.peak, o.waiting
 		}
-		t.groups[k] = g
+		t.groups[key] = g
 	}
 	return g
 }
@@ -99,7 +100,7 @@
 	return n
 }
 
-// SetSplit takes up a newer split.
+// SetSplit applies a split if it is newer than the current one.
 func (t *Table) SetSplit(s *Split, now time.Duration) {
 	t.mu.Lock()
 	if t.split != nil && s.Epoch <= t.split.Epoch {
@@ -113,7 +114,7 @@
 	t.OnFree(version.None)
 }
 
-// Split returns the split in force, never nil.
+// Split returns the current split, which is never nil.
 func (t *Table) Split() *Split {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -123,7 +124,7 @@
 	return t.split
 }
 
-// syncHomes makes the tokens at home here those that the split names.
+// syncOwned makes the owned tokens those that the split assigns to this member.
 func (t *Table) syncOwned(now time.Duration) {
 	if t.split == nil {
 		return
@@ -136,19 +137,19 @@
 	}
 }
 
-// loseTokens drops the tokens that have another home now: own ones, and
-// borrowed ones that are no longer their lessor's.
+// dropLost drops tokens that have another owner now: owned ones, and borrowed
+// ones that their lessor no longer owns.
 func (t *Table) dropLost(name string, p *pool) {
 	for i := len(p.tokens) - 1; i >= 0; i-- {
-		k := p.tokens[i]
-		if t.split.Owner(name, k.index) == cmp.Or(k.lessor, t.Self) {
+		tok := p.tokens[i]
+		if t.split.Owner(name, tok.index) == cmp.Or(tok.lessor, t.Self) {
 			continue
 		}
-		if k.state == stateBusy {
-			k.revoked = true
+		if tok.state == stateBusy {
+			tok.revoked = true
 			continue
 		}
-		p.remove(k)
+		p.remove(tok)
 	}
 }
 
@@ -162,45 +163,45 @@
 		if t.split.Owner(name, i) != t.Self || p.owned(i) != nil {
 			continue
 		}
-		k := &token{index: i}
+		tok := &token{index: i}
 		if fenced[int32(i)] {
-			k.state = stateDelayed
-			k.until = now + FenceTime(&p.spec)
+			tok.state = stateDelayed
+			tok.until = now + FenceTime(&p.spec)
 		}
-		p.tokens = append(p.tokens, k)
+		p.tokens = append(p.tokens, tok)
 	}
 }
 
-// Tick moves on what waits for time: rests, fences, and leases of tokens lent
-// from here. It reports whether a rate token rests, so that the next call
-// should come soon.
+// Tick frees tokens whose cooldown, fence or reclaim time has passed. It reports
+// whether a rate token is cooling down, in which case the next call should come
+// soon.
 func (t *Table) Tick(now time.Duration) (soon bool) {
 	t.mu.Lock()
 	freed := false
-	var awaited []*pendingToken
+	var pending []*pendingToken
 	for _, p := range t.pools {
 		before := p.usable(now)
-		for _, k := range p.tokens {
-			over := k.state == stateDelayed || k.state == stateLent
-			soon = soon || k.state == stateDelayed && p.spec.Kind == version.PoolRate
-			if !over || now < k.until {
+		for _, tok := range p.tokens {
+			timed := tok.state == stateDelayed || tok.state == stateLent
+			soon = soon || tok.state == stateDelayed && p.spec.Kind == version.PoolRate
+			if !timed || now < tok.until {
 				continue
 			}
 			if p.spec.Kind == version.PoolSlots && t.AwaitResponse != nil {
-				k.state = stateAwaitingResponse
-				awaited = append(awaited, &pendingToken{table: t, pool: p, token: k, lease: k.lease})
+				tok.state = stateAwaitingResponse
+				pending = append(pending, &pendingToken{table: t, pool: p, token: tok, lease: tok.lease})
 				continue
 			}
-			k.state = stateFree
-			k.holder = ""
+			tok.state = stateFree
+			tok.holder = ""
 		}
 		after := p.usable(now)
 		freed = freed || after > before || t.publishedFree(p) < after
 		t.publish(p, now)
 	}
 	t.mu.Unlock()
-	for _, a := range awaited {
-		t.AwaitResponse(a.pool.spec.Backend(), now, a.responded)
+	for _, w := range pending {
+		t.AwaitResponse(w.pool.spec.Backend(), now, w.responded)
 	}
 	if freed {
 		t.OnFree(version.None)
@@ -208,8 +209,7 @@
 	return soon
 }
 
-// awaitedToken is a slot token whose time is over while its backend server may still
-// hold the request.
+// pendingToken is a token in stateAwaitingResponse.
 type pendingToken struct {
 	table *Table
 	pool  *pool
@@ -217,7 +217,7 @@
 	lease uint64
 }
 
-// heard frees the token, unless it has been returned and lent anew.
+// responded frees the token, unless it has been returned and lent again since.
 func (a *pendingToken) responded() {
 	t := a.table
 	t.mu.Lock()
@@ -233,7 +233,8 @@
 	}
 }
 
-// Decay lowers the remembered demand by half. It is called every second.
+// Decay halves the recorded peak demand and resets the shortage marks. It is
+// called once a second.
 func (t *Table) Decay() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -246,17 +247,18 @@
 	}
 }
 
-// Wait changes the number of requests that wait for a service in a region.
-func (t *Table) AddWaiting(service, region string, by int) {
+// AddWaiting changes the number of requests that wait for a service in a region
+// by delta.
+func (t *Table) AddWaiting(service, region string, delta int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	g := t.groupOf(service, region, nil)
-	g.waiting += by
+	g.waiting += delta
 	g.updatePeak()
 }
 
-// Miss notes that a request could have used one more slot of a service in a
-// region, and a token of each of the named pools.
+// RecordShortage records that a request could have used one more slot of a
+// service in a region, and one token of each of the named pools.
 func (t *Table) RecordShortage(service, region string, pools ...string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/process/slots/token.go
+++ b/process/slots/token.go
@@ -12,22 +12,24 @@
 const (
 	// LeaseTime is how long a borrowed token may be used for new requests.
 	LeaseTime = 1500 * time.Millisecond
-	// ConfirmTime is how long a view counts as confirmed (the V of the design).
+	// ConfirmationTTL is how long a view counts as confirmed (V in the design).
 	ConfirmationTTL = 2 * time.Second
-	// Margin covers the time on the way and clocks that run unevenly.
+	// SafetyMargin covers network delay and clock drift.
 	SafetyMargin = time.Second
-	// RestTime is how long a rate token rests after its request's end.
+	// RateCooldown is how long a rate token stays unusable after its request ended.
 	RateCooldown = 1010 * time.Millisecond
 )
 
-// Fence is how long a token of a dead member is kept unused, counted from when
-// its new home learned of it: until the dead member can neither dispatch on an
-// unconfirmed view, nor a borrower on its lease, nor a request still run.
+// FenceTime returns how long the new owner of a down member's token keeps the
+// token unused, counted from when it learned of its ownership. By then the down
+// member can no longer dispatch on an unconfirmed view, its borrowers can no
+// longer dispatch on their leases, and no request of theirs still runs.
 func FenceTime(p *version.Pool) time.Duration {
 	return ConfirmationTTL + LeaseTime + p.Deadline + SafetyMargin
 }
 
-// Lifetime is how long the home waits for a lent token that is not returned.
+// ReclaimTime returns how long after lending a token its owner reclaims it if it
+// is not returned.
 func ReclaimTime(p *version.Pool) time.Duration {
 	return LeaseTime + p.Deadline + SafetyMargin
 }
@@ -36,33 +38,34 @@
 
 const (
 	stateFree         state = iota
-	stateBusy               // a request holds it
-	stateDelayed            // free at until
-	stateLent               // another member has it; back at until at the latest
-	stateTransferring       // taken off, while its transaction runs
-	// stateAwaiting is a slot token whose time is over. It is free once its
-	// backend server was heard from, which may be frozen with the request in hand.
+	stateBusy               // held by a request
+	stateDelayed            // becomes free at until
+	stateLent               // leased to another member; reclaimed at until at the latest
+	stateTransferring       // withheld while the transaction that transfers it runs
+	// stateAwaitingResponse is a slot token whose reclaim time or fence has passed.
+	// It becomes free once its backend server has responded to something, because a
+	// frozen backend server may still hold the request.
 	stateAwaitingResponse
 )
 
-// token is one token that is at home here or borrowed. The Table's lock guards it.
+// token is a token that this member owns or borrows. Guarded by Table.mu.
 type token struct {
 	index int
 	state state
-	until time.Duration // meaning by state
-	// borrowed tokens:
-	lessor string        // member that lent it; "" when at home here
-	lease  uint64        // the lessor's number of the lease
-	end    time.Duration // end of the lease on this clock
-	// tokens lent from here:
-	holder string
-	// revoked is set once the token is no longer ours, while a request
-	// still holds it.
+	until time.Duration // depends on state
+
+	lessor string        // member that lent it; "" if owned by this member
+	lease  uint64        // lease number, assigned by the lessor
+	end    time.Duration // of a borrowed token: end of the lease on the local clock
+
+	holder string // of a lent token: the borrower
+	// revoked is set when the token has moved to another owner while a request
+	// still holds it here.
 	revoked  bool
 	lastUsed time.Duration
 }
 
-// usable reports whether a request may take the token now.
+// usable reports whether a request may acquire the token now.
 func (t *token) usable(now time.Duration, size int) bool {
 	if t.index >= size || t.revoked || t.expired(now) {
 		return false
@@ -75,27 +78,27 @@
 	return t.lessor != "" && now >= t.end
 }
 
-// pool is the part of a version.Pool's tokens that this member knows.
+// pool holds the tokens of a version.Pool that this member owns or borrows.
 type pool struct {
 	spec   version.Pool
-	index  int // index in the view's pools; -1 when not in the view
+	index  int // index in the view's pools; -1 if not in the view
 	tokens []*token
-	group  *group // of slot pools; nil otherwise
-	short  bool   // a request lately lacked a token; not for slot pools
+	group  *group // for slot pools; nil otherwise
+	short  bool   // a request recently found no free token; unused for slot pools
 }
 
-// group adds up the slot pools of one service in one region.
+// group aggregates demand over the slot pools of one service in one region.
 type group struct {
 	busy    int
 	waiting int
-	peak    float64 // recent most of busy and waiting, decaying
+	peak    float64 // decaying maximum of busy + waiting
 }
 
 func (g *group) updatePeak() {
 	g.peak = max(g.peak, float64(g.busy+g.waiting))
 }
 
-// size returns the number of tokens that the version in force allows.
+// size returns the number of tokens in the version in force.
 func (p *pool) size() int {
 	if p.index < 0 {
 		return 0
@@ -113,7 +116,7 @@
 	return n
 }
 
-// take returns a usable token, its own before borrowed ones.
+// pick returns a usable token, preferring owned over borrowed ones.
 func (p *pool) pick(now time.Duration) *token {
 	var found *token
 	for _, t := range p.tokens {
@@ -137,14 +140,14 @@
 	return nil
 }
 
-// atHome returns the token with this index whose home is here, or nil.
+// owned returns the token with this index if this member owns it, or nil.
 func (p *pool) owned(index int) *token {
 	return p.find(func(t *token) bool { return t.lessor == "" && t.index == index })
 }
 
-func (p *pool) remove(gone *token) {
+func (p *pool) remove(target *token) {
 	for i, t := range p.tokens {
-		if t == gone {
+		if t == target {
 			p.tokens[i] = p.tokens[len(p.tokens)-1]
 			p.tokens = p.tokens[:len(p.tokens)-1]
 			return
--- a/process/slots/upkeep.go
+++ b/process/slots/upkeep.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Wants returns what this member would like to borrow now.
+// Wants returns the tokens that this member would like to borrow now.
 func (t *Table) Wants(now time.Duration) []Want {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -15,17 +15,17 @@
 		return nil
 	}
 	var out []Want
-	for k, g := range t.groups {
+	for key, g := range t.groups {
 		if g.peak < 0.5 {
 			continue
 		}
 		need := int(math.Ceil(g.peak*demandHeadroom)) + 1
 		have := 0
-		for _, p := range t.groupPools(k.service, k.region) {
+		for _, p := range t.groupPools(key.service, key.region) {
 			have += p.usable(now) + p.busy()
 		}
 		if need > have {
-			out = append(out, Want{Service: k.service, Region: k.region, Tokens: need - have})
+			out = append(out, Want{Service: key.service, Region: key.region, Tokens: need - have})
 		}
 	}
 	for _, p := range t.byIndex {
@@ -36,7 +36,7 @@
 	return out
 }
 
-// Lessors returns the other members that are homes of tokens that are wanted.
+// Lessors returns the other members that own tokens of the kind wanted.
 func (t *Table) Lessors(w Want) map[string]bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -50,19 +50,20 @@
 	}
 	for _, p := range pools {
 		for i := range t.split.Pools[p.spec.Name].Owners {
-			if home := t.split.Owner(p.spec.Name, i); home != "" && home != t.Self {
-				out[home] = true
+			if owner := t.split.Owner(p.spec.Name, i); owner != "" && owner != t.Self {
+				out[owner] = true
 			}
 		}
 	}
 	return out
 }
 
-func (t *Table) unneeded(p *pool, k *token, now time.Duration) bool {
-	if p.index < 0 || k.index >= p.size() || t.draining {
+// unneeded reports whether a borrowed token can be returned to its lessor.
+func (t *Table) unneeded(p *pool, tok *token, now time.Duration) bool {
+	if p.index < 0 || tok.index >= p.size() || t.draining {
 		return true
 	}
-	if now-k.lastUsed < idleTimeout {
+	if now-tok.lastUsed < idleTimeout {
 		return false
 	}
 	if p.group == nil {
