--- a/process/entry/balance.go
+++ b/process/entry/balance.go
@@ -42,7 +42,7 @@
 		case <-ctx.Done():
 			return
 		}
-		if bd := e.steer.Bound(); bd != nil {
+		if bd := e.steer.Active(); bd != nil {
 			b.borrow(ctx, bd.View)
 		}
 		if now := e.now(); now-b.upkeep >= upkeepTime {
@@ -56,7 +56,7 @@
 // that the own region lacks are asked for in the others.
 func (b *balancer) borrow(ctx context.Context, v *version.View) {
 	wants := b.e.slots.Wants(b.e.now())
-	if len(wants) == 0 || !b.e.steer.Fresh() {
+	if len(wants) == 0 || !b.e.steer.ConfigFresh() {
 		return
 	}
 	home := b.e.steer.RegionName()
--- a/process/entry/entry.go
+++ b/process/entry/entry.go
@@ -125,7 +125,7 @@
 	e.slots = &slots.Table{Self: id, OnFree: func(int32) { e.steer.Wake() }, AwaitResponse: e.health.AwaitWord}
 	e.steer = &steer.Steerer{
 		Now: e.now, Slots: e.slots, Health: e.health, Region: e.region,
-		Short: func() { poke(e.short) },
+		OnShortage: func() { poke(e.short) },
 	}
 	e.store = &config.Store{Now: e.now, OnInstall: e.onInstall}
 	e.changes = &config.Log{Platform: e.platform, Store: e.store}
@@ -201,7 +201,7 @@
 func (e *Entry) Ready() bool {
 	select {
 	case <-e.synced:
-		return e.steer.Fresh()
+		return e.steer.ConfigFresh()
 	default:
 		return false
 	}
--- a/process/entry/entry_test.go
+++ b/process/entry/entry_test.go
@@ -171,7 +171,7 @@
 	for _, n := range []int{50, 500, 1900} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			e := configured(b, n)
-			in := slots.PlanInput{Live: []slots.Candidate{{ID: e.members.Self().GetId(), Region: "r"}}, View: e.steer.Bound().View}
+			in := slots.PlanInput{Live: []slots.Candidate{{ID: e.members.Self().GetId(), Region: "r"}}, View: e.steer.Active().View}
 			split, _ := slots.Plan(&slots.Split{}, in)
 			e.slots.SetSplit(split, e.now())
 			j, err := json.Marshal(split)
--- a/process/entry/exchange.go
+++ b/process/entry/exchange.go
@@ -133,7 +133,7 @@
 	every(ctx, exchangeTime, func() {
 		addresses := e.peerAddresses()
 		rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
-		if e.steer.Fresh() {
+		if e.steer.ConfigFresh() {
 			addresses = addresses[:min(len(addresses), exchangeFan)]
 		}
 		for _, a := range addresses {
--- a/process/entry/platform.go
+++ b/process/entry/platform.go
@@ -42,7 +42,7 @@
 	for ctx.Err() == nil {
 		live := len(e.members.Live(e.now()))
 		wait := max(pollTime, time.Duration(live)*pollPerMember)
-		if live <= 1 || !e.steer.Fresh() {
+		if live <= 1 || !e.steer.ConfigFresh() {
 			wait = pollAlone
 		}
 		clock.Sleep(ctx, wait*3/4+rand.N(wait/2))
--- a/process/entry/probe.go
+++ b/process/entry/probe.go
@@ -27,7 +27,7 @@
 // word of, is probed too.
 func (e *Entry) probeLoop(ctx context.Context) {
 	every(ctx, probeTime, func() {
-		b := e.steer.Bound()
+		b := e.steer.Active()
 		if b == nil {
 			return
 		}
--- a/process/entry/routes.go
+++ b/process/entry/routes.go
@@ -57,7 +57,7 @@
 	}
 	x.proxy = &proxy.Proxy{
 		Names: request.OwnNames, Table: x.table, Metrics: e.metrics, Log: e.log, Now: e.now,
-		ConfigFresh: e.steer.Fresh, NewID: rand.Text, OnResponse: x.answered, ConfigAge: x.age,
+		ConfigFresh: e.steer.ConfigFresh, NewID: rand.Text, OnResponse: x.answered, ConfigAge: x.age,
 		RetryBudget: &retry.Window{Span: retrySpan, Ratio: retryRatio, Fixed: retryFixed, Instances: x.instances},
 	}
 	return x
@@ -90,7 +90,7 @@
 
 // age returns how long ago the version in force was confirmed.
 func (x *routes) age() time.Duration {
-	age, _ := x.e.steer.Confirmed()
+	age, _ := x.e.steer.ConfigAge()
 	return age
 }
 
--- a/process/entry/server.go
+++ b/process/entry/server.go
@@ -72,7 +72,7 @@
 	e := p.e
 	now := e.now()
 	out := &peer.LeaseReply{}
-	if !e.steer.Fresh() {
+	if !e.steer.ConfigFresh() {
 		return out, nil // what is held may have a new home already
 	}
 	out.Renewed = toTokens(e.slots.Renew(in.GetHolder(), fromTokens(in.GetRenew()), now))
@@ -119,7 +119,7 @@
 	now := e.now()
 	out := &peer.StatusReply{Self: e.members.Self(), Epoch: e.slots.Split().Epoch, Leaving: e.leavingFacts()}
 	out.ConfirmedMs = -1
-	if age, ok := e.steer.Confirmed(); ok {
+	if age, ok := e.steer.ConfigAge(); ok {
 		out.ConfirmedMs = age.Milliseconds()
 		seq, since, _ := e.store.InForce()
 		out.Seq = seq
--- a/process/entry/split.go
+++ b/process/entry/split.go
@@ -78,7 +78,7 @@
 }
 
 func (e *Entry) splitRound(ctx context.Context) {
-	b := e.steer.Bound()
+	b := e.steer.Active()
 	e.splitter.work.Lock()
 	defer e.splitter.work.Unlock()
 	if b == nil || e.members.Leaving() {
--- a/process/entry/split_test.go
+++ b/process/entry/split_test.go
@@ -40,7 +40,7 @@
 // only while the member tries to rule that out. The tokens are the other's then.
 func TestLateSplitIsNotUndone(t *testing.T) {
 	e := configured(t, 1)
-	view := e.steer.Bound().View
+	view := e.steer.Active().View
 	self := e.members.Self().GetId()
 	e.members.Merge([]*peer.Member{{Id: "z", Hall: "h", Peer: "127.0.0.1:2"}}, e.now())
 	e.members.Seen("z", e.now())
--- a/process/entry/stop.go
+++ b/process/entry/stop.go
@@ -86,7 +86,7 @@
 // tickets then count as gone.
 func (e *Entry) handOverTickets(ctx context.Context) {
 	books := e.ledger.Stop()
-	b := e.steer.Bound()
+	b := e.steer.Active()
 	if b == nil {
 		return
 	}
@@ -131,7 +131,7 @@
 
 // handOverTokens gives the tokens at home here to the other members.
 func (e *Entry) handOverTokens(ctx context.Context) {
-	b := e.steer.Bound()
+	b := e.steer.Active()
 	if b == nil {
 		return
 	}
--- a/process/front/attempt.go
+++ b/process/front/attempt.go
@@ -82,7 +82,7 @@
 	f    *Front
 	c    *call
 	src  *source
-	ask  steer.Ask
+	ask  steer.Request
 	sent bool // a byte of some attempt may have left
 }
 
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, bodyResult(err, false)
 	}
-	t := &trial{f: f, c: c, src: src, ask: steer.Ask{Service: c.service, Class: c.route.Class, Deadline: c.deadline}}
+	t := &trial{f: f, c: c, src: src, ask: steer.Request{Service: c.service, Class: c.route.Class, Deadline: c.deadline}}
 	bud := f.budget(c.service)
 	bud.Deposit()
 	a, res, again := t.attempt(ctx)
--- a/process/front/front.go
+++ b/process/front/front.go
@@ -106,7 +106,7 @@
 	if f.closed.Load() {
 		return refusal(request.Leaving, minRetry)
 	}
-	b := f.Steer.Bound()
+	b := f.Steer.Active()
 	if b == nil {
 		return refusal(request.NoVersion, time.Second)
 	}
--- a/process/front/front_test.go
+++ b/process/front/front_test.go
@@ -75,7 +75,7 @@
 	assert.NilError(t, err)
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) + time.Second }
-	s := &steer.Steerer{Now: now, Region: func(*version.View) int32 { return 0 }, Short: func() {}}
+	s := &steer.Steerer{Now: now, Region: func(*version.View) int32 { return 0 }, OnShortage: func() {}}
 	f.slots = &slots.Table{Self: "m", OnFree: func(int32) { s.Wake() }}
 	s.Slots, s.Health = f.slots, &health.Table{OnLeaving: func(health.Leaving) {}}
 	s.Install(v)
--- a/process/front/lookup.go
+++ b/process/front/lookup.go
@@ -58,8 +58,8 @@
 }
 
 func (f *Front) serveLookup(w http.ResponseWriter, r *http.Request) {
-	b := f.Steer.Bound()
-	if b == nil || !f.Steer.Fresh() {
+	b := f.Steer.Active()
+	if b == nil || !f.Steer.ConfigFresh() {
 		request.NotRun(request.NoVersion, time.Second).Write(w)
 		return
 	}
--- a/process/steer/steer.go
+++ b/process/steer/steer.go
@@ -18,11 +18,12 @@
 	"shalewick/version"
 )
 
-// Bound is what belongs to one version in force at one instance.
-type Bound struct {
+// ActiveVersion holds the state that belongs to one version in force at one
+// instance.
+type ActiveVersion struct {
 	View     *version.View
 	Counters *version.Counters
-	Since    time.Duration
+	Since    time.Duration  // when it was installed
 	Conns    []*conn.Pool   // by backend server
 	Queues   []*queue.Queue // by service
 }
@@ -33,41 +34,42 @@
 	Region func(*version.View) int32
 	Slots  *slots.Table
 	Health *health.Table
-	// Short is called when a request has to wait for a token.
-	Short func()
+	// OnShortage is called when no token was free for a request.
+	OnShortage func()
 
-	bound     atomic.Pointer[Bound]
-	confirmed atomic.Int64 // time of the last confirmation; 0: none
+	active      atomic.Pointer[ActiveVersion]
+	confirmedAt atomic.Int64 // 0: not yet confirmed
 
 	mu     sync.Mutex
 	conns  map[string]*conn.Pool // by address
 	queues map[string]*queue.Queue
 }
 
-// Bound returns what is in force, or nil before the first version.
-func (s *Steerer) Bound() *Bound { return s.bound.Load() }
+// Active returns the version in force, or nil before the first one.
+func (s *Steerer) Active() *ActiveVersion { return s.active.Load() }
 
-// Confirm notes that somebody confirmed the version in force; asked is when
-// the question was sent.
-func (s *Steerer) Confirm(asked time.Duration) {
+// Confirm records that the version in force was confirmed. The time that counts is
+// requestedAt, when the request for the confirmation was sent.
+func (s *Steerer) Confirm(requestedAt time.Duration) {
 	for {
-		old := s.confirmed.Load()
-		if int64(asked) <= old || s.confirmed.CompareAndSwap(old, int64(asked)) {
+		old := s.confirmedAt.Load()
+		if int64(requestedAt) <= old || s.confirmedAt.CompareAndSwap(old, int64(requestedAt)) {
 			return
 		}
 	}
 }
 
-// Confirmed returns the time since the last confirmation; the bool is false
-// before the first.
-func (s *Steerer) Confirmed() (time.Duration, bool) {
-	at := s.confirmed.Load()
-	return s.Now() - time.Duration(at), at != 0
+// ConfigAge returns the time since the last confirmation. The bool is false if
+// there was none yet.
+func (s *Steerer) ConfigAge() (time.Duration, bool) {
+	last := s.confirmedAt.Load()
+	return s.Now() - time.Duration(last), last != 0
 }
 
-// Fresh reports whether the version in force was confirmed lately.
-func (s *Steerer) Fresh() bool {
-	age, ok := s.Confirmed()
+// ConfigFresh reports whether the version in force was confirmed within the last
+// slots.ConfirmationTTL.
+func (s *Steerer) ConfigFresh() bool {
+	age, ok := s.ConfigAge()
 	return ok && age < slots.ConfirmationTTL
 }
 
@@ -76,19 +78,19 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Now()
-	b := &Bound{View: v, Counters: version.NewCounters(v), Since: now}
+	av := &ActiveVersion{View: v, Counters: version.NewCounters(v), Since: now}
 	conns := make(map[string]*conn.Pool)
 	for i := range v.Backends {
-		a := v.Backends[i].Address
-		p := s.conns[a]
+		addr := v.Backends[i].Address
+		p := s.conns[addr]
 		if p == nil {
-			p = &conn.Pool{Address: a}
+			p = &conn.Pool{Address: addr}
 		}
-		conns[a] = p
-		b.Conns = append(b.Conns, p)
+		conns[addr] = p
+		av.Conns = append(av.Conns, p)
 	}
-	for a, p := range s.conns {
-		if conns[a] == nil {
+	for addr, p := range s.conns {
+		if conns[addr] == nil {
 			p.CloseIdle()
 		}
 	}
@@ -101,230 +103,231 @@
 		if s.queues[name] == nil {
 			s.queues[name] = &queue.Queue{}
 		}
-		b.Queues = append(b.Queues, s.queues[name])
+		av.Queues = append(av.Queues, s.queues[name])
 	}
-	s.Health.Install(v, b.Counters, now)
-	s.Slots.Install(v, b.Counters, now)
-	s.bound.Store(b)
-	s.wakeAll(b)
+	s.Health.Install(v, av.Counters, now)
+	s.Slots.Install(v, av.Counters, now)
+	s.active.Store(av)
+	s.wakeAll(av)
 }
 
-// Wake gives the next waiter of each queue a turn.
+// Wake lets the next waiter of each queue try to acquire tokens.
 func (s *Steerer) Wake() {
-	if b := s.bound.Load(); b != nil {
-		s.wakeAll(b)
+	if av := s.active.Load(); av != nil {
+		s.wakeAll(av)
 	}
 }
 
-func (s *Steerer) wakeAll(b *Bound) {
-	for _, q := range b.Queues {
+func (s *Steerer) wakeAll(av *ActiveVersion) {
+	for _, q := range av.Queues {
 		q.Wake()
 	}
 }
 
-// Ask is one request that wants a place.
-type Ask struct {
+// Request describes a request that needs a placement.
+type Request struct {
 	Service  string
 	Class    request.Class
 	Deadline time.Time
-	Tried    [2]string // backend servers that were tried already; "" where unused
+	Tried    [2]string // backend servers that were tried before; "" if unused
 }
 
-// again reports whether the request was tried before. It then does not wait
-// for a place: its end is known already.
-func (a *Ask) again() bool { return a.Tried[0] != "" }
+// isRetry reports whether the request was tried before. Retries do not wait for a
+// placement, because a result is known already.
+func (r *Request) isRetry() bool { return r.Tried[0] != "" }
 
-// Place is a backend server and the tokens to use it. Exactly one of Dispatch and
-// Cancel is to be called.
-type Place struct {
-	Bound   *Bound
+// Placement is a backend server and the tokens to use it. Exactly one of Dispatch
+// and Cancel must be called.
+type Placement struct {
+	Version *ActiveVersion
 	Backend int32
 	Queue   *queue.Queue
 
-	s     *Steerer
-	grant slots.Grant
-	since time.Duration
+	steerer  *Steerer
+	grant    slots.Grant
+	placedAt time.Duration
 }
 
-// Times and bounds of refusals.
+// Retry-after times of rejections.
 const (
-	minRetry     = 100 * time.Millisecond
-	maxRetry     = 10 * time.Second
-	confirmRetry = 500 * time.Millisecond
-	closedRetry  = time.Second
+	minRetryAfter         = 100 * time.Millisecond
+	maxRetryAfter         = 10 * time.Second
+	unconfirmedRetryAfter = 500 * time.Millisecond
+	noBackendRetryAfter   = time.Second
 )
 
-// Place finds a place, waiting in the queue until it is clear that the
-// request can not make its deadline.
-func (s *Steerer) Place(ctx context.Context, a *Ask) (*Place, *request.Result) {
-	b := s.bound.Load()
-	if b == nil {
-		return nil, refuse(request.NoVersion, confirmRetry)
+// Place finds a placement. If need be, it waits in the queue until it is clear that
+// the request cannot meet its deadline.
+func (s *Steerer) Place(ctx context.Context, r *Request) (*Placement, *request.Result) {
+	av := s.active.Load()
+	if av == nil {
+		return nil, reject(request.NoVersion, unconfirmedRetryAfter)
 	}
-	if !s.Fresh() {
-		return nil, refuse(request.Unconfirmed, confirmRetry)
+	if !s.ConfigFresh() {
+		return nil, reject(request.Unconfirmed, unconfirmedRetryAfter)
 	}
-	svc := b.View.Service(a.Service)
+	svc := av.View.Service(r.Service)
 	if svc == version.None {
-		return nil, refuse(request.UnknownService, 0)
+		return nil, reject(request.UnknownService, 0)
 	}
-	q := b.Queues[svc]
-	if q.Len() == 0 || a.again() {
-		if p, open := s.try(a); p != nil {
+	q := av.Queues[svc]
+	if q.Len() == 0 || r.isRetry() {
+		if p, open := s.try(r); p != nil {
 			return p, nil
 		} else if !open {
-			return nil, refuse(request.NoBackend, closedRetry)
+			return nil, reject(request.NoBackend, noBackendRetryAfter)
 		}
 	}
-	if a.again() {
-		return nil, refuse(request.QueueFull, minRetry)
+	if r.isRetry() {
+		return nil, reject(request.QueueFull, minRetryAfter)
 	}
-	return s.wait(ctx, a, q, b.View.Services[svc].Queue)
+	return s.wait(ctx, r, q, av.View.Services[svc].Queue)
 }
 
-// refuse returns a result for a request of which nothing was sent. A time to
-// come back is spread, so that those refused together do not return together.
-func refuse(c request.Code, retry time.Duration) *request.Result {
-	if retry > 0 {
-		retry = min(max(retry, minRetry), maxRetry)
-		retry += rand.N(retry)
+// reject returns a result for a request of which nothing was sent. The retry-after
+// time is randomized, so that clients that were rejected together do not come back
+// together.
+func reject(c request.Code, retryAfter time.Duration) *request.Result {
+	if retryAfter > 0 {
+		retryAfter = min(max(retryAfter, minRetryAfter), maxRetryAfter)
+		retryAfter += rand.N(retryAfter)
 	}
-	r := request.NotRun(c, retry)
-	return &r
+	res := request.NotRun(c, retryAfter)
+	return &res
 }
 
-// try makes one decision and takes the tokens. Open is false when no backend server
-// takes work.
-func (s *Steerer) try(a *Ask) (p *Place, open bool) {
-	const tries = 3 // another request may take a token in between
-	for range tries {
-		b := s.bound.Load()
-		svc, region := b.View.Service(a.Service), s.Region(b.View)
+// try makes one decision and acquires the tokens. It reports open as false if no
+// backend server accepts requests.
+func (s *Steerer) try(r *Request) (p *Placement, open bool) {
+	const attempts = 3 // another request may take a token between decision and acquisition
+	for range attempts {
+		av := s.active.Load()
+		svc, region := av.View.Service(r.Service), s.Region(av.View)
 		if svc == version.None || region == version.None {
-			return nil, false // the version has no such service, or not this instance's hall
+			return nil, false // the version lacks the service or this instance's hall
 		}
 		now := s.Now()
 		query := version.Query{
-			Service: svc, Region: region, Random: rand.Uint64(), InForce: now - b.Since,
-			Exclude: [2]int32{b.backend(a.Tried[0]), b.backend(a.Tried[1])},
+			Service: svc, Region: region, Random: rand.Uint64(), InForce: now - av.Since,
+			Exclude: [2]int32{av.backendIndex(r.Tried[0]), av.backendIndex(r.Tried[1])},
 		}
-		c := b.View.Decide(&query, b.Counters)
-		s.noteMiss(b, &query, &c)
+		c := av.View.Decide(&query, av.Counters)
+		s.recordShortage(av, &query, &c)
 		if c.Backend == version.None {
 			return nil, c.Open
 		}
-		if g, ok := s.Slots.Acquire(b.View.Seq, &c, now); ok {
-			return &Place{Bound: b, Backend: c.Backend, Queue: b.Queues[svc], s: s, grant: g, since: now}, true
+		if g, ok := s.Slots.Acquire(av.View.Seq, &c, now); ok {
+			return &Placement{Version: av, Backend: c.Backend, Queue: av.Queues[svc], steerer: s, grant: g, placedAt: now}, true
 		}
 	}
 	return nil, true
 }
 
-func (b *Bound) backend(name string) int32 {
+func (av *ActiveVersion) backendIndex(name string) int32 {
 	if name == "" {
 		return version.None
 	}
-	for i := range b.View.Backends {
-		if b.View.Backends[i].Name == name {
+	for i := range av.View.Backends {
+		if av.View.Backends[i].Name == name {
 			return int32(i)
 		}
 	}
 	return version.None
 }
 
-// noteMiss tells the token table of tokens that were lacking.
-func (s *Steerer) noteMiss(b *Bound, q *version.Query, c *version.Choice) {
+// recordShortage tells the token table which tokens were missing for a decision.
+func (s *Steerer) recordShortage(av *ActiveVersion, q *version.Query, c *version.Choice) {
 	if c.Link != version.None {
-		s.Slots.RecordShortage(b.View.Services[q.Service].Name, b.View.Regions[q.Region], b.View.Pools[c.Link].Name)
+		s.Slots.RecordShortage(av.View.Services[q.Service].Name, av.View.Regions[q.Region], av.View.Pools[c.Link].Name)
 	}
 	if c.Missed == version.None {
 		return
 	}
-	sh := &b.View.Services[q.Service].Shifts[q.Region]
+	shift := &av.View.Services[q.Service].Shifts[q.Region]
 	names := make([]string, 0, version.MaxPools)
-	for _, p := range []int32{sh.Pool, sh.RatePool} {
-		if p != version.None && b.Counters.Free[p].Load() <= 0 {
-			names = append(names, b.View.Pools[p].Name)
+	for _, p := range []int32{shift.Pool, shift.RatePool} {
+		if p != version.None && av.Counters.Free[p].Load() <= 0 {
+			names = append(names, av.View.Pools[p].Name)
 		}
 	}
-	s.Slots.RecordShortage(b.View.Services[q.Service].Name, b.View.Regions[c.Missed], names...)
-	s.Short()
+	s.Slots.RecordShortage(av.View.Services[q.Service].Name, av.View.Regions[c.Missed], names...)
+	s.OnShortage()
 }
 
-// wait queues the request until it has a place or none in time.
-func (s *Steerer) wait(ctx context.Context, a *Ask, q *queue.Queue, limit int) (*Place, *request.Result) {
-	expect := q.Expect(q.Ahead(a.Class), s.Slots.SlotCapacity(a.Service, s.Now()))
-	if time.Until(a.Deadline) < expect {
-		return nil, refuse(request.DeadlineNear, expect)
+// wait queues the request until it gets a placement, or until it is too late for one.
+func (s *Steerer) wait(ctx context.Context, r *Request, q *queue.Queue, limit int) (*Placement, *request.Result) {
+	expectedWait := q.Expect(q.Ahead(r.Class), s.Slots.SlotCapacity(r.Service, s.Now()))
+	if time.Until(r.Deadline) < expectedWait {
+		return nil, reject(request.DeadlineNear, expectedWait)
 	}
-	expect = max(expect, minRetry) // nothing was served yet, or all is quick
-	w, ok := q.Enter(a.Class, limit)
+	expectedWait = max(expectedWait, minRetryAfter) // the estimate is 0 before any request was served, and small if requests are short
+	waiter, ok := q.Enter(r.Class, limit)
 	if !ok {
-		return nil, refuse(request.QueueFull, expect)
+		return nil, reject(request.QueueFull, expectedWait)
 	}
-	defer q.Leave(w)
+	defer q.Leave(waiter)
 	region := s.RegionName()
-	s.Slots.AddWaiting(a.Service, region, 1)
-	defer s.Slots.AddWaiting(a.Service, region, -1)
-	s.Short()
-	latest := time.NewTimer(time.Until(a.Deadline) - q.Expect(0, 1))
-	defer latest.Stop()
+	s.Slots.AddWaiting(r.Service, region, 1)
+	defer s.Slots.AddWaiting(r.Service, region, -1)
+	s.OnShortage()
+	lastStart := time.NewTimer(time.Until(r.Deadline) - q.Expect(0, 1))
+	defer lastStart.Stop()
 	for {
-		if p, open := s.try(a); p != nil {
+		if p, open := s.try(r); p != nil {
 			return p, nil
 		} else if !open {
-			return nil, refuse(request.NoBackend, closedRetry)
+			return nil, reject(request.NoBackend, noBackendRetryAfter)
 		}
 		select {
-		case <-w.Turn:
-		case <-w.Evicted:
-			return nil, refuse(request.QueueFull, expect)
-		case <-latest.C:
-			return nil, refuse(request.DeadlineNear, expect)
+		case <-waiter.Turn:
+		case <-waiter.Evicted:
+			return nil, reject(request.QueueFull, expectedWait)
+		case <-lastStart.C:
+			return nil, reject(request.DeadlineNear, expectedWait)
 		case <-ctx.Done():
-			return nil, refuse(request.CallerGone, 0)
+			return nil, reject(request.CallerGone, 0)
 		}
-		if !s.Fresh() {
-			return nil, refuse(request.Unconfirmed, confirmRetry)
+		if !s.ConfigFresh() {
+			return nil, reject(request.Unconfirmed, unconfirmedRetryAfter)
 		}
 	}
 }
 
-// RegionName returns the name of the instance's region, or "" when the version
-// in force does not have its hall.
+// RegionName returns the name of the instance's region, or "" if the version in
+// force does not have the instance's hall.
 func (s *Steerer) RegionName() string {
-	v := s.bound.Load().View
+	v := s.active.Load().View
 	if r := s.Region(v); r != version.None {
 		return v.Regions[r]
 	}
 	return ""
 }
 
-// Dispatch sends the request to the place's backend server.
-func (p *Place) Dispatch(ctx context.Context, req *http.Request, deadline time.Time) (*conn.Exchange, error) {
-	return p.Bound.Conns[p.Backend].Dispatch(ctx, req, conn.Options{
+// Dispatch sends the request to the backend server.
+func (p *Placement) Dispatch(ctx context.Context, req *http.Request, deadline time.Time) (*conn.Exchange, error) {
+	return p.Version.Conns[p.Backend].Dispatch(ctx, req, conn.Options{
 		Deadline: deadline,
-		Allowed:  func() bool { return p.s.Fresh() && p.s.Slots.Valid(&p.grant, p.s.Now()) },
+		Allowed:  func() bool { return p.steerer.ConfigFresh() && p.steerer.Slots.Valid(&p.grant, p.steerer.Now()) },
 		Release:  p.release,
 	})
 }
 
-// Name returns the name of the place's backend server.
-func (p *Place) Name() string { return p.Bound.View.Backends[p.Backend].Name }
+// Name returns the name of the backend server.
+func (p *Placement) Name() string { return p.Version.View.Backends[p.Backend].Name }
 
-// Cancel gives the tokens back unused.
-func (p *Place) Cancel() { p.release(false) }
+// Cancel returns the tokens unused.
+func (p *Placement) Cancel() { p.release(false) }
 
-// release gives the tokens back. Of a silent backend server, which may be frozen
-// with the request in hand, those for its slot and for a shift come back only
-// once it is heard from again.
-func (p *Place) release(silent bool) {
-	if silent {
-		p.s.Slots.ReleaseLinkAndRate(&p.grant, p.s.Now())
-		p.s.Health.AwaitWord(p.Name(), p.s.Now(), func() { p.release(false) })
+// release returns the tokens. If the backend server is unresponsive, it may be
+// frozen and still hold the request, so its slot and shift tokens are returned only
+// once it has responded again.
+func (p *Placement) release(unresponsive bool) {
+	if unresponsive {
+		p.steerer.Slots.ReleaseLinkAndRate(&p.grant, p.steerer.Now())
+		p.steerer.Health.AwaitWord(p.Name(), p.steerer.Now(), func() { p.release(false) })
 		return
 	}
-	now := p.s.Now()
-	p.Queue.Served(now - p.since)
-	p.s.Slots.Release(&p.grant, now)
+	now := p.steerer.Now()
+	p.Queue.Served(now - p.placedAt)
+	p.steerer.Slots.Release(&p.grant, now)
 }
