--- a/process/entry/entry.go
+++ b/process/entry/entry.go
@@ -122,7 +122,7 @@
 		Id: id, Instance: s.Instance, Hall: s.Hall, Front: s.Front, Peer: s.Peer,
 	})
 	e.health = &health.Table{OnLeaving: e.onLeaving}
-	e.slots = &slots.Table{Self: id, OnFree: func(int32) { e.steer.Wake() }, AwaitResponse: e.health.AwaitWord}
+	e.slots = &slots.Table{Self: id, OnFree: func(int32) { e.steer.Wake() }, AwaitResponse: e.health.AwaitResponse}
 	e.steer = &steer.Steerer{
 		Now: e.now, Slots: e.slots, Health: e.health, Region: e.region,
 		OnShortage: func() { poke(e.short) },
--- a/process/entry/exchange.go
+++ b/process/entry/exchange.go
@@ -356,7 +356,7 @@
 
 func (e *Entry) leavingFacts() []*peer.Leaving {
 	var out []*peer.Leaving
-	for _, f := range e.health.Facts() {
+	for _, f := range e.health.LeavingFacts() {
 		out = append(out, &peer.Leaving{Backend: f.Backend, Boot: f.Boot})
 	}
 	return out
--- a/process/entry/probe.go
+++ b/process/entry/probe.go
@@ -40,7 +40,7 @@
 					ids = append(ids, c.ID)
 				}
 			}
-			if b.Counters.Closed[i].Load() || e.health.Awaited(u.Name) || proberOf(u.Name, ids, e.members.Self().GetId()) {
+			if b.Counters.Closed[i].Load() || e.health.AwaitsResponse(u.Name) || proberOf(u.Name, ids, e.members.Self().GetId()) {
 				go e.probe(ctx, u)
 			}
 		}
@@ -63,8 +63,8 @@
 	start := e.now()
 	rep, err := conn.Probe(ctx, e.probes, u.Address)
 	if err != nil {
-		e.health.Failed(u.Name, e.now())
+		e.health.RecordFailure(u.Name, e.now())
 		return
 	}
-	e.health.Probed(u.Name, rep, e.now()-start, e.now())
+	e.health.RecordProbe(u.Name, rep, e.now()-start, e.now())
 }
--- a/process/entry/routes.go
+++ b/process/entry/routes.go
@@ -96,7 +96,7 @@
 
 // answered notes what a backend server says of itself.
 func (x *routes) answered(backend string, h http.Header, took time.Duration) {
-	x.e.health.Answered(backend, took, h.Get(request.HeaderState), h.Get(request.HeaderBoot), x.e.now())
+	x.e.health.RecordResponse(backend, took, h.Get(request.HeaderState), h.Get(request.HeaderBoot), x.e.now())
 }
 
 // install puts a version in force.
@@ -125,7 +125,7 @@
 // leavingNow returns the names of the backend servers that have said that they leave.
 func (x *routes) leavingNow() []string {
 	var out []string
-	for _, f := range x.e.health.Facts() {
+	for _, f := range x.e.health.LeavingFacts() {
 		if x.e.health.Leaving(f.Backend) {
 			out = append(out, f.Backend)
 		}
--- a/process/entry/routes_test.go
+++ b/process/entry/routes_test.go
@@ -136,7 +136,7 @@
 		assert.Equal(t, res.StatusCode, http.StatusOK)
 	}
 	assert.Equal(t, x.runs(0), 0)
-	x.entry.health.Answered("u1", time.Millisecond, "leaving", "boot", x.entry.now())
+	x.entry.health.RecordResponse("u1", time.Millisecond, "leaving", "boot", x.entry.now())
 	x.entry.routes.refresh()
 	res, _ := x.send("/bids/1", "last")
 	assert.Equal(t, res.StatusCode, http.StatusServiceUnavailable)
--- a/process/front/attempt.go
+++ b/process/front/attempt.go
@@ -146,7 +146,7 @@
 	if h.Get(request.HeaderID) != t.c.id {
 		ex.Response.Close = true
 		ex.Close()
-		t.f.Steer.Health.Failed(name, t.f.Now())
+		t.f.Steer.Health.RecordFailure(name, t.f.Now())
 		return nil, t.result(request.AnswerWrong), t.repeatable()
 	}
 	if h.Get(request.HeaderNotRun) == "true" {
@@ -154,7 +154,7 @@
 		_, _ = io.CopyN(io.Discard, ex.Response.Body, smallBody) // so that the connection can be kept
 		ex.Close()
 		retryAfter := request.OwnNames.Notice(ex.Response.StatusCode, h).RetryAfter
-		t.f.Steer.Health.TurnedAway(name, retryAfter, h.Get(request.HeaderState), h.Get(request.HeaderBoot), t.f.Now()-start, t.f.Now())
+		t.f.Steer.Health.RecordRejection(name, retryAfter, h.Get(request.HeaderState), h.Get(request.HeaderBoot), t.f.Now()-start, t.f.Now())
 		r := t.result(request.BackendRefused)
 		r.Retry = time.Second
 		return nil, r, t.src.again()
@@ -190,10 +190,10 @@
 	a, err := readAnswer(ex)
 	now := t.f.Now()
 	if err != nil {
-		t.f.Steer.Health.Failed(name, now)
+		t.f.Steer.Health.RecordFailure(name, now)
 		return nil, t.result(lostCode(err, t.c.deadline)), t.repeatable()
 	}
-	t.f.Steer.Health.Answered(name, now-start, res.Header.Get(request.HeaderState), res.Header.Get(request.HeaderBoot), now)
+	t.f.Steer.Health.RecordResponse(name, now-start, res.Header.Get(request.HeaderState), res.Header.Get(request.HeaderBoot), now)
 	a.backend = name
 	return a, nil, false
 }
@@ -227,10 +227,10 @@
 		return t.result(request.Unconfirmed), t.src.again()
 	}
 	if ctx.Err() != nil || !time.Now().Before(t.c.deadline) {
-		t.f.Steer.Health.Failed(name, t.f.Now())
+		t.f.Steer.Health.RecordFailure(name, t.f.Now())
 		return t.result(request.DeadlinePassed), false
 	}
-	t.f.Steer.Health.Failed(name, t.f.Now())
+	t.f.Steer.Health.RecordFailure(name, t.f.Now())
 	if !sent {
 		return t.result(request.ConnectFailed), t.src.again()
 	}
--- a/process/front/front_test.go
+++ b/process/front/front_test.go
@@ -232,7 +232,7 @@
 		assert.Equal(t, r.Ran, tc.ran)
 		time.Sleep(10 * time.Millisecond)
 		f.backend.SetFault(backend.Fault{})
-		f.front.Steer.Health.Answered("c1", time.Millisecond, "", "", f.front.Now()) // opens it again
+		f.front.Steer.Health.RecordResponse("c1", time.Millisecond, "", "", f.front.Now()) // opens it again
 	}
 }
 
--- a/process/health/doc.go
+++ b/process/health/doc.go
@@ -1,14 +1,15 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package health knows what this instance has learned of the backend servers: their own
-word on leaving, how fast they answer, and whether they fail.
+Package health tracks what this instance knows of the backend servers: whether
+they report that they are leaving, how fast they respond, and whether they fail.
 
-Leaving is a fact about one start (boot) of a backend server and is never taken
-back: the set of facts only grows, and instances that exchange their sets agree
-in the end. A new start of the backend server has a new boot id.
+Leaving is a fact about one start (boot) of a backend server and is never
+revoked: the set of facts only grows, and instances that exchange their sets
+converge. A new start of the backend server has a new boot id.
 
-Own observations count first. The cost that decisions read is the moving mean
-of answer times seen here; a load report only sets it while nothing was seen.
+Own observations take precedence. The cost that decisions read is the moving
+average of response times observed here; the time of a load report sets it only
+while no response has been observed.
 */
 package health
--- a/process/health/health.go
+++ b/process/health/health.go
@@ -13,14 +13,15 @@
 	"shalewick/version"
 )
 
-// Leaving is a backend server's word that one start of it takes no more work.
+// Leaving is a backend server's statement that one start of it accepts no more
+// requests.
 type Leaving struct {
 	Backend string
 	Boot    string
 }
 
-// Table keeps what is known of each backend server, by name. OnLeaving is set before
-// use; it is called without a lock held when a fact is first learned.
+// Table records what is known of each backend server, by name. OnLeaving is set
+// before use. It is called, with no lock held, when a fact is first learned.
 type Table struct {
 	OnLeaving func(Leaving)
 
@@ -30,83 +31,84 @@
 	digest   uint64
 	view     *version.View
 	counters *version.Counters
-	places   map[string]int32
+	indexes  map[string]int32
 }
 
 type backend struct {
-	boot     string
-	cost     time.Duration
-	failures int           // in a row
-	closed   time.Duration // closed for failures until then, on the process's clock
-	backoff  time.Duration // it asked for a backoff until then
-	awaiting []awaiting
+	boot         string
+	cost         time.Duration
+	failures     int           // consecutive
+	closedUntil  time.Duration // after failures; on the process's clock
+	backoffUntil time.Duration // end of the backoff that the backend server asked for
+	pending      []pendingCall
 }
 
-// awaiting is a call to make once the backend server is heard from.
-type awaiting struct {
+// pendingCall is a call to make once the backend server has responded to something
+// that was sent at since or later.
+type pendingCall struct {
 	since time.Duration
 	then  func()
 }
 
-// Bounds of the reaction to failures.
+// Parameters of the reaction to failures.
 const (
-	failuresToClose = 3
-	firstClose      = 500 * time.Millisecond
-	maxClose        = 5 * time.Second
-	costWeight      = 8 // one new time counts 1/8 in the mean
+	failureThreshold = 3
+	initialCloseTime = 500 * time.Millisecond
+	maxCloseTime     = 5 * time.Second
+	costWeight       = 8 // a new value counts 1/8 in the moving average
 )
 
 // Install puts a view in force.
-func (t *Table) Install(v *version.View, n *version.Counters, now time.Duration) {
+func (t *Table) Install(v *version.View, counters *version.Counters, now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.backends == nil {
 		t.backends = make(map[string]*backend)
 	}
-	t.view, t.counters = v, n
-	t.places = make(map[string]int32, len(v.Backends))
+	t.view, t.counters = v, counters
+	t.indexes = make(map[string]int32, len(v.Backends))
 	for i := range v.Backends {
 		name := v.Backends[i].Name
-		t.places[name] = int32(i)
+		t.indexes[name] = int32(i)
 		if t.backends[name] == nil {
 			t.backends[name] = &backend{}
 		}
 	}
-	for name, u := range t.backends {
-		if _, ok := t.places[name]; !ok && len(u.awaiting) == 0 {
+	for name, b := range t.backends {
+		if _, ok := t.indexes[name]; !ok && len(b.pending) == 0 {
 			delete(t.backends, name)
 		}
 	}
 	t.publishAll(now)
 }
 
-// AwaitWord calls then once the backend server has answered something that was sent
-// at since or later. It is called without a lock held.
-func (t *Table) AwaitWord(name string, since time.Duration, then func()) {
+// AwaitResponse calls then once the backend server has responded to something that
+// was sent at since or later. It is called with no lock held.
+func (t *Table) AwaitResponse(name string, since time.Duration, then func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.backends[name]
-	if u == nil {
-		u = &backend{} // not in the version in force, but it may be again
-		t.backends[name] = u
+	b := t.backends[name]
+	if b == nil {
+		b = &backend{} // not in the version in force, but may be in a later one
+		t.backends[name] = b
 	}
-	u.awaiting = append(u.awaiting, awaiting{since, then})
+	b.pending = append(b.pending, pendingCall{since, then})
 }
 
-// Awaited reports whether a word of the backend server is waited for.
-func (t *Table) Awaited(name string) bool {
+// AwaitsResponse reports whether a call waits for a response of the backend server.
+func (t *Table) AwaitsResponse(name string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.backends[name]
-	return u != nil && len(u.awaiting) > 0
+	b := t.backends[name]
+	return b != nil && len(b.pending) > 0
 }
 
-// heard removes and returns the calls to make after an answer to something
-// that was sent at a time.
-func (u *backend) heard(sent time.Duration) []awaiting {
-	var due []awaiting
-	u.awaiting = slices.DeleteFunc(u.awaiting, func(a awaiting) bool {
-		if a.since <= sent {
+// takeDue removes and returns the calls to make after a response to something that
+// was sent at sentAt.
+func (b *backend) takeDue(sentAt time.Duration) []pendingCall {
+	var due []pendingCall
+	b.pending = slices.DeleteFunc(b.pending, func(a pendingCall) bool {
+		if a.since <= sentAt {
 			due = append(due, a)
 			return true
 		}
@@ -115,89 +117,93 @@
 	return due
 }
 
-// Answered notes an answer: how long it took, and the backend server's own word.
-func (t *Table) Answered(name string, took time.Duration, state, boot string, now time.Duration) {
+// RecordResponse records a response: how long it took, and the state and boot id that
+// the backend server reported.
+func (t *Table) RecordResponse(name string, took time.Duration, state, boot string, now time.Duration) {
 	t.mu.Lock()
-	u := t.backends[name]
-	if u == nil {
+	b := t.backends[name]
+	if b == nil {
 		t.mu.Unlock()
 		return
 	}
-	u.failures = 0
-	u.closed = 0
-	if u.cost == 0 {
-		u.cost = took
+	b.failures = 0
+	b.closedUntil = 0
+	if b.cost == 0 {
+		b.cost = took
 	}
-	u.cost += (took - u.cost) / costWeight
-	t.after(name, u, state, boot, took, now)
+	b.cost += (took - b.cost) / costWeight
+	t.finishReport(name, b, state, boot, took, now)
 }
 
-// TurnedAway notes that the backend server refused a request without running it, and for how
-// long it asked to be left alone; zero: it did not. Its answers to what was sent before do
-// not end that. The time that a refusal took says nothing of what an answer costs: one that
-// turns everything away at once would look like the best of all.
-func (t *Table) TurnedAway(name string, retryAfter time.Duration, state, boot string, took, now time.Duration) {
+// RecordRejection records that the backend server rejected a request without running
+// it, and the backoff that it asked for, or 0. Responses to requests that were sent
+// earlier do not end the backoff. The duration does not count towards the cost:
+// otherwise a backend server that rejects everything at once would appear to be the
+// fastest.
+func (t *Table) RecordRejection(name string, retryAfter time.Duration, state, boot string, took, now time.Duration) {
 	t.mu.Lock()
-	u := t.backends[name]
-	if u == nil {
+	b := t.backends[name]
+	if b == nil {
 		t.mu.Unlock()
 		return
 	}
-	u.failures = 0
-	u.closed = 0
-	u.backoff = max(u.backoff, now+retryAfter)
-	t.after(name, u, state, boot, took, now)
+	b.failures = 0
+	b.closedUntil = 0
+	b.backoffUntil = max(b.backoffUntil, now+retryAfter)
+	t.finishReport(name, b, state, boot, took, now)
 }
 
-// Probed notes a load report.
-func (t *Table) Probed(name string, rep conn.Report, took time.Duration, now time.Duration) {
+// RecordProbe records a load report.
+func (t *Table) RecordProbe(name string, report conn.Report, took time.Duration, now time.Duration) {
 	t.mu.Lock()
-	u := t.backends[name]
-	if u == nil {
+	b := t.backends[name]
+	if b == nil {
 		t.mu.Unlock()
 		return
 	}
-	if now >= u.closed {
-		u.failures = 0
+	if now >= b.closedUntil {
+		b.failures = 0
 	}
-	if u.cost == 0 {
-		u.cost = took
+	if b.cost == 0 {
+		b.cost = took
 	}
-	t.after(name, u, rep.State, rep.Boot, took, now)
+	t.finishReport(name, b, report.State, report.Boot, took, now)
 }
 
-// after takes up the backend server's own word, and makes the calls that it was
-// awaited for. It gives back the lock that the caller holds.
-func (t *Table) after(name string, u *backend, state, boot string, took, now time.Duration) {
-	fact, news := t.word(name, u, state, boot)
-	due := u.heard(now - took)
+// finishReport applies the state that the backend server reported, and makes the calls
+// that waited for its response. The caller holds the lock, which finishReport releases.
+func (t *Table) finishReport(name string, b *backend, state, boot string, took, now time.Duration) {
+	fact, added := t.applyState(name, b, state, boot)
+	due := b.takeDue(now - took)
 	t.publish(name, now)
 	t.mu.Unlock()
 	for _, a := range due {
 		a.then()
 	}
-	if news {
+	if added {
 		t.OnLeaving(fact)
 	}
 }
 
-// word takes up a backend server's own word. The caller holds the lock.
-func (t *Table) word(name string, u *backend, state, boot string) (Leaving, bool) {
+// applyState records the boot id and whether that start of the backend server is
+// leaving, and reports whether this is a new fact. The caller holds the lock.
+func (t *Table) applyState(name string, b *backend, state, boot string) (Leaving, bool) {
 	if boot == "" {
 		return Leaving{}, false
 	}
-	if u.boot != boot {
-		u.backoff = 0 // another start asked for it
+	if b.boot != boot {
+		b.backoffUntil = 0 // the backoff was asked for by an earlier start
 	}
-	u.boot = boot
+	b.boot = boot
 	if state != conn.StateLeaving {
 		return Leaving{}, false
 	}
 	fact := Leaving{Backend: name, Boot: boot}
-	return fact, t.add(fact)
+	return fact, t.addFact(fact)
 }
 
-func (t *Table) add(f Leaving) bool {
+// addFact adds a fact and reports whether it is new. The caller holds the lock.
+func (t *Table) addFact(f Leaving) bool {
 	if t.leaving[f] {
 		return false
 	}
@@ -209,39 +215,39 @@
 	return true
 }
 
-// Failed notes that an attempt or a probe got no whole answer.
-func (t *Table) Failed(name string, now time.Duration) {
+// RecordFailure records that an attempt or a probe got no complete response.
+func (t *Table) RecordFailure(name string, now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.backends[name]
-	if u == nil {
+	b := t.backends[name]
+	if b == nil {
 		return
 	}
-	u.failures++
-	if over := u.failures - failuresToClose; over >= 0 {
-		u.closed = now + min(maxClose, firstClose<<min(over, 4))
+	b.failures++
+	if excess := b.failures - failureThreshold; excess >= 0 {
+		b.closedUntil = now + min(maxCloseTime, initialCloseTime<<min(excess, 4))
 	}
 	t.publish(name, now)
 }
 
-// Merge takes up facts that a peer knows.
+// Merge adds facts that a peer knows.
 func (t *Table) Merge(facts []Leaving, now time.Duration) {
-	var news []Leaving
+	var added []Leaving
 	t.mu.Lock()
 	for _, f := range facts {
-		if t.add(f) {
-			news = append(news, f)
+		if t.addFact(f) {
+			added = append(added, f)
 			t.publish(f.Backend, now)
 		}
 	}
 	t.mu.Unlock()
-	for _, f := range news {
+	for _, f := range added {
 		t.OnLeaving(f)
 	}
 }
 
-// Facts returns the leaving facts, unordered.
-func (t *Table) Facts() []Leaving {
+// LeavingFacts returns the leaving facts, unordered.
+func (t *Table) LeavingFacts() []Leaving {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make([]Leaving, 0, len(t.leaving))
@@ -251,14 +257,14 @@
 	return out
 }
 
-// Digest is equal for equal sets of facts.
+// Digest returns a hash that is the same for equal sets of facts.
 func (t *Table) Digest() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.digest
 }
 
-// Tick opens backend servers whose time of being closed has passed.
+// Tick reopens backend servers whose closed time or backoff has passed.
 func (t *Table) Tick(now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -268,35 +274,36 @@
 }
 
 func (t *Table) publishAll(now time.Duration) {
-	for name := range t.places {
+	for name := range t.indexes {
 		t.publish(name, now)
 	}
 }
 
-// publish writes what decisions read. The caller holds the lock.
+// publish updates the counters that decisions read. The caller holds the lock.
 func (t *Table) publish(name string, now time.Duration) {
-	place, ok := t.places[name]
+	index, ok := t.indexes[name]
 	if !ok {
 		return
 	}
-	u := t.backends[name]
-	t.counters.Cost[place].Store(int64(u.cost))
-	t.counters.Closed[place].Store(now < u.closed || now < u.backoff || t.isLeaving(name, u))
+	b := t.backends[name]
+	t.counters.Cost[index].Store(int64(b.cost))
+	t.counters.Closed[index].Store(now < b.closedUntil || now < b.backoffUntil || t.isLeaving(name, b))
 }
 
-// Leaving reports whether a backend server has said that it takes no more work.
+// Leaving reports whether a backend server has announced that it accepts no more
+// requests.
 func (t *Table) Leaving(name string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.backends[name]
-	return u != nil && t.isLeaving(name, u)
+	b := t.backends[name]
+	return b != nil && t.isLeaving(name, b)
 }
 
-// isLeaving reports whether the latest known start of a backend server is leaving.
-// A fact about a start that was never seen here counts until it is.
-func (t *Table) isLeaving(name string, u *backend) bool {
-	if u.boot != "" {
-		return t.leaving[Leaving{Backend: name, Boot: u.boot}]
+// isLeaving reports whether the latest known start of a backend server is leaving. As
+// long as no start was observed here, a fact about any start counts.
+func (t *Table) isLeaving(name string, b *backend) bool {
+	if b.boot != "" {
+		return t.leaving[Leaving{Backend: name, Boot: b.boot}]
 	}
 	for f := range t.leaving {
 		if f.Backend == name {
--- a/process/queue/doc.go
+++ b/process/queue/doc.go
@@ -2,10 +2,11 @@
 
 /*
 Package queue orders the requests of one service that wait for a slot at one
-instance. Queues are short: bounded in number, and a request that can not make
-its deadline does not enter. Commits go before reads and reads before uploads;
-within a class the first come is first. One turn in fairOneIn goes to the
-oldest waiter of the lowest class, so that nothing starves. A full queue makes
-room for a higher class by refusing the last waiter of the lowest one.
+instance. Queues are short: their length is bounded, and a request that cannot
+meet its deadline does not enter. Commits precede reads and reads precede
+uploads; within a class the order is first come, first served. One in every
+lowestFirstInterval wakes goes to the oldest waiter of the lowest class, so that
+no class starves. A full queue makes space for a request of a higher class by
+evicting the newest waiter of the lowest class.
 */
 package queue
--- a/process/queue/queue.go
+++ b/process/queue/queue.go
@@ -9,27 +9,28 @@
 	"shalewick/request"
 )
 
-// fairOneIn is how often the lowest class has a turn before the others.
-const fairOneIn = 8
+// lowestFirstInterval is the number of wakes of which one goes to the lowest class
+// first.
+const lowestFirstInterval = 8
 
-// Queue is the line of one service. The zero value is an empty queue.
+// Queue is the wait queue of one service. The zero value is an empty queue.
 type Queue struct {
 	mu      sync.Mutex
 	waiters [request.NumClasses][]*Waiter
 	length  int
-	turns   int
-	// served is the recent mean time a request holds its slot.
-	served time.Duration
+	wakes   int
+	// meanServiceTime is the moving average of how long a request holds its slot.
+	meanServiceTime time.Duration
 }
 
-// Waiter is one request in a queue.
+// Waiter is a request in a queue.
 type Waiter struct {
-	// Turn receives when the waiter should try to take a slot.
-	Turn chan struct{}
-	// Evicted is closed when the waiter had to make room.
+	// Ready receives a value when the waiter should try to acquire a slot.
+	Ready chan struct{}
+	// Evicted is closed when the waiter is evicted in favor of a higher class.
 	Evicted chan struct{}
 	class   request.Class
-	gone    bool
+	removed bool
 }
 
 // Len returns the number of waiters.
@@ -39,21 +40,22 @@
 	return q.length
 }
 
-// Enter adds a waiter, unless limit others wait that are not of a lower class.
+// Enter adds a waiter. If limit requests wait already, it evicts a waiter of a lower
+// class, or fails if there is none.
 func (q *Queue) Enter(class request.Class, limit int) (*Waiter, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.length >= limit && !q.evictBelow(class) {
+	if q.length >= limit && !q.evictLower(class) {
 		return nil, false
 	}
-	w := &Waiter{Turn: make(chan struct{}, 1), Evicted: make(chan struct{}), class: class}
+	w := &Waiter{Ready: make(chan struct{}, 1), Evicted: make(chan struct{}), class: class}
 	q.waiters[class] = append(q.waiters[class], w)
 	q.length++
 	return w, true
 }
 
-// evictBelow removes the last waiter of the lowest class below the given one.
-func (q *Queue) evictBelow(class request.Class) bool {
+// evictLower evicts the newest waiter of the lowest class below the given one.
+func (q *Queue) evictLower(class request.Class) bool {
 	for c := request.NumClasses - 1; c > class; c-- {
 		n := len(q.waiters[c])
 		if n == 0 {
@@ -67,7 +69,8 @@
 	return false
 }
 
-// Leave removes a waiter and passes the turn on, in case it had one.
+// Leave removes a waiter and wakes the next one, because the waiter may have been
+// woken without using a slot.
 func (q *Queue) Leave(w *Waiter) {
 	q.mu.Lock()
 	q.remove(w)
@@ -76,35 +79,36 @@
 }
 
 func (q *Queue) remove(w *Waiter) {
-	if w.gone {
+	if w.removed {
 		return
 	}
-	w.gone = true
-	line := q.waiters[w.class]
-	for i := range line {
-		if line[i] == w {
-			q.waiters[w.class] = append(line[:i:i], line[i+1:]...)
+	w.removed = true
+	waiters := q.waiters[w.class]
+	for i := range waiters {
+		if waiters[i] == w {
+			q.waiters[w.class] = append(waiters[:i:i], waiters[i+1:]...)
 			q.length--
 			return
 		}
 	}
 }
 
-// Wake gives the next waiter its turn.
+// Wake signals the next waiter to try to acquire a slot.
 func (q *Queue) Wake() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.length == 0 {
 		return
 	}
-	q.turns++
-	w := q.next(q.turns%fairOneIn == 0)
+	q.wakes++
+	w := q.next(q.wakes%lowestFirstInterval == 0)
 	select {
-	case w.Turn <- struct{}{}:
-	default: // it has a turn already
+	case w.Ready <- struct{}{}:
+	default: // it has been signaled already
 	}
 }
 
+// next returns the first waiter of the highest class, or of the lowest one.
 func (q *Queue) next(lowestFirst bool) *Waiter {
 	var found *Waiter
 	for c := range q.waiters {
@@ -119,7 +123,7 @@
 	return found
 }
 
-// Ahead returns how many waiters go before a new one of the class.
+// Ahead returns how many waiters precede a new one of the class.
 func (q *Queue) Ahead(class request.Class) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -130,24 +134,24 @@
 	return n
 }
 
-// servedWeight is the weight of a new time in the mean.
-const servedWeight = 8
+// meanWeight is the divisor of a new value's share in the moving average.
+const meanWeight = 8
 
-// Served adds to the mean how long a request held its slot.
-func (q *Queue) Served(d time.Duration) {
+// RecordServiceTime adds how long a request held its slot to the moving average.
+func (q *Queue) RecordServiceTime(d time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.served == 0 {
-		q.served = d
+	if q.meanServiceTime == 0 {
+		q.meanServiceTime = d
 		return
 	}
-	q.served += (d - q.served) / servedWeight
+	q.meanServiceTime += (d - q.meanServiceTime) / meanWeight
 }
 
-// Expect returns the time until a slot is free for a request with so many
-// others ahead, when slots requests are served at once.
-func (q *Queue) Expect(ahead, slots int) time.Duration {
+// EstimateWait returns the expected time until a slot is free for a request that has
+// ahead requests before it, while slots requests are processed concurrently.
+func (q *Queue) EstimateWait(ahead, slots int) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.served * time.Duration(ahead+1) / time.Duration(max(1, slots))
+	return q.meanServiceTime * time.Duration(ahead+1) / time.Duration(max(1, slots))
 }
--- a/process/steer/steer.go
+++ b/process/steer/steer.go
@@ -256,7 +256,7 @@
 
 // wait queues the request until it gets a placement, or until it is too late for one.
 func (s *Steerer) wait(ctx context.Context, r *Request, q *queue.Queue, limit int) (*Placement, *request.Result) {
-	expectedWait := q.Expect(q.Ahead(r.Class), s.Slots.SlotCapacity(r.Service, s.Now()))
+	expectedWait := q.EstimateWait(q.Ahead(r.Class), s.Slots.SlotCapacity(r.Service, s.Now()))
 	if time.Until(r.Deadline) < expectedWait {
 		return nil, reject(request.DeadlineNear, expectedWait)
 	}
@@ -270,7 +270,7 @@
 	s.Slots.AddWaiting(r.Service, region, 1)
 	defer s.Slots.AddWaiting(r.Service, region, -1)
 	s.OnShortage()
-	lastStart := time.NewTimer(time.Until(r.Deadline) - q.Expect(0, 1))
+	lastStart := time.NewTimer(time.Until(r.Deadline) - q.EstimateWait(0, 1))
 	defer lastStart.Stop()
 	for {
 		if p, open := s.try(r); p != nil {
@@ -279,7 +279,7 @@
 			return nil, reject(request.NoBackend, noBackendRetryAfter)
 		}
 		select {
-		case <-waiter.Turn:
+		case <-waiter.Ready:
 		case <-waiter.Evicted:
 			return nil, reject(request.QueueFull, expectedWait)
 		case <-lastStart.C:
@@ -324,10 +324,10 @@
 func (p *Placement) release(unresponsive bool) {
 	if unresponsive {
 		p.steerer.Slots.ReleaseLinkAndRate(&p.grant, p.steerer.Now())
-		p.steerer.Health.AwaitWord(p.Name(), p.steerer.Now(), func() { p.release(false) })
+		p.steerer.Health.AwaitResponse(p.Name(), p.steerer.Now(), func() { p.release(false) })
 		return
 	}
 	now := p.steerer.Now()
-	p.Queue.Served(now - p.placedAt)
+	p.Queue.RecordServiceTime(now - p.placedAt)
 	p.steerer.Slots.Release(&p.grant, now)
 }
