--- a/process/entry/exchange.go
+++ b/process/entry/exchange.go
@@ -234,7 +234,7 @@
 	reply, err := client.Exchange(ctx, st)
 	if err != nil {
 		if ctx.Err() != context.Canceled {
-			e.members.Unreachable(address, e.now())
+			e.members.RecordUnreachable(address, e.now())
 		}
 		e.log.Debug().Str("peer", address).Err(err).Msg("exchange-failed")
 		return
@@ -280,7 +280,7 @@
 	now := e.now()
 	e.members.Merge([]*peer.Member{st.GetSelf()}, now)
 	e.members.Merge(st.GetMembers(), now)
-	e.members.Seen(st.GetSelf().GetId(), now)
+	e.members.RecordContact(st.GetSelf().GetId(), now)
 	for _, b := range st.GetChanges() {
 		var ch version.Change
 		if err := json.Unmarshal(b, &ch); err != nil {
--- a/process/entry/platform.go
+++ b/process/entry/platform.go
@@ -67,7 +67,7 @@
 		e.confirm(asked)
 	}
 	if err != nil {
-		e.members.Unreadable()
+		e.members.PlatformUnreadable()
 		e.metrics.Counter("platform_failures_total").Inc(1)
 		e.log.Debug().Err(err).Msg("platform-failed")
 	}
@@ -110,8 +110,8 @@
 		}
 		ms = append(ms, m)
 	}
-	e.members.Rows(ms, e.now())
-	e.members.List(list)
+	e.members.ApplyRows(ms, e.now())
+	e.members.ApplyInstanceList(list)
 	e.splitter.readRows(ids)
 	return nil
 }
--- a/process/entry/server.go
+++ b/process/entry/server.go
@@ -43,7 +43,7 @@
 		out.Split = e.splitJSON()
 	}
 	if in.GetMembersDigest() != out.GetMembersDigest() {
-		out.Members = e.members.Gossip(e.now())
+		out.Members = e.members.GossipMembers(e.now())
 	}
 	if in.GetLeavingDigest() != out.GetLeavingDigest() {
 		out.Leaving = e.leavingFacts()
@@ -94,12 +94,12 @@
 	if p.e.members.Leaving() {
 		return nil, status.Error(codes.FailedPrecondition, "leaving too")
 	}
-	bk := ticket.Book{Member: in.GetFrom(), Key: in.GetKey(), Age: time.Duration(in.GetAgeMs()) * time.Millisecond}
+	bk := ticket.Handover{Member: in.GetFrom(), Key: in.GetKey(), Age: time.Duration(in.GetAgeMs()) * time.Millisecond}
 	for _, r := range in.GetRecords() {
-		rec := ticket.Record{Outcome: ticket.Outcome{Status: int(r.GetStatus()), Body: r.GetBody(), Kept: r.GetKept()}}
+		rec := ticket.Record{Outcome: ticket.Outcome{Status: int(r.GetStatus()), Body: r.GetBody(), Retained: r.GetKept()}}
 		copy(rec.Nonce[:], r.GetNonce())
 		if err := json.Unmarshal(r.GetHeader(), &rec.Outcome.Header); err != nil {
-			rec.Outcome.Kept = false
+			rec.Outcome.Retained = false
 		}
 		bk.Records = append(bk.Records, rec)
 	}
--- a/process/entry/split.go
+++ b/process/entry/split.go
@@ -89,7 +89,7 @@
 	}
 	now := e.now()
 	live := e.candidates(b.View)
-	in := slots.PlanInput{Live: live, Down: e.members.Dead(now), View: b.View, Planner: e.members.Self().GetId()}
+	in := slots.PlanInput{Live: live, Down: e.members.Down(now), View: b.View, Planner: e.members.Self().GetId()}
 	_, needed := slots.Plan(e.slots.Split(), in)
 	if !needed {
 		e.splitter.due = 0
--- a/process/entry/split_test.go
+++ b/process/entry/split_test.go
@@ -43,7 +43,7 @@
 	view := e.steer.Active().View
 	self := e.members.Self().GetId()
 	e.members.Merge([]*peer.Member{{Id: "z", Hall: "h", Peer: "127.0.0.1:2"}}, e.now())
-	e.members.Seen("z", e.now())
+	e.members.RecordContact("z", e.now())
 	all, _ := slots.Plan(&slots.Split{}, slots.PlanInput{Live: []slots.Candidate{{ID: self, Region: "r"}}, View: view})
 	e.slots.SetSplit(all, e.now())
 	value, err := json.Marshal(all)
--- a/process/entry/status.go
+++ b/process/entry/status.go
@@ -24,7 +24,7 @@
 		all.Go(func() { out[i] = e.statusOf(ctx, m) })
 	}
 	all.Wait()
-	for _, name := range e.members.Absent() {
+	for _, name := range e.members.MissingInstances() {
 		out = append(out, admin.EntryStatus{Instance: name, Missing: "in the platform's list, but not known"})
 	}
 	return out
--- a/process/entry/stop.go
+++ b/process/entry/stop.go
@@ -104,7 +104,7 @@
 	}
 }
 
-func (e *Entry) bequeath(ctx context.Context, to *peer.Member, books []ticket.Book) error {
+func (e *Entry) bequeath(ctx context.Context, to *peer.Member, books []ticket.Handover) error {
 	ctx, cancel := context.WithTimeout(ctx, inheritTime)
 	defer cancel()
 	client, err := e.peers.client(to.GetPeer())
@@ -119,7 +119,7 @@
 				return errors.Trace(err)
 			}
 			req.Records = append(req.Records, &peer.TicketRecord{
-				Nonce: r.Nonce[:], Status: int32(r.Outcome.Status), Header: h, Body: r.Outcome.Body, Kept: r.Outcome.Kept,
+				Nonce: r.Nonce[:], Status: int32(r.Outcome.Status), Header: h, Body: r.Outcome.Body, Kept: r.Outcome.Retained,
 			})
 		}
 		if _, err := client.Inherit(ctx, req); err != nil {
@@ -144,7 +144,7 @@
 	live := e.candidates(b.View)
 	const tries = 3
 	for range tries {
-		in := slots.PlanInput{Live: live, View: b.View, Down: e.members.Dead(e.now()), Planner: e.members.Self().GetId()}
+		in := slots.PlanInput{Live: live, View: b.View, Down: e.members.Down(e.now()), Planner: e.members.Self().GetId()}
 		in.Transferred = e.slots.StartTransfer(live, version.MaxSlots, e.now())
 		in.Transferred = append(in.Transferred, e.splitter.ceding...)
 		if len(in.Transferred) == 0 || len(live) == 0 {
--- a/process/front/once.go
+++ b/process/front/once.go
@@ -30,13 +30,13 @@
 		f.finish(c, request.NotRun(request.TicketInvalid, 0))
 		return
 	}
-	if !f.Ledger.Holds(t.Member) {
+	if !f.Ledger.Owns(t.Member) {
 		f.passOn(c, t)
 		return
 	}
 	entry, first, err := f.Ledger.Begin(t)
 	switch {
-	case errors.Is(err, ticket.Forged):
+	case errors.Is(err, ticket.ErrForged):
 		f.finish(c, request.NotRun(request.TicketInvalid, 0))
 	case err != nil:
 		f.finish(c, request.Unknown(request.TicketGone))
@@ -65,8 +65,8 @@
 		f.relay(c, a)
 		return
 	}
-	o := ticket.Outcome{Status: a.status, Header: a.header, Kept: len(a.whole) <= ticket.MaxKeptBody}
-	if o.Kept {
+	o := ticket.Outcome{Status: a.status, Header: a.header, Retained: len(a.whole) <= ticket.MaxRetainedBody}
+	if o.Retained {
 		o.Body = a.whole
 	}
 	f.Ledger.Finish(entry, o)
@@ -77,7 +77,7 @@
 func resultOutcome(res *request.Result) ticket.Outcome {
 	rec := newRecorder()
 	res.Write(rec)
-	return ticket.Outcome{Status: rec.status, Header: rec.header, Body: rec.body, Kept: true}
+	return ticket.Outcome{Status: rec.status, Header: rec.header, Body: rec.body, Retained: true}
 }
 
 // recorder keeps a small answer in memory.
@@ -114,7 +114,7 @@
 		return
 	}
 	o := f.Ledger.Outcome(entry)
-	if !o.Kept {
+	if !o.Retained {
 		f.finish(c, request.Unknown(request.TicketUsed))
 		return
 	}
@@ -186,11 +186,11 @@
 // not known. Gone is true when nobody ever will.
 func (f *Front) holder(id string) (m *peer.Member, gone bool) {
 	now := f.Now()
-	dead := f.Members.Dead(now)
+	dead := f.Members.Down(now)
 	for range maxSuccessors {
 		m = f.Members.Find(id)
 		if m == nil {
-			return nil, f.Members.Settled(now)
+			return nil, f.Members.Complete(now)
 		}
 		if s := m.GetSuccessor(); s != "" {
 			id = s
--- a/process/member/registry.go
+++ b/process/member/registry.go
@@ -15,48 +15,49 @@
 	"shalewick/process/platform"
 )
 
-// LapseTime is how long a beat must stand still for a member to count as
-// lapsed. Where there are many members, who then poll less often, it is
-// lapsePerMember for each.
+// HeartbeatTimeout is the time without an increase after which a member's heartbeat
+// counts as expired. With many members, which then poll less often, the timeout is
+// heartbeatTimeoutPerMember times their number.
 const (
-	LapseTime      = 8 * time.Second
-	lapsePerMember = 200 * time.Millisecond
+	HeartbeatTimeout          = 8 * time.Second
+	heartbeatTimeoutPerMember = 200 * time.Millisecond
 )
 
-// SeenTime is how long after a direct answer a member counts as live.
-const SeenTime = 3 * time.Second
+// ContactTimeout is how long after a direct response a member counts as live.
+const ContactTimeout = 3 * time.Second
 
-// forgetTime is how long a dead member is remembered.
-const forgetTime = 10 * time.Minute
+// downRetention is how long a member that is down is remembered.
+const downRetention = 10 * time.Minute
 
-// Registry keeps the members that are known. All times are durations on the
-// process's clock.
+// Registry records the known members. All times are durations on the process's
+// clock.
 type Registry struct {
 	mu       sync.Mutex
 	self     *peer.Member
 	members  map[string]*entry
 	listed   map[string]bool // instances in the platform's list
 	listRead bool
-	// reading is since when the platform's rows were read without a failure.
-	reading  time.Duration
-	readable bool
-	// digest is kept until changed is set, or it is too old.
-	digest    uint64
-	digestAt  time.Duration
-	digestSet bool
-	changed   bool
+	// readableSince is the start of the current period without a failed read of the
+	// platform's rows.
+	readableSince time.Duration
+	readable      bool
+	// digest is cached until changed is set or it is older than digestTTL.
+	digest      uint64
+	digestAt    time.Duration
+	digestValid bool
+	changed     bool
 }
 
 type entry struct {
-	info      *peer.Member
-	beatSince time.Duration // when the present beat was first seen in a row
-	inRows    bool
-	seen      time.Duration // last direct answer
-	known     time.Duration // first heard of
-	everSeen  bool
-	failed    time.Duration // last call to it that failed
-	deadSince time.Duration
-	dead      bool
+	info          *peer.Member
+	beatChangedAt time.Duration // when the current beat was first read in a row
+	inRows        bool
+	lastContact   time.Duration // last direct response
+	firstSeen     time.Duration // when the member became known
+	contacted     bool
+	lastFailure   time.Duration // last failed call to it
+	downSince     time.Duration
+	down          bool
 }
 
 // NewRegistry returns a registry that knows only the member itself.
@@ -64,25 +65,25 @@
 	return &Registry{self: self, members: make(map[string]*entry)}
 }
 
-func (r *Registry) lapse() time.Duration {
-	return max(LapseTime, time.Duration(len(r.members))*lapsePerMember)
+func (r *Registry) heartbeatTimeout() time.Duration {
+	return max(HeartbeatTimeout, time.Duration(len(r.members))*heartbeatTimeoutPerMember)
 }
 
-// Self returns a copy of the own member.
+// Self returns a copy of the local member.
 func (r *Registry) Self() *peer.Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return proto.CloneOf(r.self)
 }
 
-// Leaving reports whether the own member is leaving.
+// Leaving reports whether the local member is leaving.
 func (r *Registry) Leaving() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.self.GetLeaving()
 }
 
-// UpdateSelf changes the own member.
+// UpdateSelf changes the local member.
 func (r *Registry) UpdateSelf(f func(*peer.Member)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,8 +91,8 @@
 	r.changed = true
 }
 
-// Merge takes up what a peer or a row says of members. Fields that only ever
-// change one way (leaving, gone, successor) never change back.
+// Merge applies what a peer or a row says about members. Fields that change in one
+// direction only (leaving, gone, successor) are never reset.
 func (r *Registry) Merge(ms []*peer.Member, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,26 +107,26 @@
 	}
 	e := r.members[m.GetId()]
 	if e == nil {
-		e = &entry{info: proto.CloneOf(m), known: now}
+		e = &entry{info: proto.CloneOf(m), firstSeen: now}
 		r.members[m.GetId()] = e
 		r.changed = true
 		return e
 	}
-	told := e.info.GetLeaving() != m.GetLeaving() || e.info.GetGone() != m.GetGone() || e.info.GetSuccessor() != m.GetSuccessor()
-	r.changed = r.changed || told
+	differs := e.info.GetLeaving() != m.GetLeaving() || e.info.GetGone() != m.GetGone() || e.info.GetSuccessor() != m.GetSuccessor()
+	r.changed = r.changed || differs
 	e.info.Leaving = e.info.Leaving || m.GetLeaving()
 	e.info.Gone = e.info.Gone || m.GetGone()
 	e.info.Successor = cmp.Or(e.info.GetSuccessor(), m.GetSuccessor())
 	return e
 }
 
-// Rows takes up a read of the members' rows.
-func (r *Registry) Rows(ms []*peer.Member, now time.Duration) {
+// ApplyRows applies a read of the members' rows.
+func (r *Registry) ApplyRows(ms []*peer.Member, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.readable {
 		r.readable = true
-		r.reading = now
+		r.readableSince = now
 	}
 	for _, m := range ms {
 		e := r.merge(m, now)
@@ -134,22 +135,22 @@
 		}
 		if !e.inRows || m.GetBeat() > e.info.GetBeat() {
 			e.inRows = true
-			e.beatSince = now
+			e.beatChangedAt = now
 			e.info.Beat = m.GetBeat()
 		}
 	}
 }
 
-// Unreadable notes that the platform could not be read; no beat lapses until
-// it was readable for LapseTime again.
-func (r *Registry) Unreadable() {
+// PlatformUnreadable records that the platform could not be read. No heartbeat
+// expires until the platform has been readable for HeartbeatTimeout again.
+func (r *Registry) PlatformUnreadable() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.readable = false
 }
 
-// List takes up the platform's list of instances.
-func (r *Registry) List(list []platform.Instance) {
+// ApplyInstanceList applies the platform's list of instances.
+func (r *Registry) ApplyInstanceList(list []platform.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.listRead = true
@@ -157,14 +158,14 @@
 	for _, i := range list {
 		r.listed[i.Name] = true
 		if i.State == platform.Leaving {
-			r.leaving(i.Name)
+			r.setLeaving(i.Name)
 		}
 	}
 }
 
-// Absent returns the names of instances that the platform's list has, but of
+// MissingInstances returns the names of instances that the platform lists but of
 // which no member is known.
-func (r *Registry) Absent() []string {
+func (r *Registry) MissingInstances() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := map[string]bool{r.self.GetInstance(): true}
@@ -183,8 +184,8 @@
 	return out
 }
 
-// leaving marks the members of an instance as leaving.
-func (r *Registry) leaving(instance string) {
+// setLeaving marks the members of an instance as leaving.
+func (r *Registry) setLeaving(instance string) {
 	if r.self.GetInstance() == instance {
 		r.changed = r.changed || !r.self.GetLeaving()
 		r.self.Leaving = true
@@ -197,23 +198,23 @@
 	}
 }
 
-// Seen notes a direct answer of a member.
-func (r *Registry) Seen(id string, now time.Duration) {
+// RecordContact records a direct response of a member.
+func (r *Registry) RecordContact(id string, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e := r.members[id]; e != nil {
-		e.seen = now
-		e.everSeen = true
+		e.lastContact = now
+		e.contacted = true
 	}
 }
 
-// Unreachable notes that the member at a peer address did not answer.
-func (r *Registry) Unreachable(address string, now time.Duration) {
+// RecordUnreachable records that the member at a peer address did not answer.
+func (r *Registry) RecordUnreachable(address string, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range r.members {
 		if e.info.GetPeer() == address {
-			e.failed = now
+			e.lastFailure = now
 		}
 	}
 }
@@ -231,32 +232,32 @@
 	return nil
 }
 
-// All returns copies of all known members that are not dead, self included,
-// ordered by id.
+// All returns copies of all known members that are not down, including the local one
+// unless it is gone, ordered by id.
 func (r *Registry) All(now time.Duration) []*peer.Member {
-	return r.selectMembers(func(e *entry) bool { return !r.isDead(e, now) })
+	return r.selectMembers(func(e *entry) bool { return !r.isDown(e, now) })
 }
 
-// Gossip returns copies of the members to tell others of, self included: those
-// that are not dead, and those that are gone but named a successor for their
-// tickets.
-func (r *Registry) Gossip(now time.Duration) []*peer.Member {
+// GossipMembers returns copies of the members to send to others, including the local
+// one unless it is gone: those that are not down, and those that are gone but have
+// named a successor for their tickets.
+func (r *Registry) GossipMembers(now time.Duration) []*peer.Member {
 	return r.selectMembers(func(e *entry) bool {
-		return !r.isDead(e, now) || e.info.GetGone() && e.info.GetSuccessor() != ""
+		return !r.isDown(e, now) || e.info.GetGone() && e.info.GetSuccessor() != ""
 	})
 }
 
-// Settled reports whether all members are known: the platform's rows have been
-// read without a failure for LapseTime. A member that is not known then has
+// Complete reports whether all members are known: the platform's rows have been read
+// without a failure for the heartbeat timeout. A member that is unknown by then has
 // ended.
-func (r *Registry) Settled(now time.Duration) bool {
+func (r *Registry) Complete(now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.readable && now-r.reading >= r.lapse()
+	return r.readable && now-r.readableSince >= r.heartbeatTimeout()
 }
 
-// Live returns copies of the members that can be reached, self included unless
-// it is gone, ordered by id.
+// Live returns copies of the members that can be reached, including the local one
+// unless it is gone, ordered by id.
 func (r *Registry) Live(now time.Duration) []*peer.Member {
 	return r.selectMembers(func(e *entry) bool { return r.isLive(e, now) })
 }
@@ -281,75 +282,76 @@
 	if e.info.GetGone() {
 		return false
 	}
-	if e.failed > e.seen {
+	if e.lastFailure > e.lastContact {
 		return false
 	}
-	direct := e.everSeen && now-e.seen < SeenTime
-	beats := e.inRows && now-e.beatSince < r.lapse()
-	return direct || beats
+	inContact := e.contacted && now-e.lastContact < ContactTimeout
+	beating := e.inRows && now-e.beatChangedAt < r.heartbeatTimeout()
+	return inContact || beating
 }
 
-// Dead returns the ids of the members whose tokens may be split anew.
-func (r *Registry) Dead(now time.Duration) map[string]bool {
+// Down returns the ids of the members whose tokens may be assigned to others.
+func (r *Registry) Down(now time.Duration) map[string]bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make(map[string]bool)
 	for id, e := range r.members {
-		if r.isDead(e, now) {
+		if r.isDown(e, now) {
 			out[id] = true
-			r.markDead(id, e, now)
+			r.markDown(id, e, now)
 		}
 	}
 	return out
 }
 
-func (r *Registry) markDead(id string, e *entry, now time.Duration) {
-	if !e.dead {
-		e.dead = true
-		e.deadSince = now
+func (r *Registry) markDown(id string, e *entry, now time.Duration) {
+	if !e.down {
+		e.down = true
+		e.downSince = now
 	}
-	if now-e.deadSince > forgetTime && e.info.GetSuccessor() == "" {
+	if now-e.downSince > downRetention && e.info.GetSuccessor() == "" {
 		delete(r.members, id)
 	}
 }
 
-func (r *Registry) isDead(e *entry, now time.Duration) bool {
+func (r *Registry) isDown(e *entry, now time.Duration) bool {
 	if e.info.GetGone() {
 		return true
 	}
-	if !r.readable || !r.listRead || now-r.reading < r.lapse() {
+	if !r.readable || !r.listRead || now-r.readableSince < r.heartbeatTimeout() {
 		return false
 	}
-	since := max(e.beatSince, e.known)
-	if now-since < r.lapse() || e.everSeen && now-e.seen < LapseTime {
+	since := max(e.beatChangedAt, e.firstSeen)
+	if now-since < r.heartbeatTimeout() || e.contacted && now-e.lastContact < HeartbeatTimeout {
 		return false
 	}
 	return !r.listed[e.info.GetInstance()] || r.replaced(e)
 }
 
-// replaced reports whether the member's instance runs a newer member, which
-// has the same address, so that the old process has surely ended.
+// replaced reports whether the member's instance runs a newer member on the same
+// address, which means that the old process has ended.
 func (r *Registry) replaced(old *entry) bool {
 	if r.self.GetInstance() == old.info.GetInstance() && r.self.GetPeer() == old.info.GetPeer() {
 		return true
 	}
 	for _, e := range r.members {
-		same := e.info.GetInstance() == old.info.GetInstance() && e.info.GetPeer() == old.info.GetPeer()
-		if same && e.known > old.known && e.everSeen {
+		sameAddress := e.info.GetInstance() == old.info.GetInstance() && e.info.GetPeer() == old.info.GetPeer()
+		if sameAddress && e.firstSeen > old.firstSeen && e.contacted {
 			return true
 		}
 	}
 	return false
 }
 
-// digestLife is how long a digest is kept when no member has changed; that a
-// member died of old age can take so long to show.
-const digestLife = 2 * time.Second
+// digestTTL is how long a digest is cached while no member changes. It bounds the
+// delay until a member that goes down by timeout shows in the digest.
+const digestTTL = 2 * time.Second
 
-// Digest is equal where the same members in the same states are known.
+// Digest returns a hash that is equal where the same members in the same states are
+// known.
 func (r *Registry) Digest(now time.Duration) uint64 {
 	r.mu.Lock()
-	fresh := !r.changed && r.digestSet && now-r.digestAt < digestLife
+	fresh := !r.changed && r.digestValid && now-r.digestAt < digestTTL
 	sum := r.digest
 	r.changed = false
 	r.mu.Unlock()
@@ -357,7 +359,7 @@
 		return sum
 	}
 	sum = 0
-	for _, m := range r.Gossip(now) {
+	for _, m := range r.GossipMembers(now) {
 		m.Beat = 0
 		b, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 		if err == nil {
@@ -365,7 +367,7 @@
 		}
 	}
 	r.mu.Lock()
-	r.digest, r.digestAt, r.digestSet = sum, now, true
+	r.digest, r.digestAt, r.digestValid = sum, now, true
 	r.mu.Unlock()
 	return sum
 }
--- a/process/ticket/doc.go
+++ b/process/ticket/doc.go
@@ -1,21 +1,22 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package ticket lets a request that may not be repeated run at most once.
+Package ticket ensures that a non-idempotent request runs at most once.
 
-A ticket is issued before the first send. It names the member (one incarnation
-of an instance) that alone may ever dispatch it, and is signed with a key that
-only that member has. Any other instance passes the request there. The member's
-Ledger keeps each used ticket until it is too old to be used again:
+A ticket is issued before the request is first sent. It names the only member
+(one incarnation of an instance) that may dispatch the request, and is signed
+with a key that only this member has. All other instances forward the request to
+that member. The member's Ledger keeps each used ticket until the ticket is too
+old to be used again:
 
-	entry, first := ledger.Begin(t)  // first: this call dispatches it
-	<-entry.Done                     // others wait for the same outcome
+	entry, first := ledger.Begin(t)  // first: this call dispatches the request
+	<-entry.Done                     // other calls wait for the same outcome
 
-A member that stops hands its Book (the key and what was used) to one
-successor, which answers for its tickets from then on. If a member dies, its
-tickets never run again.
+A member that stops sends its Handover (the key and the used tickets) to one
+successor, which is responsible for its tickets from then on. If a member goes
+down without a handover, its tickets never run again.
 
-Whatever the outcome, the ticket is used up; a refused request is tried again
-with a new ticket.
+A ticket is used up whatever the outcome; a rejected request is retried with a
+new ticket.
 */
 package ticket
--- a/process/ticket/ledger.go
+++ b/process/ticket/ledger.go
@@ -12,195 +12,196 @@
 	"github.com/juju/errors"
 )
 
-// The reasons why a ticket can not be begun here.
+// Reasons why a ticket cannot be begun here.
 const (
-	NotHere = errors.ConstError("the ticket belongs to another member")
-	Forged  = errors.ConstError("the ticket was not issued by the member it names")
-	Expired = errors.ConstError("the ticket is too old")
-	Stopped = errors.ConstError("the member dispatches no more tickets")
+	ErrOtherMember = errors.ConstError("the ticket belongs to another member")
+	ErrForged      = errors.ConstError("the ticket was not issued by the member that it names")
+	ErrExpired     = errors.ConstError("the ticket is too old")
+	ErrStopped     = errors.ConstError("the member dispatches no more tickets")
 )
 
-// Bounds of what is kept of an answer for further calls.
+// Limits on the responses that are retained for repeated calls.
 const (
-	// MaxKeptBody bounds its size, in bytes.
-	MaxKeptBody = 16 << 10
-	// KeepTime is how long it is kept at least, and no more than a purge
-	// longer. That the ticket was used is known for longer.
-	KeepTime = time.Minute
+	// MaxRetainedBody is the maximum size of a retained response body, in bytes.
+	MaxRetainedBody = 16 << 10
+	// ResponseRetention is how long a response is retained at least; the next Purge
+	// after that drops it. The use of the ticket is remembered for longer.
+	ResponseRetention = time.Minute
 )
 
-// Outcome is the end of a ticketed request.
+// Outcome is the result of a request with a ticket.
 type Outcome struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Kept is false when the answer was too large to keep.
-	Kept bool
+	// Retained is false if the response was too large to retain.
+	Retained bool
 }
 
-// Entry is one used ticket. Done is closed once it has an outcome, which
-// Ledger.Outcome tells.
+// Entry is a used ticket. Done is closed once it has an outcome, which
+// Ledger.Outcome returns.
 type Entry struct {
 	Done     chan struct{}
 	outcome  Outcome
-	issued   time.Duration // age of the issuer
+	issued   time.Duration // the issuer's age at the time of issue
 	finished time.Duration // on the ledger's clock
 }
 
-// book is what is known of one member's tickets.
-type book struct {
+// memberTickets holds the key and the used tickets of one member.
+type memberTickets struct {
 	key     []byte
-	started time.Duration // on this process's clock; before it for inherited books
+	started time.Duration // on this process's clock; may precede the process's start if inherited
 	used    map[Nonce]*Entry
 }
 
-// Ledger keeps the tickets of one member and of those it succeeded.
+// Ledger records the used tickets of one member and of those that it succeeded.
 type Ledger struct {
 	self string
 	now  func() time.Duration
 
 	mu      sync.Mutex
-	books   map[string]*book
+	tickets map[string]*memberTickets
 	stopped bool
 }
 
-// NewLedger returns the ledger of a new member. Now is the time since some
+// NewLedger returns the ledger of a new member. Now returns the time since some
 // fixed point.
 func NewLedger(self string, now func() time.Duration) *Ledger {
-	own := &book{key: newKey(), started: now(), used: make(map[Nonce]*Entry)}
-	return &Ledger{self: self, now: now, books: map[string]*book{self: own}}
+	own := &memberTickets{key: newKey(), started: now(), used: make(map[Nonce]*Entry)}
+	return &Ledger{self: self, now: now, tickets: map[string]*memberTickets{self: own}}
 }
 
 // Issue returns a new ticket that only this member may dispatch.
 func (l *Ledger) Issue() Ticket {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b := l.books[l.self]
-	t := Ticket{Member: l.self, Issued: l.now() - b.started}
+	m := l.tickets[l.self]
+	t := Ticket{Member: l.self, Issued: l.now() - m.started}
 	_, _ = rand.Read(t.Nonce[:]) // never fails, see crypto/rand
-	t.mac = t.sum(b.key)
+	t.mac = t.sum(m.key)
 	return t
 }
 
-// Holds reports whether this ledger answers for a member's tickets.
-func (l *Ledger) Holds(member string) bool {
+// Owns reports whether this ledger is responsible for a member's tickets.
+func (l *Ledger) Owns(member string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.books[member] != nil
+	return l.tickets[member] != nil
 }
 
 // Begin uses a ticket. The caller for which first is true must dispatch the
-// request and call Finish; any other waits for Done.
+// request and call Finish; all others wait for Done.
 func (l *Ledger) Begin(t Ticket) (e *Entry, first bool, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b := l.books[t.Member]
-	if b == nil {
-		return nil, false, NotHere
+	m := l.tickets[t.Member]
+	if m == nil {
+		return nil, false, ErrOtherMember
 	}
-	want := t.sum(b.key)
+	want := t.sum(m.key)
 	if !hmac.Equal(want[:], t.mac[:]) {
-		return nil, false, Forged
+		return nil, false, ErrForged
 	}
-	if e := b.used[t.Nonce]; e != nil {
+	if e := m.used[t.Nonce]; e != nil {
 		return e, false, nil
 	}
-	if l.now()-b.started-t.Issued > Life {
-		return nil, false, Expired
+	if l.now()-m.started-t.Issued > Lifetime {
+		return nil, false, ErrExpired
 	}
 	if l.stopped {
-		return nil, false, Stopped
+		return nil, false, ErrStopped
 	}
 	e = &Entry{Done: make(chan struct{}), issued: t.Issued}
-	b.used[t.Nonce] = e
+	m.used[t.Nonce] = e
 	return e, true, nil
 }
 
 // Finish records the outcome of an entry.
-func (l *Ledger) Finish(e *Entry, o Outcome) {
+func (l *Ledger) Finish(e *Entry, outcome Outcome) {
 	l.mu.Lock()
-	e.outcome = o
+	e.outcome = outcome
 	e.finished = l.now()
 	l.mu.Unlock()
 	close(e.Done)
 }
 
-// Outcome returns the outcome of an entry whose Done is closed. Its answer may
-// no longer be kept.
+// Outcome returns the outcome of an entry whose Done is closed. The response may
+// have been dropped since.
 func (l *Ledger) Outcome(e *Entry) Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return e.outcome
 }
 
-// Purge drops answers that were kept for long enough, and forgets tickets that
-// are too old to be used. It is called every minute or so.
+// Purge drops responses that were retained for ResponseRetention, and forgets
+// tickets that are too old to be used. It should be called about once a minute.
 func (l *Ledger) Purge() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, b := range l.books {
-		age := l.now() - b.started
-		for n, e := range b.used {
-			// Twice the life: the first use can be at the end of the first.
-			if age-e.issued > 2*Life {
-				delete(b.used, n)
+	for _, m := range l.tickets {
+		age := l.now() - m.started
+		for n, e := range m.used {
+			// Twice the lifetime, because the first use can be at its end.
+			if age-e.issued > 2*Lifetime {
+				delete(m.used, n)
 			}
-			if e.outcome.Kept && l.now()-e.finished > KeepTime {
+			if e.outcome.Retained && l.now()-e.finished > ResponseRetention {
 				e.outcome = Outcome{}
 			}
 		}
 	}
 }
 
-// Record is a used ticket in a handed over book. Done is false for one whose
-// outcome was not known.
+// Record is a used ticket in a handover. Its Outcome is zero if the outcome was not
+// known or the response is no longer retained.
 type Record struct {
 	Nonce   Nonce
 	Outcome Outcome
 }
 
-// Book is what a successor needs to answer for a member's tickets.
-type Book struct {
+// Handover is what a successor needs to become responsible for a member's tickets.
+type Handover struct {
 	Member  string
 	Key     []byte
 	Age     time.Duration
 	Records []Record
 }
 
-// Stop ends the dispatching of tickets here, for good, and returns the books
-// to hand over. Requests that still run are recorded without their answer.
-func (l *Ledger) Stop() []Book {
+// Stop permanently stops the dispatch of tickets here, and returns the handovers
+// for the successor. Requests that are still running are recorded without their
+// response.
+func (l *Ledger) Stop() []Handover {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stopped = true
-	var out []Book
-	for member, b := range l.books {
-		bk := Book{Member: member, Key: b.key, Age: l.now() - b.started}
-		for n, e := range b.used {
-			bk.Records = append(bk.Records, Record{Nonce: n, Outcome: e.outcome})
+	var out []Handover
+	for member, m := range l.tickets {
+		h := Handover{Member: member, Key: m.key, Age: l.now() - m.started}
+		for n, e := range m.used {
+			h.Records = append(h.Records, Record{Nonce: n, Outcome: e.outcome})
 		}
-		out = append(out, bk)
+		out = append(out, h)
 	}
 	return out
 }
 
-// Inherit takes over a book. It refuses once this ledger is stopped, or when
-// it has a book of that member.
-func (l *Ledger) Inherit(bk Book) error {
+// Inherit takes over a member's tickets. It fails if this ledger is stopped or is
+// already responsible for that member.
+func (l *Ledger) Inherit(h Handover) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.stopped {
-		return Stopped
+		return ErrStopped
 	}
-	if l.books[bk.Member] != nil {
-		return errors.Errorf("the book of %s is here already", bk.Member)
+	if l.tickets[h.Member] != nil {
+		return errors.Errorf("the tickets of %s have been inherited already", h.Member)
 	}
-	b := &book{key: bk.Key, started: l.now() - bk.Age, used: make(map[Nonce]*Entry)}
-	for _, r := range bk.Records {
-		e := &Entry{Done: make(chan struct{}), outcome: r.Outcome, issued: bk.Age, finished: l.now()}
+	m := &memberTickets{key: h.Key, started: l.now() - h.Age, used: make(map[Nonce]*Entry)}
+	for _, r := range h.Records {
+		e := &Entry{Done: make(chan struct{}), outcome: r.Outcome, issued: h.Age, finished: l.now()}
 		close(e.Done)
-		b.used[r.Nonce] = e
+		m.used[r.Nonce] = e
 	}
-	l.books[bk.Member] = b
+	l.tickets[h.Member] = m
 	return nil
 }
--- a/process/ticket/ticket.go
+++ b/process/ticket/ticket.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	nonceSize = 16
-	macSize   = 16
-	fixedSize = nonceSize + 8 + macSize
-	maxText   = 256
+	nonceSize   = 16
+	macSize     = 16
+	fixedSize   = nonceSize + 8 + macSize
+	maxTextSize = 256
 )
 
-// Life is how long after its issue a ticket may be used first. It is longer
-// than any request's deadline.
-const Life = 15 * time.Minute
+// Lifetime is how long after its issue a ticket may be used for the first time. It
+// is longer than any request's deadline.
+const Lifetime = 15 * time.Minute
 
-// Nonce tells the tickets of one member apart.
+// Nonce distinguishes the tickets of one member.
 type Nonce [nonceSize]byte
 
-// Ticket is a parsed ticket, not yet verified.
+// Ticket is a parsed ticket. Its signature is verified by Ledger.Begin.
 type Ticket struct {
-	Member string // the member that alone may dispatch it
+	Member string // the only member that may dispatch it
 	Nonce  Nonce
-	Issued time.Duration // age of the member when it issued it
+	Issued time.Duration // age of the member at the time of issue
 	mac    [macSize]byte
 }
 
-// Malformed is the error for text that is no ticket.
-const Malformed = errors.ConstError("not a ticket")
+// ErrMalformed is returned for text that is not a ticket.
+const ErrMalformed = errors.ConstError("not a ticket")
 
-// String returns the form for the header.
+// String returns the encoding that the header carries.
 func (t Ticket) String() string {
 	b := append(t.signed(), t.mac[:]...)
 	return base64.RawURLEncoding.EncodeToString(b)
@@ -52,24 +52,25 @@
 	return binary.BigEndian.AppendUint64(b, uint64(t.Issued))
 }
 
-// Parse reads the form for the header.
+// Parse decodes a ticket from a header. It does not verify the signature.
 func Parse(text string) (Ticket, error) {
 	var t Ticket
-	if len(text) > maxText {
-		return t, Malformed
+	if len(text) > maxTextSize {
+		return t, ErrMalformed
 	}
 	b, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil || len(b) <= fixedSize {
-		return t, Malformed
+		return t, ErrMalformed
 	}
-	rest := b[len(b)-fixedSize:]
+	fixed := b[len(b)-fixedSize:]
 	t.Member = string(b[:len(b)-fixedSize])
-	copy(t.Nonce[:], rest)
-	t.Issued = time.Duration(binary.BigEndian.Uint64(rest[nonceSize:]))
-	copy(t.mac[:], rest[nonceSize+8:])
+	copy(t.Nonce[:], fixed)
+	t.Issued = time.Duration(binary.BigEndian.Uint64(fixed[nonceSize:]))
+	copy(t.mac[:], fixed[nonceSize+8:])
 	return t, nil
 }
 
+// sum returns the truncated HMAC of the ticket.
 func (t *Ticket) sum(key []byte) [macSize]byte {
 	h := hmac.New(sha256.New, key)
 	h.Write(t.signed())
--- a/process/ticket/ticket_test.go
+++ b/process/ticket/ticket_test.go
@@ -11,32 +11,32 @@
 	"gotest.tools/v3/assert"
 )
 
-// clock is a clock that the test moves.
+// clock is a clock that the test sets.
 type clock struct{ at atomic.Int64 }
 
 func (c *clock) now() time.Duration { return time.Duration(c.at.Load()) }
 
-func TestFirstUseOnlyOnce(t *testing.T) {
+func TestTicketBeginsOnce(t *testing.T) {
 	var c clock
 	l := NewLedger("m", c.now)
 	text := l.Issue().String()
 	var firsts atomic.Int64
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for range 50 {
-		all.Go(func() {
+		wg.Go(func() {
 			tk, err := Parse(text)
 			assert.Check(t, err)
 			e, first, err := l.Begin(tk)
 			assert.Check(t, err)
 			if first {
 				firsts.Add(1)
-				l.Finish(e, Outcome{Status: 200, Kept: true})
+				l.Finish(e, Outcome{Status: 200, Retained: true})
 			}
 			<-e.Done
 			assert.Check(t, l.Outcome(e).Status == 200)
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	assert.Equal(t, firsts.Load(), int64(1))
 }
 
@@ -44,50 +44,50 @@
 	var c clock
 	l, other := NewLedger("m", c.now), NewLedger("m", c.now)
 	_, _, err := l.Begin(other.Issue())
-	assert.ErrorIs(t, err, Forged)
-	old := l.Issue()
-	c.at.Store(int64(Life + 1))
-	_, _, err = l.Begin(old)
-	assert.ErrorIs(t, err, Expired)
+	assert.ErrorIs(t, err, ErrForged)
+	expired := l.Issue()
+	c.at.Store(int64(Lifetime + 1))
+	_, _, err = l.Begin(expired)
+	assert.ErrorIs(t, err, ErrExpired)
 	_, _, err = l.Begin(NewLedger("n", c.now).Issue())
-	assert.ErrorIs(t, err, NotHere)
+	assert.ErrorIs(t, err, ErrOtherMember)
 }
 
-// TestSuccessorAnswers hands over a book with a used, a running and an unused
-// ticket.
-func TestSuccessorAnswers(t *testing.T) {
-	var c, d clock
-	d.at.Store(int64(time.Hour))
-	l, next := NewLedger("m", c.now), NewLedger("n", d.now)
+// Hands over a used, a running and an unused ticket to a successor. Only the unused
+// one may still run.
+func TestSuccessorInheritsTickets(t *testing.T) {
+	var c, nextClock clock
+	nextClock.at.Store(int64(time.Hour))
+	l, next := NewLedger("m", c.now), NewLedger("n", nextClock.now)
 	used, running, unused := l.Issue(), l.Issue(), l.Issue()
 	e, _, err := l.Begin(used)
 	assert.NilError(t, err)
-	l.Finish(e, Outcome{Status: 201, Kept: true})
+	l.Finish(e, Outcome{Status: 201, Retained: true})
 	_, _, err = l.Begin(running)
 	assert.NilError(t, err)
-	for _, bk := range l.Stop() {
-		assert.NilError(t, next.Inherit(bk))
+	for _, h := range l.Stop() {
+		assert.NilError(t, next.Inherit(h))
 	}
 	_, _, err = l.Begin(unused)
-	assert.ErrorIs(t, err, Stopped)
+	assert.ErrorIs(t, err, ErrStopped)
 	e, first, err := next.Begin(used)
 	assert.NilError(t, err)
 	assert.Assert(t, !first && next.Outcome(e).Status == 201)
 	e, first, err = next.Begin(running)
 	assert.NilError(t, err)
-	assert.Assert(t, !first && !next.Outcome(e).Kept)
+	assert.Assert(t, !first && !next.Outcome(e).Retained)
 	_, first, err = next.Begin(unused)
 	assert.NilError(t, err)
 	assert.Assert(t, first)
-	d.at.Add(int64(KeepTime + 1))
+	nextClock.at.Add(int64(ResponseRetention + 1))
 	next.Purge()
 	e, first, err = next.Begin(used)
 	assert.NilError(t, err)
-	assert.Assert(t, !first && !next.Outcome(e).Kept) // the answer is dropped, the use is not
-	d.at.Add(int64(2*Life + time.Second))
+	assert.Assert(t, !first && !next.Outcome(e).Retained) // the response is dropped, but not the use
+	nextClock.at.Add(int64(2*Lifetime + time.Second))
 	next.Purge()
 	_, _, err = next.Begin(used)
-	assert.ErrorIs(t, err, Expired) // forgotten, and too old to run again
+	assert.ErrorIs(t, err, ErrExpired) // the entry is purged, and the ticket is too old to run again
 }
 
 func FuzzParse(f *testing.F) {
@@ -101,9 +101,9 @@
 		if err != nil {
 			return
 		}
-		back, err := Parse(tk.String())
+		reparsed, err := Parse(tk.String())
 		assert.NilError(t, err)
-		assert.Equal(t, back, tk)
+		assert.Equal(t, reparsed, tk)
 		if _, _, err := l.Begin(tk); err == nil && tk.Member != "m" {
 			t.Fatal("a foreign ticket was begun")
 		}
--- a/proof/outage_test.go
+++ b/proof/outage_test.go
@@ -48,7 +48,7 @@
 func recovery() time.Duration {
 	const poll = 2500 * time.Millisecond
 	uploads := version.Pool{Deadline: fleet.UploadDeadline}
-	return member.LapseTime + slots.FenceTime(&uploads) + 3*poll
+	return member.HeartbeatTimeout + slots.FenceTime(&uploads) + 3*poll
 }
 
 // TestOutageWithDeaths: the platform is down while entries die and join.
