--- a/process/admin/admin.go
+++ b/process/admin/admin.go
@@ -198,7 +198,7 @@
 		return request.Conflict
 	case errors.As(err, &field):
 		return request.Invalid
-	case errors.Is(err, config.NotAllowed):
+	case errors.Is(err, config.ErrNotAllowed):
 		return request.Forbidden
 	case errors.Is(err, platform.Unknown):
 		return request.CommitUnknown
@@ -258,8 +258,8 @@
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	enc := json.NewEncoder(w)
 	for {
-		news := a.Store.News()
-		changes, ok := a.Store.Since(from)
+		news := a.Store.Changed()
+		changes, ok := a.Store.ChangesSince(from)
 		if !ok {
 			cfg := a.Store.Config()
 			changes = []version.Change{{Seq: cfg.Seq, Operation: "snapshot", Puts: cfg.List("")}}
--- a/process/config/commit.go
+++ b/process/config/commit.go
@@ -14,15 +14,15 @@
 	"shalewick/version"
 )
 
-// Names in the platform.
+// Names of tables and keys in the platform.
 const (
 	tableConfig  = "config"
 	tableChanges = "changes"
 	keyHead      = "head"
 )
 
-// snapshotEvery is the number of changes between two snapshots.
-const snapshotEvery = 100
+// snapshotInterval is the number of changes between two snapshots.
+const snapshotInterval = 100
 
 // head is the value of the head row.
 type head struct {
@@ -30,7 +30,7 @@
 	Snapshot int64 `json:"snapshot,omitempty"`
 }
 
-// Log is the accepted changes in the platform, as one instance sees them.
+// Log gives an instance access to the accepted changes in the platform.
 type Log struct {
 	Platform platform.Platform
 	Store    *Store
@@ -40,7 +40,7 @@
 
 func snapshotName(seq int64) string { return fmt.Sprintf("config-%020d", seq) }
 
-// readHead returns the head row; a missing one has revision zero.
+// readHead returns the head row and its revision, which is 0 if there is no row yet.
 func (l *Log) readHead(ctx context.Context) (head, int64, error) {
 	var h head
 	row, err := l.Platform.Get(ctx, tableConfig, keyHead)
@@ -56,8 +56,8 @@
 	return h, row.Revision, nil
 }
 
-// CatchUp takes up from the platform whatever is newer than the version in
-// force. On success the version in force is at least the platform's as of the
+// CatchUp applies everything in the platform that is newer than the version in force.
+// If it succeeds, the version in force is at least the platform's at the time of the
 // call.
 func (l *Log) CatchUp(ctx context.Context) error {
 	_, _, err := l.catchUp(ctx)
@@ -119,39 +119,39 @@
 	return nil
 }
 
-// NotAllowed is the error of a change that the caller may not make.
-const NotAllowed = errors.ConstError("the change is not allowed")
+// ErrNotAllowed is returned for a change that the caller is not allowed to make.
+const ErrNotAllowed = errors.ConstError("the change is not allowed")
 
-// commitTries bounds how often a change is tried again after another change
-// came first, or an answer was lost.
-const commitTries = 8
+// maxCommitAttempts bounds how often a change is attempted if another change is
+// accepted first, or a response is lost.
+const maxCommitAttempts = 8
 
-// Commit checks a change against the newest configuration and has it accepted
-// by the platform. It is then in force here. The errors are a
-// *version.ConflictError, a *version.FieldError, platform.Unavailable (nothing
-// was written) and platform.Unknown (ask again with the same operation id). A
-// change whose operation was accepted before is not made twice.
+// Commit checks a change against the latest configuration, has it accepted by the
+// platform, and puts it in force here. It returns a *version.ConflictError, a
+// *version.FieldError, platform.Unavailable (nothing was written) or platform.Unknown
+// (retry with the same operation id). A change whose operation was accepted before is
+// not made again.
 //
-// Allowed is asked whether the caller may make the change to the configuration
-// that it is about to be made to; its refusal is returned as NotAllowed.
+// Commit calls allowed with the configuration that the change is about to be made to.
+// If allowed returns an error, Commit returns it as ErrNotAllowed.
 func (l *Log) Commit(ctx context.Context, ch version.Change, allowed func(*version.Config, *version.Change) error) (seq int64, err error) {
-	unknown := false
-	for try := range commitTries {
-		if try > 0 {
-			time.Sleep(time.Duration(try) * 10 * time.Millisecond)
+	outcomeUnknown := false
+	for attempt := range maxCommitAttempts {
+		if attempt > 0 {
+			time.Sleep(time.Duration(attempt) * 10 * time.Millisecond)
 		}
 		h, revision, err := l.catchUp(ctx)
 		if err != nil {
-			return 0, worst(unknown, err)
+			return 0, asUnknown(outcomeUnknown, err)
 		}
 		if seq := l.Store.Config().FindOperation(ch.Operation); seq != 0 {
 			return seq, nil
 		}
 		if l.Store.Config().Seq != h.Seq {
-			continue // a peer told of a later change meanwhile
+			continue // a peer sent a later change in the meantime
 		}
 		if err := allowed(l.Store.Config(), &ch); err != nil {
-			return 0, errors.WithType(err, NotAllowed)
+			return 0, errors.WithType(err, ErrNotAllowed)
 		}
 		next, numbered, err := l.Store.Config().Propose(ch)
 		if err != nil {
@@ -160,23 +160,24 @@
 		err = l.Platform.Commit(ctx, commitOps(h, revision, numbered))
 		switch {
 		case err == nil:
-			return l.accepted(numbered, next)
+			return l.adoptAccepted(numbered, next)
 		case errors.Is(err, platform.Conflict):
 			continue
 		case errors.Is(err, platform.Unavailable):
-			return 0, worst(unknown, err)
+			return 0, asUnknown(outcomeUnknown, err)
 		}
-		unknown = true // the next round reads back whether it was written
+		outcomeUnknown = true // the next attempt reads back whether it was written
 	}
-	if unknown {
+	if outcomeUnknown {
 		return 0, platform.Unknown
 	}
 	return 0, errors.WithType(errors.New("too many changes at once"), platform.Unavailable)
 }
 
-// worst returns Unknown for a failure after a write whose answer was lost.
-func worst(unknown bool, err error) error {
-	if unknown {
+// asUnknown returns err as platform.Unknown if the response to an earlier write was
+// lost.
+func asUnknown(outcomeUnknown bool, err error) error {
+	if outcomeUnknown {
 		return errors.WithType(err, platform.Unknown)
 	}
 	return err
@@ -190,44 +191,46 @@
 	}
 }
 
-// encode marshals values whose types always can be.
+// encode marshals a value whose type cannot fail to marshal.
 func encode(v any) json.RawMessage {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // a broken program: the types here have no way to fail
+		panic(err) // a programming error
 	}
 	return b
 }
 
-func (l *Log) accepted(ch version.Change, next *version.Config) (int64, error) {
+// adoptAccepted puts an accepted change in force, and starts writing a snapshot if one
+// is due.
+func (l *Log) adoptAccepted(ch version.Change, next *version.Config) (int64, error) {
 	if err := l.Store.Adopt(ch); err != nil {
 		return 0, err
 	}
-	if ch.Seq%snapshotEvery == 0 {
-		go l.snapshot(next)
+	if ch.Seq%snapshotInterval == 0 {
+		go l.writeSnapshot(next)
 	}
 	return ch.Seq, nil
 }
 
-// snapshotTimeout bounds the writing of a snapshot. A failed one is left to
-// the next.
+// snapshotTimeout bounds the writing of a snapshot. A failed snapshot is not retried;
+// the next one replaces it.
 const snapshotTimeout = 30 * time.Second
 
-// snapshot stores the configuration as an object, points the head to it, and
-// deletes the changes that no reader needs any more.
-func (l *Log) snapshot(c *version.Config) {
+// writeSnapshot stores the configuration as an object, points the head to it, and
+// deletes the changes that no reader needs any longer.
+func (l *Log) writeSnapshot(c *version.Config) {
 	ctx, cancel := context.WithTimeout(context.Background(), snapshotTimeout)
 	defer cancel()
 	if err := l.Platform.PutObject(ctx, snapshotName(c.Seq), encode(c.Snapshot())); err != nil {
 		return
 	}
-	for range commitTries {
+	for range maxCommitAttempts {
 		h, revision, err := l.readHead(ctx)
 		if err != nil || h.Snapshot >= c.Seq {
 			return
 		}
 		ops := []platform.Op{}
-		for seq := h.Snapshot - snapshotEvery + 1; seq <= h.Snapshot; seq++ {
+		for seq := h.Snapshot - snapshotInterval + 1; seq <= h.Snapshot; seq++ {
 			if seq > 0 {
 				ops = append(ops, platform.Op{Kind: platform.OpDelete, Table: tableChanges, Key: changeKey(seq), Revision: platform.AnyRevision})
 			}
--- a/process/config/store.go
+++ b/process/config/store.go
@@ -12,25 +12,26 @@
 	"shalewick/version"
 )
 
-// keptChanges is the number of past changes that are kept for peers and watches.
-const keptChanges = 1000
+// maxRetainedChanges is the number of past changes that are retained for peers and
+// watches.
+const maxRetainedChanges = 1000
 
-// Store is the configuration in force. Now and OnInstall are set before use.
+// Store holds the configuration in force. Now and OnInstall are set before use.
 type Store struct {
 	// Now is the process's clock.
 	Now func() time.Duration
-	// OnInstall is called for each new version, in order, with a lock held.
+	// OnInstall is called for each new version, in order, with the store's lock held.
 	OnInstall func(*version.Config, *version.View)
 
-	mu      sync.Mutex
-	config  *version.Config
-	view    *version.View
-	since   time.Duration
-	changes []version.Change // the latest, rising without a gap
-	news    chan struct{}    // closed and replaced at each new version
+	mu          sync.Mutex
+	config      *version.Config
+	view        *version.View
+	installedAt time.Duration
+	changes     []version.Change // the latest ones, with consecutive numbers
+	changed     chan struct{}    // closed and replaced when a version is installed
 }
 
-// Config returns the configuration in force; never nil.
+// Config returns the configuration in force, which is never nil.
 func (s *Store) Config() *version.Config {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,7 +45,7 @@
 	return s.config
 }
 
-// InForce returns the sequence number in force and since when. The bool is
+// InForce returns the sequence number in force and when it was installed. The bool is
 // false before the first version.
 func (s *Store) InForce() (seq int64, since time.Duration, ok bool) {
 	s.mu.Lock()
@@ -52,11 +53,11 @@
 	if s.view == nil {
 		return 0, 0, false
 	}
-	return s.view.Seq, s.since, true
+	return s.view.Seq, s.installedAt, true
 }
 
-// Adopt takes up changes that are accepted. Those not above the version in
-// force are passed over; a gap ends it.
+// Adopt applies accepted changes in order. It skips changes that are not newer than
+// the version in force, and stops at a gap.
 func (s *Store) Adopt(changes ...version.Change) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,15 +72,15 @@
 			return err
 		}
 		s.changes = append(s.changes, ch)
-		if len(s.changes) > keptChanges {
-			s.changes = slices.Clone(s.changes[len(s.changes)-keptChanges/2:])
+		if len(s.changes) > maxRetainedChanges {
+			s.changes = slices.Clone(s.changes[len(s.changes)-maxRetainedChanges/2:])
 		}
 	}
 	return nil
 }
 
-// AdoptSnapshot takes up a whole configuration if it is newer, or if none is
-// in force yet.
+// AdoptSnapshot applies a complete configuration if it is newer than the version in
+// force, or if no version is in force yet.
 func (s *Store) AdoptSnapshot(c *version.Config) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +92,7 @@
 }
 
 func (s *Store) install(c *version.Config) error {
-	if err := c.Check(); err != nil { // what a peer or the platform sent may be spoilt
+	if err := c.Check(); err != nil { // data from a peer or the platform may be corrupt
 		return errors.Annotatef(err, "check version %d", c.Seq)
 	}
 	v, err := version.Compile(c)
@@ -99,18 +100,18 @@
 		return errors.Annotatef(err, "compile version %d", c.Seq)
 	}
 	s.config, s.view = c, v
-	s.since = s.Now()
+	s.installedAt = s.Now()
 	s.OnInstall(c, v)
-	if s.news != nil {
-		close(s.news)
-		s.news = nil
+	if s.changed != nil {
+		close(s.changed)
+		s.changed = nil
 	}
 	return nil
 }
 
-// Since returns the changes above a sequence number. The bool is false when
-// they are no longer all kept.
-func (s *Store) Since(seq int64) ([]version.Change, bool) {
+// ChangesSince returns the changes above a sequence number. The bool is false if some
+// of them are no longer retained.
+func (s *Store) ChangesSince(seq int64) ([]version.Change, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if seq >= s.current().Seq {
@@ -122,12 +123,12 @@
 	return slices.Clone(s.changes[seq+1-s.changes[0].Seq:]), true
 }
 
-// News returns a channel that is closed when the next version is installed.
-func (s *Store) News() <-chan struct{} {
+// Changed returns a channel that is closed when the next version is installed.
+func (s *Store) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.news == nil {
-		s.news = make(chan struct{})
+	if s.changed == nil {
+		s.changed = make(chan struct{})
 	}
-	return s.news
+	return s.changed
 }
--- a/process/entry/exchange.go
+++ b/process/entry/exchange.go
@@ -331,7 +331,7 @@
 }
 
 func (e *Entry) changesSince(seq int64) [][]byte {
-	changes, ok := e.store.Since(seq)
+	changes, ok := e.store.ChangesSince(seq)
 	if !ok || len(changes) > maxChanges {
 		return nil // the peer will ask for the whole
 	}
