--- a/process/slots/lease.go
+++ b/process/slots/lease.go
@@ -246,8 +246,8 @@
 	return out
 }
 
-// demandHeadroom is the factor by which a member keeps more tokens than its recent
-// demand.
+// demandHeadroom is the factor by which the number of tokens that a member keeps
+// exceeds its recent demand.
 const demandHeadroom = 1.25
 
 // borrowFraction is the divisor of a link's or shift's size that gives how many of
--- a/process/slots/sim_pools_test.go
+++ b/process/slots/sim_pools_test.go
@@ -91,16 +91,16 @@
 	m.transferring = m.table.StartTransfer(in.Live, 2, s.now)
 	in.Transferred = m.transferring
 	next, changed := Plan(s.storedSplit, in)
-	m.writtenAt = -1
+	m.conditionalRevision = -1
 	if !changed {
 		return
 	}
 	switch s.rnd.IntN(6) {
 	case 0: // the write succeeds, its response is lost
-		m.writtenAt = s.storedRevision
+		m.conditionalRevision = s.storedRevision
 		s.write(next)
 	case 1, 2: // the write may be carried out later
-		m.writtenAt = s.storedRevision
+		m.conditionalRevision = s.storedRevision
 		s.lateWrites = append(s.lateWrites, lateWrite{next, s.storedRevision})
 	default:
 		s.write(next)
@@ -121,7 +121,7 @@
 		return true
 	}
 	m.table.SetSplit(s.storedSplit, s.now)
-	if m.writtenAt >= 0 && s.storedRevision == m.writtenAt && !s.variant.cancelTransferEarly {
+	if m.conditionalRevision >= 0 && s.storedRevision == m.conditionalRevision && !s.variant.cancelTransferEarly {
 		unchanged := *s.storedSplit
 		unchanged.Epoch++
 		s.write(&unchanged)
--- a/process/slots/sim_test.go
+++ b/process/slots/sim_test.go
@@ -56,16 +56,16 @@
 }
 
 type simMember struct {
-	id           string
-	table        *Table
-	counters     *version.Counters
-	view         *version.View
-	frozen       bool
-	down         bool
-	since        time.Duration // when it froze or stopped
-	confirmed    time.Duration
-	transferring []TokenID
-	writtenAt    int64
+	id                  string
+	table               *Table
+	counters            *version.Counters
+	view                *version.View
+	frozen              bool
+	down                bool
+	since               time.Duration // when it froze or stopped
+	confirmed           time.Duration
+	transferring        []TokenID
+	conditionalRevision int64 // revision on which the last write was conditional; -1 if none
 }
 
 // simRequest is a request at a backend server.
@@ -132,7 +132,7 @@
 
 func (s *sim) addMember() {
 	id := fmt.Sprintf("m%d", len(s.members))
-	m := &simMember{id: id, table: &Table{Self: id, OnFree: func(int32) {}}, writtenAt: -1}
+	m := &simMember{id: id, table: &Table{Self: id, OnFree: func(int32) {}}, conditionalRevision: -1}
 	s.members = append(s.members, m)
 	s.install(m, 1)
 	s.confirm(m)
--- a/process/steer/steer.go
+++ b/process/steer/steer.go
@@ -132,8 +132,8 @@
 	Tried    [2]string // backend servers that were tried before; "" if unused
 }
 
-// isRetry reports whether the request was tried before. Retries do not wait for a
-// placement, because a result is known already.
+// isRetry reports whether the request was tried before. A retry does not wait for a
+// placement, because the request already has a result.
 func (r *Request) isRetry() bool { return r.Tried[0] != "" }
 
 // Placement is a backend server and the tokens to use it. Exactly one of Dispatch
@@ -235,7 +235,7 @@
 	return version.None
 }
 
-// recordShortage tells the token table which tokens were missing for a decision.
+// recordShortage reports to the token table which tokens a decision lacked.
 func (s *Steerer) recordShortage(av *ActiveVersion, q *version.Query, c *version.Choice) {
 	if c.Link != version.None {
 		s.Slots.RecordShortage(av.View.Services[q.Service].Name, av.View.Regions[q.Region], av.View.Pools[c.Link].Name)
