--- a/process/slots/grant.go
+++ b/process/slots/grant.go
@@ -85,7 +85,8 @@
 	t.OnFree(version.None)
 }
 
-// ReleaseLinkAndRate returns only the link and rate tokens of a grant.
+// ReleaseLinkAndRate returns only the link and rate tokens of a grant, which cover the
+// transfer to the backend server and not the request's processing there.
 func (t *Table) ReleaseLinkAndRate(g *Grant, now time.Duration) {
 	t.mu.Lock()
 	kept := 0
