--- a/process/entry/balance.go
+++ b/process/entry/balance.go
@@ -42,7 +42,7 @@
 		case <-ctx.Done():
 			return
 		}
-		if bd := e.steer.Bound(); bd != nil {
+		if bd := e.steer.Active(); bd != nil {
 			b.borrow(ctx, bd.View)
 		}
 		if now := e.now(); now-b.upkeep >= upkeepTime {
@@ -56,7 +56,7 @@
 // that the own region lacks are asked for in the others.
 func (b *balancer) borrow(ctx context.Context, v *version.View) {
 	wants := b.e.slots.Wants(b.e.now())
-	if len(wants) == 0 || !b.e.steer.Fresh() {
+	if len(wants) == 0 || !b.e.steer.ConfigFresh() {
 		return
 	}
 	home := b.e.steer.RegionName()
@@ -111,16 +111,16 @@
 		e.log.Debug().Err(err).Str("peer", m.GetId()).Msg("lease-failed")
 		return 0
 	}
-	e.slots.Renewed(m.GetId(), fromTokens(reply.GetRenewed()), asked, e.now())
+	e.slots.ApplyRenewals(m.GetId(), fromTokens(reply.GetRenewed()), asked, e.now())
 	granted := fromTokens(reply.GetGranted())
-	e.slots.Borrow(m.GetId(), granted, asked, e.now())
+	e.slots.AddBorrowed(m.GetId(), granted, asked, e.now())
 	return len(granted)
 }
 
 // keepUp renews leases and returns tokens.
 func (b *balancer) keepUp(ctx context.Context) {
 	e := b.e
-	for lessor, u := range e.slots.Upkeep(e.now()) {
+	for lessor, u := range e.slots.MaintainLeases(e.now()) {
 		m := e.members.Find(lessor)
 		if m == nil {
 			continue
--- a/process/entry/entry_test.go
+++ b/process/entry/entry_test.go
@@ -92,7 +92,7 @@
 
 // FuzzAbsorb feeds what a peer may send.
 func FuzzAbsorb(f *testing.F) {
-	split, err := json.Marshal(slots.Split{Epoch: 2, Members: []string{"m"}, Pools: map[string]slots.PoolSplit{"upstream/u0": {Homes: []int32{0, 0}}}})
+	split, err := json.Marshal(slots.Split{Epoch: 2, Members: []string{"m"}, Pools: map[string]slots.PoolSplit{"upstream/u0": {Owners: []int32{0, 0}}}})
 	assert.NilError(f, err)
 	for _, st := range []*peer.State{
 		{},
@@ -171,7 +171,7 @@
 	for _, n := range []int{50, 500, 1900} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			e := configured(b, n)
-			in := slots.PlanInput{Live: []slots.Candidate{{ID: e.members.Self().GetId(), Region: "r"}}, View: e.steer.Bound().View}
+			in := slots.PlanInput{Live: []slots.Candidate{{ID: e.members.Self().GetId(), Region: "r"}}, View: e.steer.Active().View}
 			split, _ := slots.Plan(&slots.Split{}, in)
 			e.slots.SetSplit(split, e.now())
 			j, err := json.Marshal(split)
--- a/process/entry/exchange.go
+++ b/process/entry/exchange.go
@@ -133,7 +133,7 @@
 	every(ctx, exchangeTime, func() {
 		addresses := e.peerAddresses()
 		rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
-		if e.steer.Fresh() {
+		if e.steer.ConfigFresh() {
 			addresses = addresses[:min(len(addresses), exchangeFan)]
 		}
 		for _, a := range addresses {
@@ -234,7 +234,7 @@
 	reply, err := client.Exchange(ctx, st)
 	if err != nil {
 		if ctx.Err() != context.Canceled {
-			e.members.Unreachable(address, e.now())
+			e.members.RecordUnreachable(address, e.now())
 		}
 		e.log.Debug().Str("peer", address).Err(err).Msg("exchange-failed")
 		return
@@ -280,7 +280,7 @@
 	now := e.now()
 	e.members.Merge([]*peer.Member{st.GetSelf()}, now)
 	e.members.Merge(st.GetMembers(), now)
-	e.members.Seen(st.GetSelf().GetId(), now)
+	e.members.RecordContact(st.GetSelf().GetId(), now)
 	for _, b := range st.GetChanges() {
 		var ch version.Change
 		if err := json.Unmarshal(b, &ch); err != nil {
@@ -331,7 +331,7 @@
 }
 
 func (e *Entry) changesSince(seq int64) [][]byte {
-	changes, ok := e.store.Since(seq)
+	changes, ok := e.store.ChangesSince(seq)
 	if !ok || len(changes) > maxChanges {
 		return nil // the peer will ask for the whole
 	}
@@ -356,7 +356,7 @@
 
 func (e *Entry) leavingFacts() []*peer.Leaving {
 	var out []*peer.Leaving
-	for _, f := range e.health.Facts() {
+	for _, f := range e.health.LeavingFacts() {
 		out = append(out, &peer.Leaving{Backend: f.Backend, Boot: f.Boot})
 	}
 	return out
--- a/process/entry/platform.go
+++ b/process/entry/platform.go
@@ -28,7 +28,7 @@
 	pollTime = 2 * time.Second
 	// pollAlone is the time without peers, when only the platform can
 	// confirm the version in force.
-	pollAlone = slots.ConfirmTime / 4
+	pollAlone = slots.ConfirmationTTL / 4
 	// pollPerMember bounds what all members ask for together: each polls the
 	// less often the more they are.
 	pollPerMember = 50 * time.Millisecond
@@ -42,7 +42,7 @@
 	for ctx.Err() == nil {
 		live := len(e.members.Live(e.now()))
 		wait := max(pollTime, time.Duration(live)*pollPerMember)
-		if live <= 1 || !e.steer.Fresh() {
+		if live <= 1 || !e.steer.ConfigFresh() {
 			wait = pollAlone
 		}
 		clock.Sleep(ctx, wait*3/4+rand.N(wait/2))
@@ -67,7 +67,7 @@
 		e.confirm(asked)
 	}
 	if err != nil {
-		e.members.Unreadable()
+		e.members.PlatformUnreadable()
 		e.metrics.Counter("platform_failures_total").Inc(1)
 		e.log.Debug().Err(err).Msg("platform-failed")
 	}
@@ -110,8 +110,8 @@
 		}
 		ms = append(ms, m)
 	}
-	e.members.Rows(ms, e.now())
-	e.members.List(list)
+	e.members.ApplyRows(ms, e.now())
+	e.members.ApplyInstanceList(list)
 	e.splitter.readRows(ids)
 	return nil
 }
--- a/process/entry/routes.go
+++ b/process/entry/routes.go
@@ -57,7 +57,7 @@
 	}
 	x.proxy = &proxy.Proxy{
 		Names: request.OwnNames, Table: x.table, Metrics: e.metrics, Log: e.log, Now: e.now,
-		ConfigFresh: e.steer.Fresh, NewID: rand.Text, OnResponse: x.answered, ConfigAge: x.age,
+		ConfigFresh: e.steer.ConfigFresh, NewID: rand.Text, OnResponse: x.answered, ConfigAge: x.age,
 		RetryBudget: &retry.Window{Span: retrySpan, Ratio: retryRatio, Fixed: retryFixed, Instances: x.instances},
 	}
 	return x
@@ -90,13 +90,13 @@
 
 // age returns how long ago the version in force was confirmed.
 func (x *routes) age() time.Duration {
-	age, _ := x.e.steer.Confirmed()
+	age, _ := x.e.steer.ConfigAge()
 	return age
 }
 
 // answered notes what a backend server says of itself.
 func (x *routes) answered(backend string, h http.Header, took time.Duration) {
-	x.e.health.Answered(backend, took, h.Get(request.HeaderState), h.Get(request.HeaderBoot), x.e.now())
+	x.e.health.RecordResponse(backend, took, h.Get(request.HeaderState), h.Get(request.HeaderBoot), x.e.now())
 }
 
 // install puts a version in force.
@@ -125,7 +125,7 @@
 // leavingNow returns the names of the backend servers that have said that they leave.
 func (x *routes) leavingNow() []string {
 	var out []string
-	for _, f := range x.e.health.Facts() {
+	for _, f := range x.e.health.LeavingFacts() {
 		if x.e.health.Leaving(f.Backend) {
 			out = append(out, f.Backend)
 		}
--- a/process/entry/server.go
+++ b/process/entry/server.go
@@ -43,7 +43,7 @@
 		out.Split = e.splitJSON()
 	}
 	if in.GetMembersDigest() != out.GetMembersDigest() {
-		out.Members = e.members.Gossip(e.now())
+		out.Members = e.members.GossipMembers(e.now())
 	}
 	if in.GetLeavingDigest() != out.GetLeavingDigest() {
 		out.Leaving = e.leavingFacts()
@@ -72,7 +72,7 @@
 	e := p.e
 	now := e.now()
 	out := &peer.LeaseReply{}
-	if !e.steer.Fresh() {
+	if !e.steer.ConfigFresh() {
 		return out, nil // what is held may have a new home already
 	}
 	out.Renewed = toTokens(e.slots.Renew(in.GetHolder(), fromTokens(in.GetRenew()), now))
@@ -85,7 +85,7 @@
 
 // Return takes lent tokens back.
 func (p *peerServer) Return(_ context.Context, in *peer.ReturnRequest) (*peer.ReturnReply, error) {
-	p.e.slots.TakeBack(in.GetHolder(), fromTokens(in.GetTokens()), p.e.now())
+	p.e.slots.AcceptReturns(in.GetHolder(), fromTokens(in.GetTokens()), p.e.now())
 	return &peer.ReturnReply{}, nil
 }
 
@@ -94,12 +94,12 @@
 	if p.e.members.Leaving() {
 		return nil, status.Error(codes.FailedPrecondition, "leaving too")
 	}
-	bk := ticket.Book{Member: in.GetFrom(), Key: in.GetKey(), Age: time.Duration(in.GetAgeMs()) * time.Millisecond}
+	bk := ticket.Handover{Member: in.GetFrom(), Key: in.GetKey(), Age: time.Duration(in.GetAgeMs()) * time.Millisecond}
 	for _, r := range in.GetRecords() {
-		rec := ticket.Record{Outcome: ticket.Outcome{Status: int(r.GetStatus()), Body: r.GetBody(), Kept: r.GetKept()}}
+		rec := ticket.Record{Outcome: ticket.Outcome{Status: int(r.GetStatus()), Body: r.GetBody(), Retained: r.GetKept()}}
 		copy(rec.Nonce[:], r.GetNonce())
 		if err := json.Unmarshal(r.GetHeader(), &rec.Outcome.Header); err != nil {
-			rec.Outcome.Kept = false
+			rec.Outcome.Retained = false
 		}
 		bk.Records = append(bk.Records, rec)
 	}
@@ -119,7 +119,7 @@
 	now := e.now()
 	out := &peer.StatusReply{Self: e.members.Self(), Epoch: e.slots.Split().Epoch, Leaving: e.leavingFacts()}
 	out.ConfirmedMs = -1
-	if age, ok := e.steer.Confirmed(); ok {
+	if age, ok := e.steer.ConfigAge(); ok {
 		out.ConfirmedMs = age.Milliseconds()
 		seq, since, _ := e.store.InForce()
 		out.Seq = seq
@@ -127,7 +127,7 @@
 	}
 	for _, s := range e.slots.Status(now) {
 		out.Pools = append(out.Pools, &peer.PoolStatus{
-			Pool: s.Name, Size: int32(s.Size), Home: int32(s.Home), Free: int32(s.Free),
+			Pool: s.Name, Size: int32(s.Size), Home: int32(s.Owned), Free: int32(s.Free),
 			Busy: int32(s.Busy), Lent: int32(s.Lent), Borrowed: int32(s.Borrowed),
 		})
 	}
--- a/process/entry/split_test.go
+++ b/process/entry/split_test.go
@@ -40,10 +40,10 @@
 // only while the member tries to rule that out. The tokens are the other's then.
 func TestLateSplitIsNotUndone(t *testing.T) {
 	e := configured(t, 1)
-	view := e.steer.Bound().View
+	view := e.steer.Active().View
 	self := e.members.Self().GetId()
 	e.members.Merge([]*peer.Member{{Id: "z", Hall: "h", Peer: "127.0.0.1:2"}}, e.now())
-	e.members.Seen("z", e.now())
+	e.members.RecordContact("z", e.now())
 	all, _ := slots.Plan(&slots.Split{}, slots.PlanInput{Live: []slots.Candidate{{ID: self, Region: "r"}}, View: view})
 	e.slots.SetSplit(all, e.now())
 	value, err := json.Marshal(all)
@@ -66,7 +66,7 @@
 		assert.NilError(t, err)
 		own := 0
 		for i := range 4 {
-			if row.Home("upstream/u0", i) == self {
+			if row.Owner("upstream/u0", i) == self {
 				own++
 			}
 		}
--- a/process/entry/stop.go
+++ b/process/entry/stop.go
@@ -34,12 +34,12 @@
 func (e *Entry) Stop(ctx context.Context) {
 	begun := e.now()
 	e.members.UpdateSelf(func(m *peer.Member) { m.Leaving = true })
-	e.slots.Leave()
+	e.slots.StartDraining()
 	e.routes.proxy.DisableKeepAlives()
 	e.log.Info().Msg("stopping")
 	e.pushAll(ctx)
 	clock.Sleep(ctx, e.settings.Grace-keepBefore)
-	e.slots.Keep()
+	e.slots.StopLending()
 	clock.Sleep(ctx, min(e.settings.Grace, keepBefore))
 	e.front.Close()
 	e.awaitRunning(ctx)
@@ -86,7 +86,7 @@
 // tickets then count as gone.
 func (e *Entry) handOverTickets(ctx context.Context) {
 	books := e.ledger.Stop()
-	b := e.steer.Bound()
+	b := e.steer.Active()
 	if b == nil {
 		return
 	}
@@ -104,7 +104,7 @@
 	}
 }
 
-func (e *Entry) bequeath(ctx context.Context, to *peer.Member, books []ticket.Book) error {
+func (e *Entry) bequeath(ctx context.Context, to *peer.Member, books []ticket.Handover) error {
 	ctx, cancel := context.WithTimeout(ctx, inheritTime)
 	defer cancel()
 	client, err := e.peers.client(to.GetPeer())
@@ -119,7 +119,7 @@
 				return errors.Trace(err)
 			}
 			req.Records = append(req.Records, &peer.TicketRecord{
-				Nonce: r.Nonce[:], Status: int32(r.Outcome.Status), Header: h, Body: r.Outcome.Body, Kept: r.Outcome.Kept,
+				Nonce: r.Nonce[:], Status: int32(r.Outcome.Status), Header: h, Body: r.Outcome.Body, Kept: r.Outcome.Retained,
 			})
 		}
 		if _, err := client.Inherit(ctx, req); err != nil {
@@ -131,7 +131,7 @@
 
 // handOverTokens gives the tokens at home here to the other members.
 func (e *Entry) handOverTokens(ctx context.Context) {
-	b := e.steer.Bound()
+	b := e.steer.Active()
 	if b == nil {
 		return
 	}
@@ -144,10 +144,10 @@
 	live := e.candidates(b.View)
 	const tries = 3
 	for range tries {
-		in := slots.PlanInput{Live: live, View: b.View, Dead: e.members.Dead(e.now()), Ceder: e.members.Self().GetId()}
-		in.Ceded = e.slots.Cede(live, version.MaxSlots, e.now())
-		in.Ceded = append(in.Ceded, e.splitter.ceding...)
-		if len(in.Ceded) == 0 || len(live) == 0 {
+		in := slots.PlanInput{Live: live, View: b.View, Down: e.members.Down(e.now()), Planner: e.members.Self().GetId()}
+		in.Transferred = e.slots.StartTransfer(live, version.MaxSlots, e.now())
+		in.Transferred = append(in.Transferred, e.splitter.ceding...)
+		if len(in.Transferred) == 0 || len(live) == 0 {
 			return
 		}
 		e.commitSplit(ctx, in)
--- a/process/front/front_test.go
+++ b/process/front/front_test.go
@@ -75,7 +75,7 @@
 	assert.NilError(t, err)
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) + time.Second }
-	s := &steer.Steerer{Now: now, Region: func(*version.View) int32 { return 0 }, Short: func() {}}
+	s := &steer.Steerer{Now: now, Region: func(*version.View) int32 { return 0 }, OnShortage: func() {}}
 	f.slots = &slots.Table{Self: "m", OnFree: func(int32) { s.Wake() }}
 	s.Slots, s.Health = f.slots, &health.Table{OnLeaving: func(health.Leaving) {}}
 	s.Install(v)
@@ -232,7 +232,7 @@
 		assert.Equal(t, r.Ran, tc.ran)
 		time.Sleep(10 * time.Millisecond)
 		f.backend.SetFault(backend.Fault{})
-		f.front.Steer.Health.Answered("c1", time.Millisecond, "", "", f.front.Now()) // opens it again
+		f.front.Steer.Health.RecordResponse("c1", time.Millisecond, "", "", f.front.Now()) // opens it again
 	}
 }
 
