--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -26,7 +26,7 @@
 	for range n {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set(request.HeaderID, r.Header.Get(request.HeaderID))
-			if r.URL.Path == front.Reserved+"lookup" {
+			if r.URL.Path == front.ReservedPrefix+"lookup" {
 				var l front.Lookup
 				for _, a := range addresses {
 					l.Entries = append(l.Entries, front.Entry{Address: a})
@@ -85,7 +85,7 @@
 	var address string
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(request.HeaderID, r.Header.Get(request.HeaderID))
-		if r.URL.Path == front.Reserved+"lookup" {
+		if r.URL.Path == front.ReservedPrefix+"lookup" {
 			lookups.Add(1)
 			time.Sleep(50 * time.Millisecond)
 			_ = json.NewEncoder(w).Encode(front.Lookup{Entries: []front.Entry{{Address: address}}, LifeMs: 60000})
--- a/caller/lookup.go
+++ b/caller/lookup.go
@@ -134,7 +134,7 @@
 func (c *Client) call(ctx context.Context, address, path string, v any) error {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+front.Reserved+path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+front.ReservedPrefix+path, nil)
 	if err != nil {
 		return errors.Trace(err)
 	}
--- a/process/entry/routes.go
+++ b/process/entry/routes.go
@@ -150,7 +150,7 @@
 // serveCaller serves a caller's request: by a route resource if one directs it,
 // else by the routes of services.
 func (e *Entry) serveCaller(w http.ResponseWriter, r *http.Request) {
-	own := strings.HasPrefix(r.URL.Path, front.Reserved)
+	own := strings.HasPrefix(r.URL.Path, front.ReservedPrefix)
 	routing := e.routes.table.Routing()
 	if own || routing == nil || routing.Route(r.Host, r.URL.Path) == nil {
 		e.front.ServeHTTP(w, r)
--- a/process/entry/settings.go
+++ b/process/entry/settings.go
@@ -39,7 +39,7 @@
 func (s *Settings) secure() bool { return s.WorkspaceTokens != "" && s.Cert != "" }
 
 // DefaultGrace is the least time after which no caller has a cached look-up.
-const DefaultGrace = front.LookupLife + time.Second/2
+const DefaultGrace = front.LookupTTL + time.Second/2
 
 // Check returns an error for the first bad setting, naming its flag.
 func (s *Settings) Check() error {
--- a/process/entry/stop.go
+++ b/process/entry/stop.go
@@ -76,7 +76,7 @@
 // awaitRunning waits until no request is in flight.
 func (e *Entry) awaitRunning(ctx context.Context) {
 	limit := e.now() + version.MaxDeadline
-	for e.front.Running()+e.routes.proxy.InFlight() > 0 && e.now() < limit && ctx.Err() == nil {
+	for e.front.InFlight()+e.routes.proxy.InFlight() > 0 && e.now() < limit && ctx.Err() == nil {
 		time.Sleep(stopPoll)
 	}
 }
--- a/process/front/attempt.go
+++ b/process/front/attempt.go
@@ -20,101 +20,102 @@
 )
 
 const (
-	// smallBody is the size up to which a body, either way, is held whole,
-	// in bytes.
-	smallBody = 64 << 10
-	// maxAttempts bounds the attempts at one request.
+	// maxBufferedBody is the size in bytes up to which a request or response
+	// body is buffered. Larger bodies are streamed.
+	maxBufferedBody = 64 << 10
+	// maxAttempts limits the attempts per request.
 	maxAttempts = 3
 )
 
-// source is a request's body.
-type source struct {
-	whole  []byte    // the beginning of it
-	rest   io.Reader // nil when whole is all of it
-	length int64     // -1 when not known
-	used   bool      // rest was given to an attempt
+// requestBody is the caller's request body: a buffered prefix and, if it is larger, a stream.
+type requestBody struct {
+	buffered []byte    // prefix of the body
+	stream   io.Reader // remainder; nil if buffered holds all of the body
+	length   int64     // -1 if unknown
+	used     bool      // stream was passed to an attempt
 }
 
-// readSource reads up to smallBody of the caller's body.
-func readSource(r *http.Request) (*source, error) {
+// readRequestBody buffers up to maxBufferedBody bytes of the caller's body.
+func readRequestBody(r *http.Request) (*requestBody, error) {
 	if r.ContentLength == 0 {
-		return &source{}, nil
+		return &requestBody{}, nil
 	}
-	buf := make([]byte, 0, min(max(r.ContentLength, 512), smallBody+1))
+	buf := make([]byte, 0, min(max(r.ContentLength, 512), maxBufferedBody+1))
 	b := bytes.NewBuffer(buf)
-	_, err := io.CopyN(b, r.Body, smallBody+1)
+	_, err := io.CopyN(b, r.Body, maxBufferedBody+1)
 	if err == io.EOF {
-		return &source{whole: b.Bytes(), length: int64(b.Len())}, nil
+		return &requestBody{buffered: b.Bytes(), length: int64(b.Len())}, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	return &source{whole: b.Bytes(), rest: r.Body, length: r.ContentLength}, nil
+	return &requestBody{buffered: b.Bytes(), stream: r.Body, length: r.ContentLength}, nil
 }
 
-// again reports whether the body can be sent once more.
-func (s *source) again() bool { return s.rest == nil || !s.used }
+// replayable reports whether the body can be sent in a further attempt.
+func (b *requestBody) replayable() bool { return b.stream == nil || !b.used }
 
-// body returns the body for one attempt.
-func (s *source) body() io.ReadCloser {
-	if s.rest == nil && len(s.whole) == 0 {
+// reader returns a reader of the whole body for one attempt.
+func (b *requestBody) reader() io.ReadCloser {
+	if b.stream == nil && len(b.buffered) == 0 {
 		return http.NoBody
 	}
-	if s.rest == nil {
-		return io.NopCloser(bytes.NewReader(s.whole))
+	if b.stream == nil {
+		return io.NopCloser(bytes.NewReader(b.buffered))
 	}
-	s.used = true
-	return io.NopCloser(io.MultiReader(bytes.NewReader(s.whole), s.rest))
+	b.used = true
+	return io.NopCloser(io.MultiReader(bytes.NewReader(b.buffered), b.stream))
 }
 
-// answer is a backend server's checked answer. Either whole has all of the body, or
-// the rest is still to be read from the exchange.
-type answer struct {
-	backend string
-	status  int
-	header  http.Header
-	whole   []byte
-	ex      *conn.Exchange // nil when whole has all
+// response is a backend server's response after its checks. Either body holds
+// all of the body, or the remainder is still to be read from exchange.
+type response struct {
+	backend  string
+	status   int
+	header   http.Header
+	body     []byte
+	exchange *conn.Exchange // nil if body is complete
 }
 
-// trial is the course of the attempts at one request.
-type trial struct {
-	f    *Front
-	c    *call
-	src  *source
-	ask  steer.Ask
-	sent bool // a byte of some attempt may have left
+// forwarder makes the attempts at one request.
+type forwarder struct {
+	front     *Front
+	call      *call
+	body      *requestBody
+	placement steer.Ask
+	sent      bool // bytes of an attempt may have been sent
 }
 
-// run makes attempts until one has an answer or no further one is safe.
-func (f *Front) run(ctx context.Context, c *call) (*answer, *request.Result) {
-	src, err := readSource(c.r)
+// forward makes attempts until one gets a response or a retry is not safe or
+// not allowed by the retry budget.
+func (f *Front) forward(ctx context.Context, c *call) (*response, *request.Result) {
+	body, err := readRequestBody(c.r)
 	if err != nil {
-		return nil, bodyResult(err, false)
+		return nil, bodyErrorResult(err, false)
 	}
-	t := &trial{f: f, c: c, src: src, ask: steer.Ask{Service: c.service, Class: c.route.Class, Deadline: c.deadline}}
-	bud := f.budget(c.service)
-	bud.Deposit()
-	a, res, again := t.attempt(ctx)
-	for try := 1; again && try < maxAttempts && ctx.Err() == nil && bud.TryWithdraw(); try++ {
+	fw := &forwarder{front: f, call: c, body: body, placement: steer.Ask{Service: c.service, Class: c.route.Class, Deadline: c.deadline}}
+	budget := f.retryBudget(c.service)
+	budget.Deposit()
+	resp, res, retryable := fw.attempt(ctx)
+	for try := 1; retryable && try < maxAttempts && ctx.Err() == nil && budget.TryWithdraw(); try++ {
 		f.Metrics.Retry(c.service)
-		var further *request.Result
-		a, further, again = t.attempt(ctx)
-		if further != nil && !further.Code.NoCapacity() {
-			res = further // else the end of the attempt before tells more
+		var retryRes *request.Result
+		resp, retryRes, retryable = fw.attempt(ctx)
+		if retryRes != nil && !retryRes.Code.NoCapacity() {
+			res = retryRes // if no backend server has capacity for the retry, the previous result says more
 		}
-		if a != nil {
-			return a, nil
+		if resp != nil {
+			return resp, nil
 		}
 	}
-	return a, res
+	return resp, res
 }
 
-// bodyResult is the end of a request whose body could not be read.
-func bodyResult(err error, sent bool) *request.Result {
+// bodyErrorResult returns the result of a request whose body could not be read.
+func bodyErrorResult(err error, sent bool) *request.Result {
 	r := request.NotRun(request.CallerGone, 0)
-	var large *http.MaxBytesError
-	if errors.As(err, &large) {
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
 		r.Code = request.TooLarge
 	}
 	if sent {
@@ -123,160 +124,163 @@
 	return &r
 }
 
-// attempt makes one attempt. Again is true when another one is safe.
-func (t *trial) attempt(ctx context.Context) (a *answer, res *request.Result, again bool) {
-	place, res := t.f.Steer.Place(ctx, &t.ask)
+// attempt makes one attempt. Retryable reports whether a retry is safe.
+func (fw *forwarder) attempt(ctx context.Context) (resp *response, res *request.Result, retryable bool) {
+	place, res := fw.front.Steer.Place(ctx, &fw.placement)
 	if res != nil {
-		if t.sent {
+		if fw.sent {
 			res.Ran = request.RanUnknown // an earlier attempt may have run
 		}
 		return nil, res, false
 	}
 	name := place.Name()
-	t.ask.Tried[0], t.ask.Tried[1] = name, t.ask.Tried[0]
-	start := t.f.Now()
-	ex, err := place.Dispatch(ctx, t.request(ctx, t.c.deadline), t.c.deadline)
+	fw.placement.Tried[0], fw.placement.Tried[1] = name, fw.placement.Tried[0]
+	start := fw.front.Now()
+	exchange, err := place.Dispatch(ctx, fw.newRequest(ctx, fw.call.deadline), fw.call.deadline)
 	if err != nil {
-		res, again := t.failed(ctx, name, err)
-		return nil, res, again
+		res, retryable := fw.classifyDispatchError(ctx, name, err)
+		return nil, res, retryable
 	}
-	wasSent := t.sent
-	t.sent = true
-	h := ex.Response.Header
-	if h.Get(request.HeaderID) != t.c.id {
-		ex.Response.Close = true
-		ex.Close()
-		t.f.Steer.Health.Failed(name, t.f.Now())
-		return nil, t.result(request.AnswerWrong), t.repeatable()
+	wasSent := fw.sent
+	fw.sent = true
+	h := exchange.Response.Header
+	if h.Get(request.HeaderID) != fw.call.id {
+		exchange.Response.Close = true
+		exchange.Close()
+		fw.front.Steer.Health.Failed(name, fw.front.Now())
+		return nil, fw.newResult(request.AnswerWrong), fw.repeatable()
 	}
 	if h.Get(request.HeaderNotRun) == "true" {
-		t.sent = wasSent
-		_, _ = io.CopyN(io.Discard, ex.Response.Body, smallBody) // so that the connection can be kept
-		ex.Close()
-		retryAfter := request.OwnNames.Notice(ex.Response.StatusCode, h).RetryAfter
-		t.f.Steer.Health.TurnedAway(name, retryAfter, h.Get(request.HeaderState), h.Get(request.HeaderBoot), t.f.Now()-start, t.f.Now())
-		r := t.result(request.BackendRefused)
-		r.Retry = time.Second
-		return nil, r, t.src.again()
+		fw.sent = wasSent
+		_, _ = io.CopyN(io.Discard, exchange.Response.Body, maxBufferedBody) // drained so that the connection can be reused
+		exchange.Close()
+		retryAfter := request.OwnNames.Notice(exchange.Response.StatusCode, h).RetryAfter
+		fw.front.Steer.Health.TurnedAway(name, retryAfter, h.Get(request.HeaderState), h.Get(request.HeaderBoot), fw.front.Now()-start, fw.front.Now())
+		refused := fw.newResult(request.BackendRefused)
+		refused.Retry = time.Second
+		return nil, refused, fw.body.replayable()
 	}
-	return t.read(ex, name, start)
+	return fw.receive(exchange, name, start)
 }
 
-// readAnswer takes in an answer, whole if it is small.
-func readAnswer(ex *conn.Exchange) (*answer, error) {
-	res := ex.Response
-	a := &answer{status: res.StatusCode, header: res.Header, ex: ex}
-	var b bytes.Buffer
-	if n := res.ContentLength; n > 0 && n <= smallBody {
-		b.Grow(int(n) + bytes.MinRead)
+// readResponse reads up to maxBufferedBody of a response. If that is all of
+// it, the exchange is closed.
+func readResponse(exchange *conn.Exchange) (*response, error) {
+	httpResp := exchange.Response
+	resp := &response{status: httpResp.StatusCode, header: httpResp.Header, exchange: exchange}
+	var buf bytes.Buffer
+	if n := httpResp.ContentLength; n > 0 && n <= maxBufferedBody {
+		buf.Grow(int(n) + bytes.MinRead)
 	}
-	_, err := io.CopyN(&b, res.Body, smallBody+1)
-	a.whole = b.Bytes()
+	_, err := io.CopyN(&buf, httpResp.Body, maxBufferedBody+1)
+	resp.body = buf.Bytes()
 	if err == io.EOF {
-		a.ex = nil
+		resp.exchange = nil
 		err = nil
-		ex.Close()
+		exchange.Close()
 	}
 	if err != nil {
-		ex.Close()
+		exchange.Close()
 		return nil, err
 	}
-	return a, nil
+	return resp, nil
 }
 
-// read takes in a backend server's answer and notes what it tells of the backend server.
-func (t *trial) read(ex *conn.Exchange, name string, start time.Duration) (*answer, *request.Result, bool) {
-	res := ex.Response
-	a, err := readAnswer(ex)
-	now := t.f.Now()
+// receive reads a backend server's response and reports its outcome to the
+// health table.
+func (fw *forwarder) receive(exchange *conn.Exchange, name string, start time.Duration) (*response, *request.Result, bool) {
+	httpResp := exchange.Response
+	resp, err := readResponse(exchange)
+	now := fw.front.Now()
 	if err != nil {
-		t.f.Steer.Health.Failed(name, now)
-		return nil, t.result(lostCode(err, t.c.deadline)), t.repeatable()
+		fw.front.Steer.Health.Failed(name, now)
+		return nil, fw.newResult(lostResponseCode(err, fw.call.deadline)), fw.repeatable()
 	}
-	t.f.Steer.Health.Answered(name, now-start, res.Header.Get(request.HeaderState), res.Header.Get(request.HeaderBoot), now)
-	a.backend = name
-	return a, nil, false
+	fw.front.Steer.Health.Answered(name, now-start, httpResp.Header.Get(request.HeaderState), httpResp.Header.Get(request.HeaderBoot), now)
+	resp.backend = name
+	return resp, nil, false
 }
 
-// repeatable reports whether a request of which something was sent may be
-// sent again.
-func (t *trial) repeatable() bool { return !t.c.once && t.src.again() }
+// repeatable reports whether a request that was sent at least in part may be
+// retried.
+func (fw *forwarder) repeatable() bool { return !fw.call.nonRepeatable && fw.body.replayable() }
 
-// result is a result with what is known of whether the request ran.
-func (t *trial) result(c request.Code) *request.Result {
-	r := request.NotRun(c, minRetry)
-	if t.sent {
+// newResult returns a result that says whether the request may have run.
+func (fw *forwarder) newResult(c request.Code) *request.Result {
+	r := request.NotRun(c, minRetryAfter)
+	if fw.sent {
 		r = request.Unknown(c)
 	}
 	return &r
 }
 
-// failed classifies a dispatch that got no answer.
-func (t *trial) failed(ctx context.Context, name string, err error) (*request.Result, bool) {
-	var d *conn.DispatchError
-	sent := !errors.As(err, &d) || d.Sent
-	t.sent = t.sent || sent
-	var large *http.MaxBytesError
-	if errors.As(err, &large) {
-		return t.result(request.TooLarge), false
+// classifyDispatchError returns the result of a dispatch without a response,
+// and whether a retry is safe.
+func (fw *forwarder) classifyDispatchError(ctx context.Context, name string, err error) (*request.Result, bool) {
+	var dispatchErr *conn.DispatchError
+	sent := !errors.As(err, &dispatchErr) || dispatchErr.Sent
+	fw.sent = fw.sent || sent
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		return fw.newResult(request.TooLarge), false
 	}
-	if t.c.r.Context().Err() != nil {
-		return t.result(request.CallerGone), false
+	if fw.call.r.Context().Err() != nil {
+		return fw.newResult(request.CallerGone), false
 	}
 	if errors.Is(err, conn.ErrNotAllowed) {
-		return t.result(request.Unconfirmed), t.src.again()
+		return fw.newResult(request.Unconfirmed), fw.body.replayable()
 	}
-	if ctx.Err() != nil || !time.Now().Before(t.c.deadline) {
-		t.f.Steer.Health.Failed(name, t.f.Now())
-		return t.result(request.DeadlinePassed), false
+	if ctx.Err() != nil || !time.Now().Before(fw.call.deadline) {
+		fw.front.Steer.Health.Failed(name, fw.front.Now())
+		return fw.newResult(request.DeadlinePassed), false
 	}
-	t.f.Steer.Health.Failed(name, t.f.Now())
+	fw.front.Steer.Health.Failed(name, fw.front.Now())
 	if !sent {
-		return t.result(request.ConnectFailed), t.src.again()
+		return fw.newResult(request.ConnectFailed), fw.body.replayable()
 	}
-	return t.result(lostCode(err, t.c.deadline)), t.repeatable()
+	return fw.newResult(lostResponseCode(err, fw.call.deadline)), fw.repeatable()
 }
 
-// deadlineSlack is how shortly before its deadline a request that breaks off
-// counts as one whose deadline has passed: the backend server is told the deadline in
-// whole milliseconds, and gives up by itself.
+// deadlineSlack is how long before its deadline a lost response counts as a
+// passed deadline: the deadline is sent to the backend server in whole
+// milliseconds, and the server aborts the request by itself.
 const deadlineSlack = 25 * time.Millisecond
 
-// lostCode is the code of an answer that broke off.
-func lostCode(err error, deadline time.Time) request.Code {
-	var n net.Error
-	if errors.As(err, &n) && n.Timeout() || time.Until(deadline) < deadlineSlack {
+// lostResponseCode returns the code of a response that was lost or truncated.
+func lostResponseCode(err error, deadline time.Time) request.Code {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() || time.Until(deadline) < deadlineSlack {
 		return request.DeadlinePassed
 	}
 	return request.AnswerLost
 }
 
-// request builds the request for one attempt.
-func (t *trial) request(ctx context.Context, deadline time.Time) *http.Request {
-	in := t.c.r
+// newRequest returns the request for one attempt.
+func (fw *forwarder) newRequest(ctx context.Context, deadline time.Time) *http.Request {
+	in := fw.call.r
 	out := &http.Request{
 		Method: in.Method, URL: in.URL, Host: in.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		Header: request.Forwardable(in.Header), Body: t.src.body(), ContentLength: t.src.length,
+		Header: request.Forwardable(in.Header), Body: fw.body.reader(), ContentLength: fw.body.length,
 	}
 	h := out.Header
 	h.Del(request.HeaderTicket)
-	h.Set(request.HeaderID, t.c.id)
-	h.Set(request.HeaderRegion, t.f.Steer.RegionName())
+	h.Set(request.HeaderID, fw.call.id)
+	h.Set(request.HeaderRegion, fw.front.Steer.RegionName())
 	h.Set(request.HeaderDeadline, strconv.FormatInt(max(1, time.Until(deadline).Milliseconds()), 10))
 	return out.WithContext(ctx)
 }
 
-// budget returns the retries of a service.
-func (f *Front) budget(service string) *retry.Budget {
+// retryBudget returns the retry budget of a service.
+func (f *Front) retryBudget(service string) *retry.Budget {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.budgets == nil {
-		f.budgets = make(map[string]*retry.Budget)
+	if f.retryBudgets == nil {
+		f.retryBudgets = make(map[string]*retry.Budget)
 	}
-	b := f.budgets[service]
+	b := f.retryBudgets[service]
 	if b == nil {
 		b = &retry.Budget{}
-		f.budgets[service] = b
+		f.retryBudgets[service] = b
 	}
 	return b
 }
--- a/process/front/doc.go
+++ b/process/front/doc.go
@@ -1,19 +1,19 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package front is the side of an instance that callers see, an http.Handler.
+Package front serves the requests of callers. Front implements http.Handler.
 
-A request's way through it:
+A request passes through these steps:
 
-	classify   which service and route; the deadline; may it be repeated
-	once       a request that may not be repeated needs a ticket
-	body       a small body is read whole before a slot is taken
-	attempts   place, dispatch, check the answer; again if that is safe
-	relay      the whole answer, or a connection broken off, or a Result
+	classify   find service, route and deadline, and whether the request is repeatable
+	ticket     a non-repeatable request needs a ticket
+	body       a small body is buffered before a slot is taken
+	attempts   choose a backend server, dispatch, check the response; retry if that is safe
+	relay      send the response or a Result, or abort the connection
 
-Below the path Reserved stand two calls of the system's own:
+Two endpoints are served under ReservedPrefix:
 
-	GET /.shalewick/lookup?client=IP   which instances to use, in order
-	GET /.shalewick/tickets?n=8        tickets for requests that may not be repeated
+	GET /.shalewick/lookup?client=IP   instances to use, in order of preference
+	GET /.shalewick/tickets?n=8        tickets for non-repeatable requests
 */
 package front
--- a/process/front/front.go
+++ b/process/front/front.go
@@ -24,13 +24,13 @@
 	"shalewick/version"
 )
 
-// Reserved is the path prefix of the system's own calls.
-const Reserved = "/.shalewick/"
+// ReservedPrefix is the path prefix of the endpoints that instances serve themselves.
+const ReservedPrefix = "/.shalewick/"
 
-// HeaderEntry tells a caller that the instance is leaving.
+// HeaderEntry is the response header that announces that the instance is leaving.
 const HeaderEntry = "Shalewick-Entry"
 
-// Front serves callers. The fields are set before use.
+// Front serves callers. The exported fields must be set before use.
 type Front struct {
 	Steer   *steer.Steerer
 	Ledger  *ticket.Ledger
@@ -39,43 +39,43 @@
 	Log     zerolog.Logger
 	Now     func() time.Duration
 
-	tiers   tierCache
-	closed  atomic.Bool // takes no new requests
-	running atomic.Int64
-	mu      sync.Mutex
-	peers   map[string]*conn.Pool    // to other instances' fronts, by address
-	budgets map[string]*retry.Budget // retries, by service
+	tierCache    tierCache
+	closing      atomic.Bool // new requests are refused
+	inFlight     atomic.Int64
+	mu           sync.Mutex
+	peerPools    map[string]*conn.Pool    // connections to the fronts of other instances, by address
+	retryBudgets map[string]*retry.Budget // by service
 }
 
-// Close makes the front refuse new requests. Those in flight go on.
-func (f *Front) Close() { f.closed.Store(true) }
+// Close makes the front refuse new requests. Requests in flight continue.
+func (f *Front) Close() { f.closing.Store(true) }
 
 // Running returns the number of requests in flight.
-func (f *Front) Running() int64 { return f.running.Load() }
+func (f *Front) InFlight() int64 { return f.inFlight.Load() }
 
-// call is one caller's request on its way.
+// call holds the state of one caller's request.
 type call struct {
-	w        http.ResponseWriter
-	r        *http.Request
-	id       string
-	service  string
-	route    *version.ServiceRoute
-	deadline time.Time
-	once     bool
-	started  time.Time
+	w             http.ResponseWriter
+	r             *http.Request
+	id            string
+	service       string
+	route         *version.ServiceRoute
+	deadline      time.Time
+	nonRepeatable bool
+	started       time.Time
 }
 
 // ServeHTTP serves one request of a caller.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f.running.Add(1)
-	defer f.running.Add(-1)
+	f.inFlight.Add(1)
+	defer f.inFlight.Add(-1)
 	if id := r.Header.Get(request.HeaderID); id != "" {
-		w.Header().Set(request.HeaderID, id) // the caller can tell that the answer is its own
+		w.Header().Set(request.HeaderID, id) // lets the caller match response and request
 	}
 	if f.Members.Leaving() {
 		w.Header().Set(HeaderEntry, conn.StateLeaving)
 	}
-	if strings.HasPrefix(r.URL.Path, Reserved) {
+	if strings.HasPrefix(r.URL.Path, ReservedPrefix) {
 		f.serveReserved(w, r)
 		return
 	}
@@ -87,30 +87,31 @@
 		f.finish(c, *res)
 		return
 	}
-	if c.once {
-		f.serveOnce(c)
+	if c.nonRepeatable {
+		f.serveNonRepeatable(c)
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), c.deadline)
 	defer cancel()
-	a, res := f.run(ctx, c)
+	resp, res := f.forward(ctx, c)
 	if res != nil {
 		f.finish(c, *res)
 		return
 	}
-	f.relay(c, a)
+	f.relay(c, resp)
 }
 
-// classify finds service, route and deadline, or a refusal.
+// classify sets service, route and deadline of the call. It returns a result
+// if the request is refused.
 func (f *Front) classify(c *call) *request.Result {
-	if f.closed.Load() {
-		return refusal(request.Leaving, minRetry)
+	if f.closing.Load() {
+		return refusal(request.Leaving, minRetryAfter)
 	}
-	b := f.Steer.Bound()
-	if b == nil {
+	bound := f.Steer.Bound()
+	if bound == nil {
 		return refusal(request.NoVersion, time.Second)
 	}
-	v := b.View
+	v := bound.View
 	svc := v.Service(c.r.Header.Get(request.HeaderService))
 	if svc == version.None {
 		svc = v.Host(c.r.Host)
@@ -123,7 +124,7 @@
 	if c.route == nil {
 		return refusal(request.UnknownRoute, 0)
 	}
-	if headerSize(c.r) > maxHeader {
+	if headerSize(c.r) > maxHeaderBytes {
 		return refusal(request.HeaderTooLarge, 0)
 	}
 	if c.r.ContentLength > c.route.MaxBody {
@@ -133,21 +134,22 @@
 		return refusal(request.BadRequest, 0)
 	}
 	c.r.Body = http.MaxBytesReader(c.w, c.r.Body, c.route.MaxBody)
-	c.once = !c.route.Repeatable || c.r.Header.Get(request.HeaderOnce) == "true"
+	c.nonRepeatable = !c.route.Repeatable || c.r.Header.Get(request.HeaderOnce) == "true"
 	c.deadline = c.started.Add(time.Duration(c.route.Deadline))
 	if ms, err := strconv.ParseInt(c.r.Header.Get(request.HeaderDeadline), 10, 64); err == nil && ms > 0 {
 		if d := c.started.Add(time.Duration(ms) * time.Millisecond); d.Before(c.deadline) {
 			c.deadline = d
 		}
 	}
-	// A caller that sends its body too slowly is given up at the deadline.
+	// Stops reading from a caller that has not sent its body by the deadline.
 	_ = http.NewResponseController(c.w).SetReadDeadline(c.deadline.Add(conn.ReleaseMargin))
 	return nil
 }
 
-// maxHeader bounds the headers of a request, in bytes.
-const maxHeader = 64 << 10
+// maxHeaderBytes limits the size of a request's headers.
+const maxHeaderBytes = 64 << 10
 
+// headerSize returns the size of the request URI and of all header fields in bytes.
 func headerSize(r *http.Request) int {
 	n := len(r.RequestURI)
 	for k, vs := range r.Header {
@@ -158,20 +160,21 @@
 	return n
 }
 
-const minRetry = 100 * time.Millisecond
+const minRetryAfter = 100 * time.Millisecond
 
-func refusal(c request.Code, retry time.Duration) *request.Result {
-	r := request.NotRun(c, retry)
+// refusal returns the result of a request that was refused without running.
+func refusal(c request.Code, retryAfter time.Duration) *request.Result {
+	r := request.NotRun(c, retryAfter)
 	return &r
 }
 
-// finish answers with a result.
+// finish counts the request and responds with a result.
 func (f *Front) finish(c *call, res request.Result) {
 	f.count(c, res.Code)
 	res.Write(c.w)
 }
 
-// count adds the request to the metrics.
+// count records the request in the metrics and logs it if it was not OK.
 func (f *Front) count(c *call, code request.Code) {
 	class := request.ClassInvalid
 	if c.route != nil {
--- a/process/front/front_test.go
+++ b/process/front/front_test.go
@@ -54,7 +54,7 @@
 spec: {service: catalogue, hall: north-1, address: "%s", slots: 1}
 `
 
-// fixture is a front with one backend server, in one process.
+// fixture is a front with one backend server in the test's process.
 type fixture struct {
 	front   *Front
 	url     string
@@ -65,23 +65,23 @@
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := &fixture{backend: &backend.Server{Name: "c1", Slots: 1, Work: time.Millisecond}}
-	up := httptest.NewServer(f.backend.Handler())
-	t.Cleanup(up.Close)
-	rs, err := version.Parse(fmt.Appendf(nil, documents, up.Listener.Addr()))
+	backendServer := httptest.NewServer(f.backend.Handler())
+	t.Cleanup(backendServer.Close)
+	rs, err := version.Parse(fmt.Appendf(nil, documents, backendServer.Listener.Addr()))
 	assert.NilError(t, err)
 	cfg, _, err := (&version.Config{}).Propose(version.Change{Operation: "o", Puts: rs})
 	assert.NilError(t, err)
 	v, err := version.Compile(cfg)
 	assert.NilError(t, err)
-	began := time.Now()
-	now := func() time.Duration { return time.Since(began) + time.Second }
+	started := time.Now()
+	now := func() time.Duration { return time.Since(started) + time.Second }
 	s := &steer.Steerer{Now: now, Region: func(*version.View) int32 { return 0 }, Short: func() {}}
 	f.slots = &slots.Table{Self: "m", OnFree: func(int32) { s.Wake() }}
 	s.Slots, s.Health = f.slots, &health.Table{OnLeaving: func(health.Leaving) {}}
 	s.Install(v)
 	s.Confirm(now() + time.Hour)
-	split, _ := slots.Plan(&slots.Split{}, slots.PlanInput{Live: []slots.Candidate{{ID: "m", Region: "north"}}, View: v})
-	f.slots.SetSplit(split, now())
+	tokenSplit, _ := slots.Plan(&slots.Split{}, slots.PlanInput{Live: []slots.Candidate{{ID: "m", Region: "north"}}, View: v})
+	f.slots.SetSplit(tokenSplit, now())
 	f.front = &Front{
 		Steer: s, Ledger: ticket.NewLedger("m", now), Now: now, Metrics: metric.NewSet(), Log: zerolog.Nop(),
 		Members: member.NewRegistry(&peer.Member{Id: "m", Hall: "north-1", Front: "127.0.0.1:1"}),
@@ -92,7 +92,8 @@
 	return f
 }
 
-// call sends a request and returns the result, which is OK for an answer.
+// call sends a request and returns its result and response. The result is OK
+// if a backend server responded.
 func (f *fixture) call(t *testing.T, method, path string, body io.Reader, header ...string) (request.Result, *http.Response) {
 	t.Helper()
 	req, err := http.NewRequest(method, f.url+path, body)
@@ -106,21 +107,21 @@
 	defer res.Body.Close()
 	b, err := io.ReadAll(res.Body)
 	assert.NilError(t, err)
-	r, refused := request.FromHeader(res.Header)
-	if refused {
-		var in struct {
+	r, isResult := request.FromHeader(res.Header)
+	if isResult {
+		var fromBody struct {
 			Code request.Code
 			Ran  request.Ran
 		}
-		assert.NilError(t, json.Unmarshal(b, &in))
-		assert.Equal(t, in.Code, r.Code) // the body says the same as the header
-		assert.Equal(t, in.Ran, r.Ran)
+		assert.NilError(t, json.Unmarshal(b, &fromBody))
+		assert.Equal(t, fromBody.Code, r.Code) // body and header must agree
+		assert.Equal(t, fromBody.Ran, r.Ran)
 		assert.Equal(t, res.StatusCode, r.Code.Info().Status)
 	}
 	return r, res
 }
 
-func TestBadInputGetsANumberedResult(t *testing.T) {
+func TestInvalidRequestResults(t *testing.T) {
 	f := newFixture(t)
 	for _, tc := range []struct {
 		method, path string
@@ -139,25 +140,25 @@
 		{"POST", "/bids", "bid", nil, request.TicketNeeded},
 		{"POST", "/bids", "bid", []string{request.HeaderTicket, "zzz"}, request.TicketInvalid},
 		{"GET", "/lots", "", []string{request.HeaderOnce, "true"}, request.TicketNeeded},
-		{"GET", Reserved + "zebra", "", nil, request.UnknownRoute},
-		{"GET", Reserved + "lookup?client=zebra", "", nil, request.BadRequest},
+		{"GET", ReservedPrefix + "zebra", "", nil, request.UnknownRoute},
+		{"GET", ReservedPrefix + "lookup?client=zebra", "", nil, request.BadRequest},
 	} {
 		r, _ := f.call(t, tc.method, tc.path, strings.NewReader(tc.body), tc.header...)
 		assert.Equal(t, r.Code, tc.want, "%s %s", tc.method, tc.path)
 		assert.Assert(t, r.Code == request.OK || r.Ran == request.RanNo)
 	}
-	ran := len(f.backend.Records())
-	assert.Equal(t, ran, 2) // the two that were well formed
+	runs := len(f.backend.Records())
+	assert.Equal(t, runs, 2) // the two valid requests
 }
 
-func TestLongBodyOfUnknownLengthIsRefused(t *testing.T) {
+func TestOversizedBodyOfUnknownLength(t *testing.T) {
 	f := newFixture(t)
-	body := io.MultiReader(strings.NewReader(strings.Repeat("x", 1001))) // hides the length
+	body := io.MultiReader(strings.NewReader(strings.Repeat("x", 1001))) // hides the length from the client
 	r, _ := f.call(t, "PUT", "/videos", body)
 	assert.Equal(t, r.Code, request.TooLarge)
 }
 
-func TestFullQueueRefusesAtOnceWithATimeToReturn(t *testing.T) {
+func TestFullQueueRefusesImmediatelyWithRetryAfter(t *testing.T) {
 	f := newFixture(t)
 	f.backend.SetFault(backend.Fault{SlowMs: 300})
 	results := make(chan request.Result, 8)
@@ -168,19 +169,19 @@
 			results <- r
 		}()
 	}
-	early := 0
+	rejected := 0
 	for range 8 {
 		r := <-results
 		if r.Code == request.QueueFull {
-			early++
+			rejected++
 			assert.Assert(t, r.Retry > 0 && r.Ran == request.RanNo)
-			assert.Assert(t, time.Since(start) < 250*time.Millisecond, "refused late")
+			assert.Assert(t, time.Since(start) < 250*time.Millisecond, "refused too late")
 		}
 	}
-	assert.Assert(t, early >= 5, "one runs, two wait, the rest is refused: %d", early)
+	assert.Assert(t, rejected >= 5, "one runs, two are queued, the others must be rejected: %d", rejected)
 }
 
-func TestCallerThatVanishesFreesTheSlot(t *testing.T) {
+func TestCallerDisconnectFreesSlot(t *testing.T) {
 	f := newFixture(t)
 	f.backend.SetFault(backend.Fault{SlowMs: 200})
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
@@ -194,10 +195,10 @@
 	r, _ := f.call(t, "GET", "/lots", nil)
 	assert.Equal(t, r.Code, request.OK)
 	rs := f.backend.Records()
-	assert.Assert(t, !rs[0].Done) // the cancellation was passed on
+	assert.Assert(t, !rs[0].Done) // the request was cancelled at the backend server
 }
 
-func TestHalfSentRequestRunsNothing(t *testing.T) {
+func TestPartialRequestBodyIsNotForwarded(t *testing.T) {
 	f := newFixture(t)
 	c, err := net.Dial("tcp", strings.TrimPrefix(f.url, "http://"))
 	assert.NilError(t, err)
@@ -212,7 +213,7 @@
 	assert.Equal(t, len(f.backend.Records()), 0)
 }
 
-func TestBackendThatMisbehaves(t *testing.T) {
+func TestBackendFaultResults(t *testing.T) {
 	f := newFixture(t)
 	for _, tc := range []struct {
 		fault backend.Fault
@@ -232,16 +233,15 @@
 		assert.Equal(t, r.Ran, tc.ran)
 		time.Sleep(10 * time.Millisecond)
 		f.backend.SetFault(backend.Fault{})
-		f.front.Steer.Health.Answered("c1", time.Millisecond, "", "", f.front.Now()) // opens it again
+		f.front.Steer.Health.Answered("c1", time.Millisecond, "", "", f.front.Now()) // ends the backoff
 	}
 }
 
-// TestBackendThatAsksForRestGetsNothing tells a story of its own. Seen: a backend server that
-// refuses with a time to come back goes on getting requests, and the more, the quicker it
-// refuses. How: the time to come back is not read, and that of the refusal counts as the time
-// of an answer. Proof: here a single one refuses once, and is asked again at once, before its
-// rest is over, and afterwards.
-func TestBackendThatAsksForRestGetsNothing(t *testing.T) {
+// TestBackendRetryAfterIsRespected guards against requests to a backend server during its
+// Retry-After. They occur if Retry-After is ignored and the latency of a refusal counts as that
+// of a response: the faster the server refuses, the more requests it gets. Here a single server
+// refuses once, and requests follow at once, during the backoff and after it.
+func TestBackendRetryAfterIsRespected(t *testing.T) {
 	f := newFixture(t)
 	call := func() request.Code {
 		r, _ := f.call(t, "GET", "/lots?size=10", nil)
@@ -262,23 +262,23 @@
 	assert.Equal(t, call(), request.OK)
 }
 
-// TestEntryKeepsTheRateLimitThatABackendNames guards against requests of shalewick entry beyond the
-// limit that a backend server's answers name.
+// TestEntryKeepsTheRateLimitThatABackendNames guards against shalewick entry exceeding the rate
+// limit that a backend server's responses announce.
 func TestEntryKeepsTheRateLimitThatABackendNames(t *testing.T) {
 	const limit = 4
 	f := newFixture(t)
 	f.backend.SetFault(backend.Fault{Limit: limit})
 	f.call(t, "GET", "/lots?size=10", nil)
-	begun := time.Now()
-	for time.Since(begun) < 2*time.Second {
+	start := time.Now()
+	for time.Since(start) < 2*time.Second {
 		f.call(t, "GET", "/lots?size=10", nil)
 		time.Sleep(20 * time.Millisecond)
 	}
 	got := len(f.backend.Records())
-	assert.Assert(t, float64(got) <= 1.5*limit*time.Since(begun).Seconds()+5, "%d requests in %s", got, time.Since(begun))
+	assert.Assert(t, float64(got) <= 1.5*limit*time.Since(start).Seconds()+5, "%d requests in %s", got, time.Since(start))
 }
 
-func TestCutAnswerBreaksTheCallerOff(t *testing.T) {
+func TestTruncatedResponseAbortsCallerConnection(t *testing.T) {
 	f := newFixture(t)
 	f.backend.SetFault(backend.Fault{Cut: 1})
 	req, err := http.NewRequest(http.MethodGet, f.url+"/lots?size=300000", nil)
@@ -287,12 +287,12 @@
 	res, err := http.DefaultClient.Do(req)
 	assert.NilError(t, err)
 	defer res.Body.Close()
-	assert.Equal(t, res.StatusCode, http.StatusOK) // it is larger than what is held whole
+	assert.Equal(t, res.StatusCode, http.StatusOK) // larger than maxBufferedBody, so it is streamed
 	_, err = io.ReadAll(res.Body)
 	assert.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
-func TestLookupPrefersNearAndLeavesOutLeaving(t *testing.T) {
+func TestLookupOrdersByDistanceAndSkipsLeaving(t *testing.T) {
 	rs, err := version.Parse([]byte(`
 kind: region
 name: a
@@ -332,8 +332,7 @@
 	assert.DeepEqual(t, got, []Entry{{"a1", "a1"}, {"a2", "a2"}, {"b1", "b1"}})
 }
 
-// BenchmarkLookup measures the choice of instances for a client, by their number
-// in 21 halls.
+// BenchmarkLookup measures a lookup with different numbers of instances in 21 halls.
 func BenchmarkLookup(b *testing.B) {
 	docs := "kind: region\nname: r\nspec: {}\n"
 	for h := range 21 {
@@ -355,11 +354,11 @@
 			}
 			client := netip.MustParseAddr("10.1.2.3")
 			var cache tierCache
-			began := time.Now()
+			started := time.Now()
 			b.ReportAllocs()
 			for b.Loop() {
 				hall := int32(v.Blocks.Lookup(client))
-				tiers := cache.get(v, hall, time.Since(began), func() []*peer.Member { return live })
+				tiers := cache.get(v, hall, time.Since(started), func() []*peer.Member { return live })
 				pickEntries(tiers, client)
 			}
 		})
--- a/process/front/lookup.go
+++ b/process/front/lookup.go
@@ -20,18 +20,18 @@
 	"shalewick/version"
 )
 
-// LookupLife is how long a caller may keep the answer to a look-up.
-const LookupLife = 3 * time.Second
+// LookupTTL is how long callers may cache the response to a lookup.
+const LookupTTL = 3 * time.Second
 
-// maxEntries bounds the instances in an answer to a look-up.
-const maxEntries = 4
+// maxLookupEntries limits the instances in the response to a lookup.
+const maxLookupEntries = 4
 
-// maxTickets bounds the tickets in one answer.
-const maxTickets = 64
+// maxIssuedTickets limits the tickets in one response.
+const maxIssuedTickets = 64
 
-// Lookup is the answer to a look-up.
+// Lookup is the response to a lookup.
 type Lookup struct {
-	Entries []Entry `json:"entries"` // the best first
+	Entries []Entry `json:"entries"` // in order of preference
 	LifeMs  int64   `json:"lifeMs"`
 }
 
@@ -41,16 +41,16 @@
 	Hall    string `json:"hall"`
 }
 
-// Tickets is the answer to a request for tickets.
+// Tickets is the response to a request for tickets.
 type Tickets struct {
 	Tickets []string `json:"tickets"`
 }
 
 func (f *Front) serveReserved(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
-	case Reserved + "lookup":
+	case ReservedPrefix + "lookup":
 		f.serveLookup(w, r)
-	case Reserved + "tickets":
+	case ReservedPrefix + "tickets":
 		f.serveTickets(w, r)
 	default:
 		request.NotRun(request.UnknownRoute, 0).Write(w)
@@ -58,27 +58,27 @@
 }
 
 func (f *Front) serveLookup(w http.ResponseWriter, r *http.Request) {
-	b := f.Steer.Bound()
-	if b == nil || !f.Steer.Fresh() {
+	bound := f.Steer.Bound()
+	if bound == nil || !f.Steer.Fresh() {
 		request.NotRun(request.NoVersion, time.Second).Write(w)
 		return
 	}
-	client, err := clientAddress(r)
+	client, err := lookupClient(r)
 	if err != nil {
 		request.NotRun(request.BadRequest, 0).Write(w)
 		return
 	}
 	hall := version.None
-	if site := b.View.Blocks.Lookup(client); site != version.NoSite {
+	if site := bound.View.Blocks.Lookup(client); site != version.NoSite {
 		hall = int32(site)
 	}
 	now := f.Now()
-	tiers := f.tiers.get(b.View, hall, now, func() []*peer.Member { return f.Members.Live(now) })
-	writeJSON(w, Lookup{Entries: pickEntries(tiers, client), LifeMs: LookupLife.Milliseconds()})
+	tiers := f.tierCache.get(bound.View, hall, now, func() []*peer.Member { return f.Members.Live(now) })
+	writeJSON(w, Lookup{Entries: pickEntries(tiers, client), LifeMs: LookupTTL.Milliseconds()})
 }
 
-// clientAddress is the "client" parameter, or else where the call came from.
-func clientAddress(r *http.Request) (netip.Addr, error) {
+// lookupClient returns the address in the "client" parameter, or else the remote address.
+func lookupClient(r *http.Request) (netip.Addr, error) {
 	if c := r.URL.Query().Get("client"); c != "" {
 		return netip.ParseAddr(c)
 	}
@@ -92,12 +92,12 @@
 		request.NotRun(request.BadRequest, 0).Write(w)
 		return
 	}
-	if f.closed.Load() || f.Members.Leaving() {
-		request.NotRun(request.Leaving, minRetry).Write(w)
+	if f.closing.Load() || f.Members.Leaving() {
+		request.NotRun(request.Leaving, minRetryAfter).Write(w)
 		return
 	}
 	var ts Tickets
-	for range min(n, maxTickets) {
+	for range min(n, maxIssuedTickets) {
 		ts.Tickets = append(ts.Tickets, f.Ledger.Issue().String())
 	}
 	writeJSON(w, ts)
@@ -105,21 +105,21 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // a caller that is gone needs no answer
+	_ = json.NewEncoder(w).Encode(v) // fails only if the caller has disconnected
 }
 
-// candidate is one instance that a look-up can name.
+// candidate is one instance that a lookup can return.
 type candidate struct {
 	entry Entry
 	id    string
 }
 
-// tier is instances that are equally near to a hall.
+// tier is a group of instances at equal distance from a hall.
 type tier []candidate
 
-// rankTiers groups the instances that are not leaving by how near they are to
-// a hall: those in it first, then those in its region, then by the latency
-// between regions. For hall None all are alike.
+// rankTiers groups the instances that are not leaving by their distance from a
+// hall: first those in the hall, then those in its region, then the others by
+// the latency between the regions. If hall is None, all are in one tier.
 func rankTiers(v *version.View, hall int32, live []*peer.Member) []tier {
 	region := version.None
 	if hall != version.None {
@@ -141,16 +141,16 @@
 	return out
 }
 
-// pickEntries returns the instances that a client should use, the nearest tier
-// first. Within a tier they are ordered by a hash of client and instance, which
-// spreads clients evenly and keeps each with the same instances.
+// pickEntries returns the instances that a client should use, nearest tier
+// first. Within a tier, rendezvous hashing of client and instance spreads
+// clients evenly and keeps each client on the same instances.
 func pickEntries(tiers []tier, client netip.Addr) []Entry {
 	type hashed struct {
 		candidate
 		hash uint64
 	}
 	addr := client.As16()
-	entries := make([]Entry, 0, maxEntries)
+	entries := make([]Entry, 0, maxLookupEntries)
 	for _, t := range tiers {
 		hs := make([]hashed, 0, len(t))
 		for _, c := range t {
@@ -158,7 +158,7 @@
 		}
 		slices.SortFunc(hs, func(a, b hashed) int { return cmp.Compare(a.hash, b.hash) })
 		for _, h := range hs {
-			if len(entries) == maxEntries {
+			if len(entries) == maxLookupEntries {
 				return entries
 			}
 			entries = append(entries, h.entry)
@@ -167,12 +167,12 @@
 	return entries
 }
 
-// tiersLife is how long ranked instances are kept. entry.DefaultGrace allows
-// for it.
-const tiersLife = 100 * time.Millisecond
+// tierCacheTTL is how long ranked instances are cached. entry.DefaultGrace
+// takes it into account.
+const tierCacheTTL = 100 * time.Millisecond
 
-// tierCache keeps the ranked instances of each hall for a short time, so that
-// a look-up does not go through all members. The zero value is empty.
+// tierCache caches the ranked instances of each hall, so that a lookup does
+// not have to rank all members. The zero value is an empty cache.
 type tierCache struct {
 	mu     sync.Mutex
 	view   *version.View
@@ -180,12 +180,12 @@
 	byHall map[int32][]tier
 }
 
-// get returns the tiers of a hall, ranked anew from live when they are too old
-// or of another version.
+// get returns the tiers of a hall. If the cache has expired or was built for
+// another view, they are ranked again from live.
 func (c *tierCache) get(v *version.View, hall int32, now time.Duration, live func() []*peer.Member) []tier {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.view != v || now-c.at > tiersLife {
+	if c.view != v || now-c.at > tierCacheTTL {
 		c.view, c.at = v, now
 		c.byHall = make(map[int32][]tier)
 	}
@@ -197,27 +197,28 @@
 	return ts
 }
 
-// Distances of places that no link tells the latency of.
+// Distances within a region, and between regions without a known link latency.
 const (
-	sameRegion = time.Microsecond
-	farAway    = time.Hour
+	sameRegionDistance = time.Microsecond
+	unknownDistance    = time.Hour
 )
 
+// distance returns the distance from a hall and its region to the hall to.
 func distance(v *version.View, hall, region, to int32) time.Duration {
 	switch {
 	case region == version.None:
-		return 0 // the client's place is not known; all are alike
+		return 0 // the client's region is unknown: all instances are equally near
 	case to == version.None:
-		return farAway
+		return unknownDistance
 	case hall == to:
 		return 0
 	case v.Halls[to].Region == region:
-		return sameRegion
+		return sameRegionDistance
 	}
-	for _, x := range v.Crossings[region] {
-		if x.To == v.Halls[to].Region {
-			return sameRegion + x.Latency
+	for _, crossing := range v.Crossings[region] {
+		if crossing.To == v.Halls[to].Region {
+			return sameRegionDistance + crossing.Latency
 		}
 	}
-	return farAway
+	return unknownDistance
 }
--- a/process/front/once.go
+++ b/process/front/once.go
@@ -16,9 +16,9 @@
 	"shalewick/request"
 )
 
-// serveOnce serves a request that may not be repeated. It runs at most once
-// for its ticket, whichever instances it is sent to and how often.
-func (f *Front) serveOnce(c *call) {
+// serveNonRepeatable serves a non-repeatable request. It runs at most once per
+// ticket, no matter how often and to which instances it is sent.
+func (f *Front) serveNonRepeatable(c *call) {
 	text := c.r.Header.Get(request.HeaderTicket)
 	if text == "" {
 		c.w.Header().Set(request.HeaderTicket, f.Ledger.Issue().String())
@@ -31,7 +31,7 @@
 		return
 	}
 	if !f.Ledger.Holds(t.Member) {
-		f.passOn(c, t)
+		f.forwardToOwner(c, t)
 		return
 	}
 	entry, first, err := f.Ledger.Begin(t)
@@ -41,46 +41,47 @@
 	case err != nil:
 		f.finish(c, request.Unknown(request.TicketGone))
 	case first:
-		f.runOnce(c, entry)
+		f.runWithTicket(c, entry)
 	default:
-		f.awaitOnce(c, entry)
+		f.awaitOutcome(c, entry)
 	}
 }
 
-// runOnce dispatches the request of a ticket and records how it ended. It goes
-// on when the caller goes away, so that the caller can ask again.
-func (f *Front) runOnce(c *call, entry *ticket.Entry) {
+// runWithTicket forwards the request of a ticket and records its outcome. It
+// continues after the caller disconnects, so that the caller can fetch the
+// outcome with the same ticket.
+func (f *Front) runWithTicket(c *call, entry *ticket.Entry) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(c.r.Context()), c.deadline)
 	defer cancel()
-	a, res := f.run(ctx, c)
+	resp, res := f.forward(ctx, c)
 	if res != nil {
 		f.Ledger.Finish(entry, resultOutcome(res))
 		f.finish(c, *res)
 		return
 	}
-	a.header.Set(request.HeaderBackend, a.backend) // kept for further calls too
-	a.header.Set(request.HeaderRan, string(request.RanYes))
-	if a.ex != nil {
+	resp.header.Set(request.HeaderBackend, resp.backend) // recorded, so that repeated calls get it too
+	resp.header.Set(request.HeaderRan, string(request.RanYes))
+	if resp.exchange != nil {
 		defer f.Ledger.Finish(entry, ticket.Outcome{})
-		f.relay(c, a)
+		f.relay(c, resp)
 		return
 	}
-	o := ticket.Outcome{Status: a.status, Header: a.header, Kept: len(a.whole) <= ticket.MaxKeptBody}
-	if o.Kept {
-		o.Body = a.whole
+	outcome := ticket.Outcome{Status: resp.status, Header: resp.header, Kept: len(resp.body) <= ticket.MaxKeptBody}
+	if outcome.Kept {
+		outcome.Body = resp.body
 	}
-	f.Ledger.Finish(entry, o)
-	f.relay(c, a)
+	f.Ledger.Finish(entry, outcome)
+	f.relay(c, resp)
 }
 
-// resultOutcome keeps a result as the outcome of a ticket.
+// resultOutcome converts a result to the outcome of a ticket.
 func resultOutcome(res *request.Result) ticket.Outcome {
 	rec := newRecorder()
 	res.Write(rec)
 	return ticket.Outcome{Status: rec.status, Header: rec.header, Body: rec.body, Kept: true}
 }
 
-// recorder keeps a small answer in memory.
+// recorder is an http.ResponseWriter that records the response in memory.
 type recorder struct {
 	header http.Header
 	status int
@@ -98,95 +99,97 @@
 	return len(p), nil
 }
 
-// awaitOnce answers a further call with a used ticket.
-func (f *Front) awaitOnce(c *call, entry *ticket.Entry) {
+// awaitOutcome serves a repeated call with a used ticket: it waits for the
+// recorded outcome.
+func (f *Front) awaitOutcome(c *call, entry *ticket.Entry) {
 	timer := time.NewTimer(time.Until(c.deadline))
 	defer timer.Stop()
 	select {
 	case <-entry.Done:
 	case <-timer.C:
 		res := request.Unknown(request.DeadlinePassed)
-		res.Retry = time.Second // the outcome can still be asked for
+		res.Retry = time.Second // the outcome can still be requested
 		f.finish(c, res)
 		return
 	case <-c.r.Context().Done():
 		f.finish(c, request.Unknown(request.CallerGone))
 		return
 	}
-	o := f.Ledger.Outcome(entry)
-	if !o.Kept {
+	outcome := f.Ledger.Outcome(entry)
+	if !outcome.Kept {
 		f.finish(c, request.Unknown(request.TicketUsed))
 		return
 	}
-	f.relay(c, &answer{status: o.Status, header: o.Header, whole: o.Body})
+	f.relay(c, &response{status: outcome.Status, header: outcome.Header, body: outcome.Body})
 }
 
-// passOn sends the request to the member that its ticket names, or to the one
-// that took over its tickets.
-func (f *Front) passOn(c *call, t ticket.Ticket) {
-	m, gone := f.holder(t.Member)
-	if gone || c.r.Header.Get(request.HeaderForwarded) != "" {
+// forwardToOwner forwards the request to the member that owns its ticket.
+func (f *Front) forwardToOwner(c *call, t ticket.Ticket) {
+	owner, lost := f.ticketOwner(t.Member)
+	if lost || c.r.Header.Get(request.HeaderForwarded) != "" {
 		f.finish(c, request.Unknown(request.TicketGone))
 		return
 	}
-	if m == nil {
-		f.finish(c, askAgain(request.ConnectFailed))
+	if owner == nil {
+		f.finish(c, retryWithTicket(request.ConnectFailed))
 		return
 	}
-	src, err := readSource(c.r)
+	body, err := readRequestBody(c.r)
 	if err != nil {
-		f.finish(c, *bodyResult(err, true))
+		f.finish(c, *bodyErrorResult(err, true))
 		return
 	}
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline)
 	defer cancel()
-	tr := &trial{f: f, c: c, src: src}
-	req := tr.request(ctx, c.deadline)
+	fw := &forwarder{front: f, call: c, body: body}
+	req := fw.newRequest(ctx, c.deadline)
 	req.Header.Set(request.HeaderTicket, t.String())
 	req.Header.Set(request.HeaderForwarded, f.Members.Self().GetId())
 	req.Header.Set(request.HeaderService, c.service)
-	ex, err := f.peer(m.GetFront()).Dispatch(ctx, req, conn.Options{
+	exchange, err := f.peerPool(owner.GetFront()).Dispatch(ctx, req, conn.Options{
 		Deadline: c.deadline.Add(conn.ReleaseMargin),
 		Allowed:  func() bool { return true },
 		Release:  func(bool) {},
 	})
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		// No process listens there: the member has ended.
+		// Nothing listens on the address: the member's process has exited.
 		f.finish(c, request.Unknown(request.TicketGone))
 		return
 	}
 	if err != nil {
-		f.finish(c, askAgain(request.AnswerLost))
+		f.finish(c, retryWithTicket(request.AnswerLost))
 		return
 	}
-	if ex.Response.Header.Get(request.HeaderID) != c.id {
-		ex.Close()
-		f.finish(c, askAgain(request.AnswerWrong))
+	if exchange.Response.Header.Get(request.HeaderID) != c.id {
+		exchange.Close()
+		f.finish(c, retryWithTicket(request.AnswerWrong))
 		return
 	}
-	a, err := readAnswer(ex)
+	resp, err := readResponse(exchange)
 	if err != nil {
-		f.finish(c, askAgain(lostCode(err, c.deadline)))
+		f.finish(c, retryWithTicket(lostResponseCode(err, c.deadline)))
 		return
 	}
-	f.relay(c, a)
+	f.relay(c, resp)
 }
 
-// askAgain is a result whose outcome can be asked for with the same ticket.
-func askAgain(code request.Code) request.Result {
+// retryWithTicket returns a result of unknown outcome that asks the caller to
+// retry with the same ticket.
+func retryWithTicket(code request.Code) request.Result {
 	res := request.Unknown(code)
 	res.Retry = time.Second
 	return res
 }
 
-// maxSuccessors bounds the chain of successors that is followed.
+// maxSuccessors limits the length of the chain of successors that is followed.
 const maxSuccessors = 8
 
-// holder returns the member that answers for another's tickets; nil when it is
-// not known. Gone is true when nobody ever will.
-func (f *Front) holder(id string) (m *peer.Member, gone bool) {
+// ticketOwner returns the member that owns the tickets issued by the member
+// id: that member or its last successor. It returns nil if the owner is
+// unknown. Lost is true if the tickets no longer have an owner.
+func (f *Front) ticketOwner(id string) (m *peer.Member, lost bool) {
 	now := f.Now()
-	dead := f.Members.Dead(now)
+	down := f.Members.Dead(now)
 	for range maxSuccessors {
 		m = f.Members.Find(id)
 		if m == nil {
@@ -196,22 +199,22 @@
 			id = s
 			continue
 		}
-		return m, m.GetGone() || dead[id]
+		return m, m.GetGone() || down[id]
 	}
 	return nil, true
 }
 
-// peer returns the connections to another instance's front.
-func (f *Front) peer(address string) *conn.Pool {
+// peerPool returns the connection pool for the front of another instance.
+func (f *Front) peerPool(address string) *conn.Pool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.peers == nil {
-		f.peers = make(map[string]*conn.Pool)
+	if f.peerPools == nil {
+		f.peerPools = make(map[string]*conn.Pool)
 	}
-	p := f.peers[address]
+	p := f.peerPools[address]
 	if p == nil {
 		p = &conn.Pool{Address: address}
-		f.peers[address] = p
+		f.peerPools[address] = p
 	}
 	return p
 }
--- a/process/front/relay.go
+++ b/process/front/relay.go
@@ -10,29 +10,29 @@
 	"shalewick/request"
 )
 
-// relay passes an answer on. An answer that is cut short breaks the caller's
-// connection off, so that it never looks whole.
-func (f *Front) relay(c *call, a *answer) {
+// relay sends a response to the caller. If the response is truncated, it aborts
+// the caller's connection, so that the caller can't take it for complete.
+func (f *Front) relay(c *call, resp *response) {
 	h := c.w.Header()
-	for k, vs := range request.Forwardable(a.header) {
+	for k, vs := range request.Forwardable(resp.header) {
 		if k != request.HeaderID {
 			h[k] = vs
 		}
 	}
-	if a.backend != "" {
-		h.Set(request.HeaderBackend, a.backend)
+	if resp.backend != "" {
+		h.Set(request.HeaderBackend, resp.backend)
 		h.Set(request.HeaderRan, string(request.RanYes))
 	}
-	if a.ex == nil && request.BodyAllowed(c.r.Method, a.status) {
-		h.Set("Content-Length", strconv.Itoa(len(a.whole)))
+	if resp.exchange == nil && request.BodyAllowed(c.r.Method, resp.status) {
+		h.Set("Content-Length", strconv.Itoa(len(resp.body)))
 	}
-	c.w.WriteHeader(a.status)
-	_, err := c.w.Write(a.whole)
-	if a.ex != nil {
+	c.w.WriteHeader(resp.status)
+	_, err := c.w.Write(resp.body)
+	if resp.exchange != nil {
 		if err == nil {
-			_, err = io.Copy(c.w, a.ex.Response.Body)
+			_, err = io.Copy(c.w, resp.exchange.Response.Body)
 		}
-		a.ex.Close()
+		resp.exchange.Close()
 	}
 	if err != nil {
 		f.count(c, request.AnswerLost)
--- a/proof/once_test.go
+++ b/proof/once_test.go
@@ -53,7 +53,7 @@
 func (c *cluster) takeTickets(t testing.TB, e *instance, n int) []string {
 	t.Helper()
 	var ts front.Tickets
-	assert.NilError(t, getJSON("http://"+e.front+front.Reserved+"tickets?n="+strconv.Itoa(n), &ts))
+	assert.NilError(t, getJSON("http://"+e.front+front.ReservedPrefix+"tickets?n="+strconv.Itoa(n), &ts))
 	return ts.Tickets
 }
 
--- a/proof/promise_test.go
+++ b/proof/promise_test.go
@@ -320,7 +320,7 @@
 		}
 		if time.Now().After(until) {
 			asked := time.Now()
-			res, err := get("http://" + c.entries[5].front + front.Reserved + "lookup?client=" + client)
+			res, err := get("http://" + c.entries[5].front + front.ReservedPrefix + "lookup?client=" + client)
 			if !assert.Check(t, err) {
 				return -1
 			}
