--- a/process/entry/balance.go
+++ b/process/entry/balance.go
@@ -13,90 +13,90 @@
 	"shalewick/version"
 )
 
-// Times of the borrowing of tokens.
+// Intervals and timeouts of the borrowing of tokens.
 const (
-	balanceTime  = 100 * time.Millisecond
-	upkeepTime   = 200 * time.Millisecond
-	leaseTimeout = 250 * time.Millisecond
-	// avoidTime is how long a peer that did not answer is not asked.
-	avoidTime = time.Second
+	borrowInterval = 100 * time.Millisecond
+	renewInterval  = 200 * time.Millisecond
+	leaseTimeout   = 250 * time.Millisecond
+	// peerBackoff is how long no tokens are requested from an unresponsive peer.
+	peerBackoff = time.Second
 )
 
-// balancer is the state of the borrowing at one member.
-type balancer struct {
-	e      *Entry
-	avoid  map[string]time.Duration // peers that did not answer, until when
-	upkeep time.Duration
+// borrower holds a member's state of borrowing tokens.
+type borrower struct {
+	entry        *Entry
+	backoffUntil map[string]time.Duration // by id of an unresponsive peer
+	lastRenewal  time.Duration
 }
 
-// balanceLoop borrows tokens that requests lack, and keeps up or returns those
-// that are borrowed.
-func (e *Entry) balanceLoop(ctx context.Context) {
-	b := &balancer{e: e, avoid: make(map[string]time.Duration)}
-	t := time.NewTicker(balanceTime)
+// borrowLoop borrows tokens for waiting requests, renews the leases that are
+// in use and returns the other borrowed tokens.
+func (e *Entry) borrowLoop(ctx context.Context) {
+	b := &borrower{entry: e, backoffUntil: make(map[string]time.Duration)}
+	t := time.NewTicker(borrowInterval)
 	defer t.Stop()
 	for {
 		select {
-		case <-e.short:
+		case <-e.tokenShortage:
 		case <-t.C:
 		case <-ctx.Done():
 			return
 		}
-		if bd := e.steer.Bound(); bd != nil {
-			b.borrow(ctx, bd.View)
+		if bound := e.steer.Bound(); bound != nil {
+			b.borrow(ctx, bound.View)
 		}
-		if now := e.now(); now-b.upkeep >= upkeepTime {
-			b.upkeep = now
-			b.keepUp(ctx)
+		if now := e.now(); now-b.lastRenewal >= renewInterval {
+			b.lastRenewal = now
+			b.renewAndReturn(ctx)
 		}
 	}
 }
 
-// borrow asks peers for what is wanted, near ones first. Slots of a service
-// that the own region lacks are asked for in the others.
-func (b *balancer) borrow(ctx context.Context, v *version.View) {
-	wants := b.e.slots.Wants(b.e.now())
-	if len(wants) == 0 || !b.e.steer.Fresh() {
+// borrow requests the wanted tokens from peers, nearest first. Slots of a
+// service that the own region can't supply are requested from other regions.
+func (b *borrower) borrow(ctx context.Context, v *version.View) {
+	wants := b.entry.slots.Wants(b.entry.now())
+	if len(wants) == 0 || !b.entry.steer.Fresh() {
 		return
 	}
-	home := b.e.steer.RegionName()
+	ownRegion := b.entry.steer.RegionName()
 	peers := b.peersByDistance(v)
-	for _, w := range wants {
-		left := b.ask(ctx, peers, w)
-		if left == 0 || w.Pool != "" || w.Region != home {
+	for _, want := range wants {
+		missing := b.requestTokens(ctx, peers, want)
+		if missing == 0 || want.Pool != "" || want.Region != ownRegion {
 			continue
 		}
-		for _, x := range v.Crossings[v.Region(home)] {
-			w.Region, w.Tokens = v.Regions[x.To], left
-			if left = b.ask(ctx, peers, w); left == 0 {
+		for _, crossing := range v.Crossings[v.Region(ownRegion)] {
+			want.Region, want.Tokens = v.Regions[crossing.To], missing
+			if missing = b.requestTokens(ctx, peers, want); missing == 0 {
 				break
 			}
 		}
 	}
 }
 
-// ask borrows from one home of wanted tokens after the other and returns what
-// is still wanted.
-func (b *balancer) ask(ctx context.Context, peers []nearPeer, w slots.Want) int {
-	lessors := b.e.slots.Lessors(w)
+// requestTokens borrows from one owner of wanted tokens after another and
+// returns how many tokens are still missing.
+func (b *borrower) requestTokens(ctx context.Context, peers []rankedPeer, want slots.Want) int {
+	lessors := b.entry.slots.Lessors(want)
 	for _, p := range peers {
 		id := p.member.GetId()
-		if w.Tokens <= 0 {
+		if want.Tokens <= 0 {
 			return 0
 		}
-		if !lessors[id] || b.e.now() < b.avoid[id] {
+		if !lessors[id] || b.entry.now() < b.backoffUntil[id] {
 			continue
 		}
-		w.Tokens -= b.lease(ctx, p.member, &peer.LeaseRequest{Wants: []*peer.Want{{
-			Pool: w.Pool, Service: w.Service, Region: w.Region, Tokens: int32(w.Tokens),
+		want.Tokens -= b.requestLease(ctx, p.member, &peer.LeaseRequest{Wants: []*peer.Want{{
+			Pool: want.Pool, Service: want.Service, Region: want.Region, Tokens: int32(want.Tokens),
 		}}})
 	}
-	return max(0, w.Tokens)
+	return max(0, want.Tokens)
 }
 
-// lease sends one request for tokens and returns how many came.
-func (b *balancer) lease(ctx context.Context, m *peer.Member, req *peer.LeaseRequest) int {
-	e := b.e
+// requestLease sends one lease request and returns the number of granted tokens.
+func (b *borrower) requestLease(ctx context.Context, m *peer.Member, req *peer.LeaseRequest) int {
+	e := b.entry
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
 	req.Holder = e.members.Self().GetId()
@@ -104,39 +104,39 @@
 	if err != nil {
 		return 0
 	}
-	asked := e.now()
+	sentAt := e.now()
 	reply, err := client.Lease(ctx, req)
 	if err != nil {
-		b.avoid[m.GetId()] = e.now() + avoidTime
+		b.backoffUntil[m.GetId()] = e.now() + peerBackoff
 		e.log.Debug().Err(err).Str("peer", m.GetId()).Msg("lease-failed")
 		return 0
 	}
-	e.slots.Renewed(m.GetId(), fromTokens(reply.GetRenewed()), asked, e.now())
+	e.slots.Renewed(m.GetId(), fromTokens(reply.GetRenewed()), sentAt, e.now())
 	granted := fromTokens(reply.GetGranted())
-	e.slots.Borrow(m.GetId(), granted, asked, e.now())
+	e.slots.Borrow(m.GetId(), granted, sentAt, e.now())
 	return len(granted)
 }
 
-// keepUp renews leases and returns tokens.
-func (b *balancer) keepUp(ctx context.Context) {
-	e := b.e
-	for lessor, u := range e.slots.Upkeep(e.now()) {
+// renewAndReturn renews leases in use and returns tokens that are not needed.
+func (b *borrower) renewAndReturn(ctx context.Context) {
+	e := b.entry
+	for lessor, upkeep := range e.slots.Upkeep(e.now()) {
 		m := e.members.Find(lessor)
 		if m == nil {
 			continue
 		}
-		if len(u.Return) > 0 {
-			go e.giveBack(ctx, m, u.Return)
+		if len(upkeep.Return) > 0 {
+			go e.returnTokens(ctx, m, upkeep.Return)
 		}
-		if len(u.Renew) > 0 {
-			b.lease(ctx, m, &peer.LeaseRequest{Renew: toTokens(u.Renew)})
+		if len(upkeep.Renew) > 0 {
+			b.requestLease(ctx, m, &peer.LeaseRequest{Renew: toTokens(upkeep.Renew)})
 		}
 	}
 }
 
-// giveBack returns borrowed tokens. If it fails, the lessor takes them back in
-// time.
-func (e *Entry) giveBack(ctx context.Context, m *peer.Member, leases []slots.Lease) {
+// returnTokens returns borrowed tokens. If that fails, the lessor gets them
+// back when the leases expire.
+func (e *Entry) returnTokens(ctx context.Context, m *peer.Member, leases []slots.Lease) {
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
 	client, err := e.peers.client(m.GetPeer())
@@ -149,27 +149,28 @@
 	}
 }
 
-// nearPeer is a member with its region.
-type nearPeer struct {
+// rankedPeer is a member with its region and its distance from this one: 0 in
+// the same hall, 1 in the same region, else 2.
+type rankedPeer struct {
 	member   *peer.Member
 	region   string
 	distance int
 }
 
-// peersByDistance returns the live peers: the own hall, the own region, the
-// rest; in random order where equally near.
-func (b *balancer) peersByDistance(v *version.View) []nearPeer {
-	e := b.e
+// peersByDistance returns the live peers ordered by distance, and in random
+// order at equal distance.
+func (b *borrower) peersByDistance(v *version.View) []rankedPeer {
+	e := b.entry
 	self := e.members.Self().GetId()
-	home := e.steer.RegionName()
-	var out []nearPeer
+	ownRegion := e.steer.RegionName()
+	var out []rankedPeer
 	for _, m := range e.members.Live(e.now()) {
 		h := v.Hall(m.GetHall())
 		if m.GetId() == self || h == version.None {
 			continue
 		}
-		p := nearPeer{member: m, region: v.Regions[v.Halls[h].Region], distance: 2}
-		if p.region == home {
+		p := rankedPeer{member: m, region: v.Regions[v.Halls[h].Region], distance: 2}
+		if p.region == ownRegion {
 			p.distance = 1
 		}
 		if m.GetHall() == e.settings.Hall {
@@ -178,6 +179,6 @@
 		out = append(out, p)
 	}
 	rand.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
-	slices.SortStableFunc(out, func(a, b nearPeer) int { return a.distance - b.distance })
+	slices.SortStableFunc(out, func(a, b rankedPeer) int { return a.distance - b.distance })
 	return out
 }
--- a/process/entry/doc.go
+++ b/process/entry/doc.go
@@ -1,20 +1,20 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package entry is the one role that every instance runs: it puts the parts of a
-process together and keeps them going.
+Package entry implements the role that every instance runs. It connects the
+components of the process and runs their background loops.
 
-	front      answers callers                          process/front
-	steer      places each request                      process/steer
-	slots      the tokens held, lent and borrowed       process/slots
+	front      serves callers                           process/front
+	steer      chooses a backend server per request     process/steer
+	slots      tokens owned, lent and borrowed          process/slots
 	config     the configuration in force               process/config
-	member     who takes part                           process/member
-	ticket     requests that may not be repeated        process/ticket
-	health     what is known of backend servers               process/health
-	admin      answers operators                        process/admin
+	member     membership of the instances              process/member
+	ticket     tickets of non-repeatable requests       process/ticket
+	health     the health of backend servers            process/health
+	admin      serves operators                         process/admin
 
-The loops that drive them are in this package, one file each: the exchange with
-peers, the platform, the split of tokens, the borrowing of tokens, the probes
-of backend servers, and the planned stop.
+Each loop has a file of its own in this package: the gossip exchange with peers,
+the polling of the platform, the split of tokens, the borrowing of tokens and
+the probes of backend servers. So has the planned stop.
 */
 package entry
--- a/process/entry/entry.go
+++ b/process/entry/entry.go
@@ -51,27 +51,28 @@
 	routes     *routes
 	peers      *peerConns
 	splitter   splitter
-	workspaces *auth.Workspaces // nil: operators carry no token
-	identity   *auth.Identity   // nil: instances have no certificate
+	workspaces *auth.Workspaces // nil: operators are not authenticated
+	identity   *auth.Identity   // nil: connections between instances don't use TLS
 
-	short  chan struct{} // a request lacks a token
-	push   chan struct{} // there is something new to tell all peers
-	split  chan struct{} // there may be tokens without a home
-	synced chan struct{} // closed once a version is in force and confirmed
-	once   sync.Once
+	tokenShortage chan struct{} // signalled when a request waits for a token
+	pushNeeded    chan struct{} // signalled when there is an update for all peers
+	splitNeeded   chan struct{} // signalled when there may be tokens without an owner
+	synced        chan struct{} // closed once a version is in force and confirmed
+	syncedOnce    sync.Once
 
 	servers     []*http.Server
 	frontServer *http.Server // one of servers
 	grpc        *grpc.Server
 	cancel      context.CancelFunc
 	loops       sync.WaitGroup
-	probes      *http.Client
+	probeClient *http.Client
 }
 
-// Start checks the settings, opens the listeners and starts the loops. It
-// returns once the entry serves; requests are refused until it has a version.
+// Start validates the settings, opens the listeners and starts the background
+// loops. When it returns, the entry serves; it refuses requests until it has a
+// configuration version.
 func Start(s Settings, logTo io.Writer) (*Entry, error) {
-	if err := s.Check(); err != nil {
+	if err := s.Validate(); err != nil {
 		return nil, err
 	}
 	level, err := zerolog.ParseLevel(s.LogLevel)
@@ -80,20 +81,20 @@
 	}
 	metrics := metric.NewSet()
 	e := &Entry{
-		settings: s,
-		log:      logging.New(logTo).Level(level).With().Str("instance", s.Instance).Logger(),
-		started:  time.Now(),
-		platform: platform.NewClient(s.Platform),
-		metrics:  metrics,
-		peers:    newPeerConns(metrics),
-		short:    make(chan struct{}, 1),
-		push:     make(chan struct{}, 1),
-		split:    make(chan struct{}, 1),
-		synced:   make(chan struct{}),
-		probes:   &http.Client{Timeout: probeTimeout},
+		settings:      s,
+		log:           logging.New(logTo).Level(level).With().Str("instance", s.Instance).Logger(),
+		started:       time.Now(),
+		platform:      platform.NewClient(s.Platform),
+		metrics:       metrics,
+		peers:         newPeerConns(metrics),
+		tokenShortage: make(chan struct{}, 1),
+		pushNeeded:    make(chan struct{}, 1),
+		splitNeeded:   make(chan struct{}, 1),
+		synced:        make(chan struct{}),
+		probeClient:   &http.Client{Timeout: probeTimeout},
 	}
-	e.assemble()
-	if err := e.openCredentials(); err != nil {
+	e.initComponents()
+	if err := e.loadCredentials(); err != nil {
 		return nil, err
 	}
 	if err := e.listen(); err != nil {
@@ -102,7 +103,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	e.cancel = cancel
 	for _, loop := range []func(context.Context){
-		e.exchangeLoop, e.pushLoop, e.platformLoop, e.splitLoop, e.balanceLoop, e.probeLoop, e.tickLoop,
+		e.exchangeLoop, e.pushLoop, e.platformLoop, e.splitLoop, e.borrowLoop, e.probeLoop, e.tickLoop,
 	} {
 		e.loops.Go(func() { loop(ctx) })
 	}
@@ -111,11 +112,12 @@
 	return e, nil
 }
 
-// now is the process's clock. It goes on while the process is stopped.
+// now returns the monotonic time since the start of the process. It also
+// advances while the process is suspended.
 func (e *Entry) now() time.Duration { return time.Since(e.started) }
 
-// assemble makes the parts and ties them together.
-func (e *Entry) assemble() {
+// initComponents creates the components and connects them.
+func (e *Entry) initComponents() {
 	s := e.settings
 	id := s.Instance + "." + strings.ToLower(rand.Text()[:8])
 	e.members = member.NewRegistry(&peer.Member{
@@ -125,7 +127,7 @@
 	e.slots = &slots.Table{Self: id, OnFree: func(int32) { e.steer.Wake() }, AwaitWord: e.health.AwaitWord}
 	e.steer = &steer.Steerer{
 		Now: e.now, Slots: e.slots, Health: e.health, Region: e.region,
-		Short: func() { poke(e.short) },
+		Short: func() { notify(e.tokenShortage) },
 	}
 	e.store = &config.Store{Now: e.now, OnInstall: e.onInstall}
 	e.changes = &config.Log{Platform: e.platform, Store: e.store}
@@ -137,9 +139,8 @@
 	e.routes = newRoutes(e)
 }
 
-// openCredentials reads the files that operators and instances prove with who
-// they are.
-func (e *Entry) openCredentials() (err error) {
+// loadCredentials reads the files that authenticate operators and instances.
+func (e *Entry) loadCredentials() (err error) {
 	if e.settings.WorkspaceTokens != "" {
 		if e.workspaces, err = auth.Open(e.settings.WorkspaceTokens); err != nil {
 			return errors.Annotate(err, "--workspace-tokens")
@@ -152,13 +153,13 @@
 		}
 		e.peers.identity = e.identity
 	}
-	if !e.settings.secure() {
+	if !e.settings.authenticated() {
 		e.log.Warn().Str("reason", "no --workspace-tokens or no --cert").Msg("loopback-only")
 	}
 	return nil
 }
 
-// region returns the own region in a view.
+// region returns the index of the instance's region in a view.
 func (e *Entry) region(v *version.View) int32 {
 	if h := v.Hall(e.settings.Hall); h != version.None {
 		return v.Halls[h].Region
@@ -166,38 +167,41 @@
 	return version.None
 }
 
+// onInstall puts a new version of the configuration into effect.
 func (e *Entry) onInstall(c *version.Config, v *version.View) {
 	e.steer.Install(v)
 	e.routes.install(c)
 	e.log.Info().Int64("version", v.Seq).Msg("in-force")
-	poke(e.push)
-	poke(e.split)
+	notify(e.pushNeeded)
+	notify(e.splitNeeded)
 }
 
+// onLeaving announces a leaving backend server to all peers.
 func (e *Entry) onLeaving(l health.Leaving) {
 	e.log.Info().Str("backend", l.Backend).Str("boot", l.Boot).Msg("backend-leaving")
-	poke(e.push)
+	notify(e.pushNeeded)
 }
 
-// poke wakes a loop; one wake is enough for many pokes.
-func poke(c chan struct{}) {
+// notify wakes the loop that receives from c. Several notifications before the
+// loop runs wake it once.
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// confirm notes that the version and the split in force were confirmed by
-// somebody who was asked at a time.
-func (e *Entry) confirm(asked time.Duration) {
+// confirm records that the version and the token split in force were confirmed
+// by the response to a request that was sent at sentAt.
+func (e *Entry) confirm(sentAt time.Duration) {
 	if _, _, ok := e.store.InForce(); !ok {
 		return
 	}
-	e.steer.Confirm(asked)
-	e.once.Do(func() { close(e.synced) })
+	e.steer.Confirm(sentAt)
+	e.syncedOnce.Do(func() { close(e.synced) })
 }
 
-// Ready reports whether the entry serves.
+// Ready reports whether the entry has a version that was confirmed recently.
 func (e *Entry) Ready() bool {
 	select {
 	case <-e.synced:
@@ -208,41 +212,42 @@
 }
 
 const (
-	tickTime   = 50 * time.Millisecond
-	tickSoon   = 10 * time.Millisecond // while rate tokens rest
-	healthTime = 100 * time.Millisecond
-	decayTime  = time.Second
-	purgeTime  = time.Minute
+	tickInterval      = 50 * time.Millisecond
+	shortTickInterval = 10 * time.Millisecond // while rate tokens wait to become free
+	healthInterval    = 100 * time.Millisecond
+	decayInterval     = time.Second
+	purgeInterval     = time.Minute
 )
 
-// tickLoop moves on what waits for time.
+// tickLoop runs the periodic work of slots, health, routes and tickets.
 func (e *Entry) tickLoop(ctx context.Context) {
-	var health, decay, purge time.Duration
+	var lastHealth, lastDecay, lastPurge time.Duration
 	for ctx.Err() == nil {
 		now := e.now()
-		wait := tickTime
+		wait := tickInterval
 		if e.slots.Tick(now) {
-			wait = tickSoon
+			wait = shortTickInterval
 		}
-		if now-health >= healthTime {
-			health = now
+		if now-lastHealth >= healthInterval {
+			lastHealth = now
 			e.health.Tick(now)
 			e.routes.refresh()
 		}
-		if now-decay >= decayTime {
-			decay = now
+		if now-lastDecay >= decayInterval {
+			lastDecay = now
 			e.slots.Decay()
 		}
-		if now-purge >= purgeTime {
-			purge = now
+		if now-lastPurge >= purgeInterval {
+			lastPurge = now
 			e.ledger.Purge()
 		}
 		clock.Sleep(ctx, wait)
 	}
 }
 
-// every calls f at once and then at each interval until the context ends.
-func every(ctx context.Context, interval time.Duration, f func()) {
+// runPeriodically calls f immediately and then once per interval until the
+// context is done.
+func runPeriodically(ctx context.Context, interval time.Duration, f func()) {
 	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
@@ -255,14 +260,14 @@
 	}
 }
 
-// adminServer returns the handler for operators.
-func (e *Entry) adminServer() (http.Handler, error) {
+// adminHandler returns the HTTP handler of the operators' API.
+func (e *Entry) adminHandler() (http.Handler, error) {
 	a := &admin.Admin{
 		Log:        e.changes,
 		Store:      e.store,
 		Logger:     e.log,
 		Metrics:    e.metrics,
-		Status:     e.allStatus,
+		Status:     e.collectStatus,
 		Ready:      e.Ready,
 		Workspaces: e.workspaces,
 	}
--- a/process/entry/entry_test.go
+++ b/process/entry/entry_test.go
@@ -22,17 +22,17 @@
 	"shalewick/version"
 )
 
-func good() Settings {
+func validSettings() Settings {
 	return Settings{
 		Instance: "e", Hall: "h", Front: "127.0.0.1:0", Peer: "127.0.0.1:0", Admin: "127.0.0.1:0",
 		Platform: "http://127.0.0.1:1", LogLevel: "info",
 	}
 }
 
-func TestBadSettingsNameTheirFlag(t *testing.T) {
-	ok := good()
-	assert.NilError(t, ok.Check())
-	for want, spoil := range map[string]func(*Settings){
+func TestInvalidSettingsNameFlag(t *testing.T) {
+	valid := validSettings()
+	assert.NilError(t, valid.Validate())
+	for want, invalidate := range map[string]func(*Settings){
 		"--instance":  func(s *Settings) { s.Instance = "" },
 		"--hall":      func(s *Settings) { s.Hall = "" },
 		"--front":     func(s *Settings) { s.Front = "localhost:1" },
@@ -43,14 +43,14 @@
 		"--grace":     func(s *Settings) { s.Grace = -1 },
 		"--log-level": func(s *Settings) { s.LogLevel = "loud" },
 	} {
-		s := good()
-		spoil(&s)
+		s := validSettings()
+		invalidate(&s)
 		_, err := Start(s, io.Discard)
 		assert.ErrorContains(t, err, want)
 	}
 }
 
-func TestLogIsOneLineOfPairs(t *testing.T) {
+func TestLogLineFormat(t *testing.T) {
 	var b bytes.Buffer
 	l := logging.New(&b)
 	l.Info().Str("backend", "u 1").Int("code", 20).Msg("refused")
@@ -60,20 +60,21 @@
 	}
 }
 
-// bare returns an entry without listeners and loops.
-func bare() *Entry {
+// newTestEntry returns an entry without listeners and background loops.
+func newTestEntry() *Entry {
 	metrics := metric.NewSet()
 	e := &Entry{
-		settings: good(), log: logging.New(io.Discard), started: time.Now(), platform: platform.NewClient("http://127.0.0.1:1"),
-		metrics: metrics, peers: newPeerConns(metrics), short: make(chan struct{}, 1),
-		push: make(chan struct{}, 1), split: make(chan struct{}, 1), synced: make(chan struct{}),
+		settings: validSettings(), log: logging.New(io.Discard), started: time.Now(), platform: platform.NewClient("http://127.0.0.1:1"),
+		metrics: metrics, peers: newPeerConns(metrics), tokenShortage: make(chan struct{}, 1),
+		pushNeeded: make(chan struct{}, 1), splitNeeded: make(chan struct{}, 1), synced: make(chan struct{}),
 	}
-	e.assemble()
+	e.initComponents()
 	return e
 }
 
-// configured gives a bare entry a version with so many backend servers.
-func configured(tb testing.TB, backends int) *Entry {
+// newConfiguredEntry returns a test entry that has a version with the given
+// number of backend servers.
+func newConfiguredEntry(tb testing.TB, backends int) *Entry {
 	tb.Helper()
 	var docs strings.Builder
 	docs.WriteString("kind: region\nname: r\nspec: {}\n---\nkind: hall\nname: h\nspec: {region: r}\n---\n")
@@ -85,19 +86,19 @@
 	assert.NilError(tb, err)
 	cfg, _, err := (&version.Config{}).Propose(version.Change{Operation: "o", Puts: rs})
 	assert.NilError(tb, err)
-	e := bare()
+	e := newTestEntry()
 	assert.NilError(tb, e.store.AdoptSnapshot(cfg))
 	return e
 }
 
-// FuzzAbsorb feeds what a peer may send.
+// FuzzAbsorb applies arbitrary peer states.
 func FuzzAbsorb(f *testing.F) {
-	split, err := json.Marshal(slots.Split{Epoch: 2, Members: []string{"m"}, Pools: map[string]slots.PoolSplit{"upstream/u0": {Homes: []int32{0, 0}}}})
+	splitJSON, err := json.Marshal(slots.Split{Epoch: 2, Members: []string{"m"}, Pools: map[string]slots.PoolSplit{"upstream/u0": {Homes: []int32{0, 0}}}})
 	assert.NilError(f, err)
 	for _, st := range []*peer.State{
 		{},
 		{Self: &peer.Member{Id: "m", Peer: "127.0.0.1:1"}, Seq: 5, Changes: [][]byte{[]byte(`{"seq":2,"operation":"x"}`)}},
-		{Split: split, Leaving: []*peer.Leaving{{Backend: "u0", Boot: "b"}}},
+		{Split: splitJSON, Leaving: []*peer.Leaving{{Backend: "u0", Boot: "b"}}},
 	} {
 		b, err := proto.Marshal(st)
 		assert.NilError(f, err)
@@ -108,21 +109,21 @@
 		if proto.Unmarshal(b, &st) != nil {
 			return
 		}
-		e := configured(t, 2)
+		e := newConfiguredEntry(t, 2)
 		before := e.store.Config().Seq
-		e.absorb(&st)
+		e.applyState(&st)
 		assert.Assert(t, e.store.Config().Seq >= before)
 		e.slots.Status(e.now())
 		e.slots.Lessors(slots.Want{Service: "s", Region: "r", Tokens: 1})
 	})
 }
 
-// BenchmarkExchange measures what one exchange costs the side that answers,
-// with so many members known.
+// BenchmarkExchange measures the receiving side of an exchange with different
+// numbers of members.
 func BenchmarkExchange(b *testing.B) {
 	for _, n := range []int{12, 120, 620} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			e := configured(b, 100)
+			e := newConfiguredEntry(b, 100)
 			for i := range n {
 				e.members.Merge([]*peer.Member{{
 					Id: fmt.Sprintf("entry-%d.abcdefgh", i), Instance: fmt.Sprintf("entry-%d", i), Hall: "h",
@@ -131,7 +132,7 @@
 			}
 			in := e.state()
 			size := proto.Size(in)
-			s := &peerServer{e: e}
+			s := &peerServer{entry: e}
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, err := s.Exchange(b.Context(), in); err != nil {
@@ -144,11 +145,12 @@
 	}
 }
 
-// BenchmarkInstall measures the taking up of one change, by backend servers.
+// BenchmarkInstall measures adopting one change with different numbers of
+// backend servers.
 func BenchmarkInstall(b *testing.B) {
 	for _, n := range []int{50, 500, 1900} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			e := configured(b, n)
+			e := newConfiguredEntry(b, n)
 			seq := e.store.Config().Seq
 			bytes := 0
 			for b.Loop() {
@@ -166,11 +168,12 @@
 	}
 }
 
-// BenchmarkTick measures one tick over the tokens of so many backend servers.
+// BenchmarkTick measures one tick over the tokens of different numbers of
+// backend servers.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{50, 500, 1900} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			e := configured(b, n)
+			e := newConfiguredEntry(b, n)
 			in := slots.PlanInput{Live: []slots.Candidate{{ID: e.members.Self().GetId(), Region: "r"}}, View: e.steer.Bound().View}
 			split, _ := slots.Plan(&slots.Split{}, in)
 			e.slots.SetSplit(split, e.now())
--- a/process/entry/exchange.go
+++ b/process/entry/exchange.go
@@ -22,67 +22,70 @@
 	"shalewick/version"
 )
 
-// Times and bounds of the exchange.
+// Intervals and limits of the gossip exchange.
 const (
-	exchangeTime    = 500 * time.Millisecond
-	exchangeTimeout = time.Second
-	// exchangeFan is the number of peers that are asked in one round.
-	exchangeFan = 2
-	// maxChanges bounds the changes in one message.
-	maxChanges = 200
+	exchangeInterval = 500 * time.Millisecond
+	exchangeTimeout  = time.Second
+	// exchangeFanout is the number of peers contacted per round.
+	exchangeFanout = 2
+	// maxChangesPerMessage limits the changes in one message. A peer that lacks
+	// more fetches the whole configuration.
+	maxChangesPerMessage = 200
 )
 
-// peerConns keeps one connection to each peer, and what it last said it had.
+// peerConns holds one connection per peer, and the state that the peer last
+// reported.
 type peerConns struct {
 	traffic  *traffic
-	identity *auth.Identity // nil: without TLS
+	identity *auth.Identity // nil: no TLS
 
-	mu    sync.Mutex
-	conns map[string]*grpc.ClientConn
-	known map[string]*peer.State // by address, without the things themselves
+	mu         sync.Mutex
+	conns      map[string]*grpc.ClientConn
+	lastStates map[string]*peer.State // by address; only sequence, epoch and digest
 }
 
 func newPeerConns(m *metric.Set) *peerConns {
 	return &peerConns{
-		traffic: &traffic{in: m.Counter("peer_bytes_in"), out: m.Counter("peer_bytes_out")},
-		conns:   make(map[string]*grpc.ClientConn),
-		known:   make(map[string]*peer.State),
+		traffic:    &traffic{in: m.Counter("peer_bytes_in"), out: m.Counter("peer_bytes_out")},
+		conns:      make(map[string]*grpc.ClientConn),
+		lastStates: make(map[string]*peer.State),
 	}
 }
 
-// learn notes what a peer said it has.
-func (p *peerConns) learn(address string, st *peer.State) {
+// recordState stores the state that a peer reported.
+func (p *peerConns) recordState(address string, st *peer.State) {
 	p.mu.Lock()
-	p.known[address] = &peer.State{Seq: st.GetSeq(), Epoch: st.GetEpoch(), LeavingDigest: st.GetLeavingDigest()}
+	p.lastStates[address] = &peer.State{Seq: st.GetSeq(), Epoch: st.GetEpoch(), LeavingDigest: st.GetLeavingDigest()}
 	p.mu.Unlock()
 }
 
-// last returns what a peer last said it has; the zero state for an unknown one.
-func (p *peerConns) last(address string) *peer.State {
+// lastState returns the state that a peer last reported, or nil if there is none.
+func (p *peerConns) lastState(address string) *peer.State {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.known[address]
+	return p.lastStates[address]
 }
 
-// client returns the client of a peer's address.
+// client returns the client for a peer's address and creates the connection if
+// necessary.
 func (p *peerConns) client(address string) (peer.PeerClient, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c := p.conns[address]
-	if c == nil {
+	cc := p.conns[address]
+	if cc == nil {
 		var err error
 		var creds credentials.TransportCredentials
 		if creds, err = p.credentials(); err != nil {
 			return nil, err
 		}
-		c, err = grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(creds),
-			grpc.WithConnectParams(quickReconnect), grpc.WithStatsHandler(p.traffic))
+		cc, err = grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(creds),
+			grpc.WithConnectParams(reconnectParams), grpc.WithStatsHandler(p.traffic))
 		if err != nil {
 			return nil, errors.Annotatef(err, "connect to peer %s", address)
 		}
-		p.conns[address] = c
+		p.conns[address] = cc
 	}
-	return peer.NewPeerClient(c), nil
+	return peer.NewPeerClient(cc), nil
 }
 
 func (p *peerConns) credentials() (credentials.TransportCredentials, error) {
@@ -93,21 +96,21 @@
 	return credentials.NewTLS(c), err
 }
 
-// retain closes the connections to addresses that are no longer used.
+// retain closes the connections to all other addresses.
 func (p *peerConns) retain(addresses map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for a, c := range p.conns {
 		if !addresses[a] {
-			_ = c.Close() // nobody waits on it
+			_ = c.Close() // the connection is not used any more
 			delete(p.conns, a)
-			delete(p.known, a)
+			delete(p.lastStates, a)
 		}
 	}
 }
 
-// peerAddresses returns the addresses of all other members that are not dead,
-// and the configured ones.
+// peerAddresses returns the addresses of all other members that are not down,
+// and the configured peers.
 func (e *Entry) peerAddresses() []string {
 	self := e.members.Self().GetPeer()
 	seen := map[string]bool{self: true}
@@ -127,14 +130,14 @@
 	return out
 }
 
-// exchangeLoop asks two random peers in each round; all of them while the
-// own version is not confirmed.
+// exchangeLoop exchanges states with exchangeFanout random peers in each round,
+// and with all of them while the own version is not confirmed.
 func (e *Entry) exchangeLoop(ctx context.Context) {
-	every(ctx, exchangeTime, func() {
+	runPeriodically(ctx, exchangeInterval, func() {
 		addresses := e.peerAddresses()
 		rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 		if e.steer.Fresh() {
-			addresses = addresses[:min(len(addresses), exchangeFan)]
+			addresses = addresses[:min(len(addresses), exchangeFanout)]
 		}
 		for _, a := range addresses {
 			go e.exchange(ctx, a, e.state())
@@ -147,40 +150,40 @@
 	})
 }
 
-// pushLoop tells all peers at once when there is something new. A peer that
-// does not answer delays only itself.
+// pushLoop sends updates to all peers as soon as there are any. An unresponsive
+// peer does not delay the others.
 func (e *Entry) pushLoop(ctx context.Context) {
 	var p pusher
 	for {
 		select {
-		case <-e.push:
+		case <-e.pushNeeded:
 		case <-ctx.Done():
 			return
 		}
 		for _, a := range e.peerAddresses() {
-			p.push(a, func() { e.exchange(ctx, a, e.news(a)) })
+			p.push(a, func() { e.exchange(ctx, a, e.update(a)) })
 		}
 	}
 }
 
-// pusher runs at most one push to each peer at a time. What is new meanwhile
-// is pushed afterwards.
+// pusher runs at most one push per peer at a time. If another one is requested
+// meanwhile, it runs afterwards.
 type pusher struct {
-	mu      sync.Mutex
-	running map[string]bool // by address; true: push again afterwards
+	mu        sync.Mutex
+	pushAgain map[string]bool // by address, while a push runs; true: run another one afterwards
 }
 
 func (p *pusher) push(address string, f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.running == nil {
-		p.running = make(map[string]bool)
+	if p.pushAgain == nil {
+		p.pushAgain = make(map[string]bool)
 	}
-	if _, ok := p.running[address]; ok {
-		p.running[address] = true
+	if _, ok := p.pushAgain[address]; ok {
+		p.pushAgain[address] = true
 		return
 	}
-	p.running[address] = false
+	p.pushAgain[address] = false
 	go p.run(address, f)
 }
 
@@ -188,41 +191,43 @@
 	for {
 		f()
 		p.mu.Lock()
-		if !p.running[address] {
-			delete(p.running, address)
+		if !p.pushAgain[address] {
+			delete(p.pushAgain, address)
 			p.mu.Unlock()
 			return
 		}
-		p.running[address] = false
+		p.pushAgain[address] = false
 		p.mu.Unlock()
 	}
 }
 
-// news is the state with the latest of each thing that a peer lacks, as far as
-// is known.
-func (e *Entry) news(address string) *peer.State {
+// update returns the own state with the data that a peer lacks according to the
+// state that it last reported.
+func (e *Entry) update(address string) *peer.State {
 	st := e.state()
-	last := e.peers.last(address)
+	last := e.peers.lastState(address)
 	st.Changes = e.changesSince(max(last.GetSeq(), st.GetSeq()-1))
 	if last.GetEpoch() < st.GetEpoch() {
 		st.Split = e.splitJSON()
 	}
 	if last.GetLeavingDigest() != st.GetLeavingDigest() {
-		st.Leaving = e.leavingFacts()
+		st.Leaving = e.leavingBackends()
 	}
 	return st
 }
 
-// pushAll tells all peers what is new and waits for their answers.
+// pushAll sends updates to all peers and waits for their replies.
 func (e *Entry) pushAll(ctx context.Context) {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, a := range e.peerAddresses() {
-		all.Go(func() { e.exchange(ctx, a, e.news(a)) })
+		wg.Go(func() { e.exchange(ctx, a, e.update(a)) })
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// exchange tells a peer a state and takes up what it answers.
+// exchange sends a state to a peer and applies the reply. If this member is
+// behind, it fetches the peer's configuration; if the peer is behind, it sends
+// what the peer lacks.
 func (e *Entry) exchange(ctx context.Context, address string, st *peer.State) {
 	client, err := e.peers.client(address)
 	if err != nil {
@@ -230,7 +235,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	asked := e.now()
+	sentAt := e.now()
 	reply, err := client.Exchange(ctx, st)
 	if err != nil {
 		if ctx.Err() != context.Canceled {
@@ -239,16 +244,16 @@
 		e.log.Debug().Str("peer", address).Err(err).Msg("exchange-failed")
 		return
 	}
-	e.absorb(reply)
-	e.peers.learn(address, reply)
-	if !e.atLeast(reply) {
+	e.applyState(reply)
+	e.peers.recordState(address, reply)
+	if !e.includes(reply) {
 		e.fetchConfig(ctx, client)
 	}
-	if e.atLeast(reply) {
-		e.confirm(asked)
+	if e.includes(reply) {
+		e.confirm(sentAt)
 	}
-	behind := reply.GetSeq() < e.store.Config().Seq || reply.GetEpoch() < e.slots.Split().Epoch
-	if behind && len(st.GetChanges()) == 0 {
+	peerBehind := reply.GetSeq() < e.store.Config().Seq || reply.GetEpoch() < e.slots.Split().Epoch
+	if peerBehind && len(st.GetChanges()) == 0 {
 		st := e.state()
 		st.Changes = e.changesSince(reply.GetSeq())
 		st.Split = e.splitJSON()
@@ -258,7 +263,8 @@
 	}
 }
 
-// state is what the entry has, without the things themselves.
+// state returns the sequence numbers and digests of the entry's data, without
+// the data.
 func (e *Entry) state() *peer.State {
 	return &peer.State{
 		Self:          e.members.Self(),
@@ -269,14 +275,15 @@
 	}
 }
 
-// atLeast reports whether the entry has all that a peer has.
-func (e *Entry) atLeast(st *peer.State) bool {
+// includes reports whether the entry's version and split are at least as new
+// as those of a peer's state.
+func (e *Entry) includes(st *peer.State) bool {
 	seq, _, ok := e.store.InForce()
 	return ok && seq >= st.GetSeq() && e.slots.Split().Epoch >= st.GetEpoch()
 }
 
-// absorb takes up what a peer sent.
-func (e *Entry) absorb(st *peer.State) {
+// applyState merges the data that a peer sent.
+func (e *Entry) applyState(st *peer.State) {
 	now := e.now()
 	e.members.Merge([]*peer.Member{st.GetSelf()}, now)
 	e.members.Merge(st.GetMembers(), now)
@@ -288,7 +295,7 @@
 			return
 		}
 		if _, _, ok := e.store.InForce(); !ok {
-			break // the first version is taken whole
+			break // the first version is fetched as a snapshot
 		}
 		if err := e.store.Adopt(ch); err != nil {
 			e.log.Error().Err(err).Msg("change-not-adopted")
@@ -303,20 +310,20 @@
 		}
 		e.slots.SetSplit(sp, now)
 	}
-	facts := make([]health.Leaving, 0, len(st.GetLeaving()))
+	leaving := make([]health.Leaving, 0, len(st.GetLeaving()))
 	for _, l := range st.GetLeaving() {
-		facts = append(facts, health.Leaving{Backend: l.GetBackend(), Boot: l.GetBoot()})
+		leaving = append(leaving, health.Leaving{Backend: l.GetBackend(), Boot: l.GetBoot()})
 	}
-	e.health.Merge(facts, now)
+	e.health.Merge(leaving, now)
 }
 
-// fetchConfig takes the whole configuration from a peer.
+// fetchConfig fetches the whole configuration from a peer if it is newer.
 func (e *Entry) fetchConfig(ctx context.Context, client peer.PeerClient) {
-	have := e.store.Config().Seq
+	ownSeq := e.store.Config().Seq
 	if _, _, ok := e.store.InForce(); !ok {
-		have = -1
+		ownSeq = -1
 	}
-	reply, err := client.Config(ctx, &peer.ConfigRequest{Seq: have})
+	reply, err := client.Config(ctx, &peer.ConfigRequest{Seq: ownSeq})
 	if err != nil || len(reply.GetSnapshot()) == 0 {
 		return
 	}
@@ -330,10 +337,12 @@
 	}
 }
 
+// changesSince returns the encoded changes after seq, or nil if there are too
+// many or they are no longer kept.
 func (e *Entry) changesSince(seq int64) [][]byte {
 	changes, ok := e.store.Since(seq)
-	if !ok || len(changes) > maxChanges {
-		return nil // the peer will ask for the whole
+	if !ok || len(changes) > maxChangesPerMessage {
+		return nil // the peer will fetch the whole configuration
 	}
 	out := make([][]byte, 0, len(changes))
 	for _, ch := range changes {
@@ -354,7 +363,7 @@
 	return b
 }
 
-func (e *Entry) leavingFacts() []*peer.Leaving {
+func (e *Entry) leavingBackends() []*peer.Leaving {
 	var out []*peer.Leaving
 	for _, f := range e.health.Facts() {
 		out = append(out, &peer.Leaving{Backend: f.Backend, Boot: f.Boot})
--- a/process/entry/listen.go
+++ b/process/entry/listen.go
@@ -15,18 +15,19 @@
 	"shalewick/process/peer"
 )
 
-// Bounds of the listeners for callers and operators.
+// Limits of the listeners for callers and operators.
 const (
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 60 * time.Second
-	// maxHeader is what is read at all, in bytes; package front refuses less
-	// with a result.
-	maxHeader = 1 << 20
+	// maxHeaderBytes is the limit of the HTTP server. Package front refuses
+	// smaller headers with a result.
+	maxHeaderBytes = 1 << 20
 )
 
-// listen opens the listeners. If one can not be opened, none stays open.
+// listen opens all listeners and serves on them. If one can't be opened, it
+// closes the others.
 func (e *Entry) listen() error {
-	adminHandler, err := e.adminServer()
+	adminHandler, err := e.adminHandler()
 	if err != nil {
 		return err
 	}
@@ -43,25 +44,25 @@
 		}
 		return l
 	}
-	frontL := open("front", e.settings.Front)
-	peerL := open("peer", e.settings.Peer)
-	adminL := open("admin", e.settings.Admin)
+	frontListener := open("front", e.settings.Front)
+	peerListener := open("peer", e.settings.Peer)
+	adminListener := open("admin", e.settings.Admin)
 	if err != nil {
 		for _, l := range opened {
-			_ = l.Close() // the first error is the one to tell
+			_ = l.Close() // the first error is returned
 		}
 		return err
 	}
 	options := []grpc.ServerOption{grpc.StatsHandler(e.peers.traffic)}
 	if e.identity != nil {
 		options = append(options, grpc.Creds(credentials.NewTLS(e.identity.Server(true))))
-		adminL = tls.NewListener(adminL, e.identity.Server(false))
+		adminListener = tls.NewListener(adminListener, e.identity.Server(false))
 	}
 	e.grpc = grpc.NewServer(options...)
-	peer.RegisterPeerServer(e.grpc, &peerServer{e: e})
-	go func() { _ = e.grpc.Serve(peerL) }() // ends when the entry stops
-	e.frontServer = e.serveHTTP(frontL, http.HandlerFunc(e.serveCaller))
-	e.serveHTTP(adminL, adminHandler)
+	peer.RegisterPeerServer(e.grpc, &peerServer{entry: e})
+	go func() { _ = e.grpc.Serve(peerListener) }() // ends when the entry stops
+	e.frontServer = e.serveHTTP(frontListener, http.HandlerFunc(e.serveCaller))
+	e.serveHTTP(adminListener, adminHandler)
 	return nil
 }
 
@@ -70,7 +71,7 @@
 		Handler:           h,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeader,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}
 	e.servers = append(e.servers, s)
 	go func() { _ = s.Serve(l) }() // ends when the entry stops
--- a/process/entry/platform.go
+++ b/process/entry/platform.go
@@ -16,43 +16,43 @@
 	"shalewick/process/slots"
 )
 
-// Names in the platform.
+// Tables and keys on the platform.
 const (
 	tableMembers = "members"
 	tableSlots   = "slots"
 	keySplit     = "split"
 )
 
-// Times of the platform's polling.
+// Intervals of polling the platform.
 const (
-	pollTime = 2 * time.Second
-	// pollAlone is the time without peers, when only the platform can
-	// confirm the version in force.
-	pollAlone = slots.ConfirmTime / 4
-	// pollPerMember bounds what all members ask for together: each polls the
-	// less often the more they are.
-	pollPerMember = 50 * time.Millisecond
+	pollInterval = 2 * time.Second
+	// pollIntervalAlone is the interval without peers, when only the platform
+	// can confirm the version in force.
+	pollIntervalAlone = slots.ConfirmTime / 4
+	// pollIntervalPerMember limits the total request rate of all members: the
+	// interval of each grows with their number.
+	pollIntervalPerMember = 50 * time.Millisecond
 )
 
-// platformLoop writes the heartbeat and reads what is new. After the first
-// round the members that it found are told of this one.
+// platformLoop writes the heartbeat and reads updates. After the first round it
+// announces this member to the members that it found.
 func (e *Entry) platformLoop(ctx context.Context) {
 	e.poll(ctx)
-	poke(e.push)
+	notify(e.pushNeeded)
 	for ctx.Err() == nil {
 		live := len(e.members.Live(e.now()))
-		wait := max(pollTime, time.Duration(live)*pollPerMember)
+		wait := max(pollInterval, time.Duration(live)*pollIntervalPerMember)
 		if live <= 1 || !e.steer.Fresh() {
-			wait = pollAlone
+			wait = pollIntervalAlone
 		}
 		clock.Sleep(ctx, wait*3/4+rand.N(wait/2))
 		e.poll(ctx)
 	}
 }
 
-// poll does one round with the platform.
+// poll writes the heartbeat and reads members, changes and split once.
 func (e *Entry) poll(ctx context.Context) {
-	asked := e.now()
+	sentAt := e.now()
 	err := e.heartbeat(ctx)
 	if err == nil {
 		err = e.readMembers(ctx)
@@ -64,7 +64,7 @@
 		err = e.readSplit(ctx)
 	}
 	if err == nil {
-		e.confirm(asked)
+		e.confirm(sentAt)
 	}
 	if err != nil {
 		e.members.Unreadable()
@@ -73,7 +73,7 @@
 	}
 }
 
-// heartbeat rewrites the own member's row.
+// heartbeat writes the own member's row.
 func (e *Entry) heartbeat(ctx context.Context) error {
 	var row *peer.Member
 	e.members.UpdateSelf(func(m *peer.Member) { m.Beat++ })
@@ -89,17 +89,17 @@
 	return errors.Annotate(e.platform.Commit(ctx, []platform.Op{op}), "write heartbeat")
 }
 
-// readMembers takes up the rows of the members and the list of instances.
+// readMembers reads the members' rows and the list of instances.
 func (e *Entry) readMembers(ctx context.Context) error {
 	rows, err := e.platform.Scan(ctx, tableMembers, "")
 	if err != nil {
 		return errors.Annotate(err, "read members")
 	}
-	list, err := e.platform.Instances(ctx)
+	instances, err := e.platform.Instances(ctx)
 	if err != nil {
 		return errors.Annotate(err, "read instances")
 	}
-	var ms []*peer.Member
+	var members []*peer.Member
 	var ids []string
 	for _, row := range rows {
 		ids = append(ids, row.Key)
@@ -108,19 +108,19 @@
 			e.log.Warn().Err(err).Str("key", row.Key).Msg("bad-member-row")
 			continue
 		}
-		ms = append(ms, m)
+		members = append(members, m)
 	}
-	e.members.Rows(ms, e.now())
-	e.members.List(list)
-	e.splitter.readRows(ids)
+	e.members.Rows(members, e.now())
+	e.members.List(instances)
+	e.splitter.setRows(ids)
 	return nil
 }
 
-// readSplit takes up the split of tokens and remembers the row's revision.
+// readSplit reads the split of tokens and records the revision of its row.
 func (e *Entry) readSplit(ctx context.Context) error {
 	row, err := e.platform.Get(ctx, tableSlots, keySplit)
 	if errors.Is(err, platform.NotFound) {
-		e.splitter.read(0)
+		e.splitter.setRevision(0)
 		return nil
 	}
 	if err != nil {
@@ -131,6 +131,6 @@
 		return err
 	}
 	e.slots.SetSplit(s, e.now())
-	e.splitter.read(row.Revision)
+	e.splitter.setRevision(row.Revision)
 	return nil
 }
--- a/process/entry/probe.go
+++ b/process/entry/probe.go
@@ -13,42 +13,44 @@
 	"shalewick/version"
 )
 
-// Times and bounds of the probing of backend servers.
+// Intervals and limits of probing backend servers.
 const (
-	probeTime    = time.Second
-	probeTimeout = 400 * time.Millisecond
-	// probers is the number of members that probe each backend server.
-	probers = 2
+	probeInterval = time.Second
+	probeTimeout  = 400 * time.Millisecond
+	// probersPerBackend is the number of members per region that probe a backend server.
+	probersPerBackend = 2
 )
 
-// probeLoop asks backend servers for their load report. Each is probed by a few
-// members of its region, chosen by hash; what they learn of its leaving they
-// tell the others. A backend server that this member has closed, or waits for a
-// word of, is probed too.
+// probeLoop requests load reports from backend servers. Each backend server is
+// probed by a few members of its region, chosen by rendezvous hashing; if one
+// of them learns that it is leaving, it announces that to the others. A member
+// also probes backend servers that it has closed, or whose health report it
+// awaits.
 func (e *Entry) probeLoop(ctx context.Context) {
-	every(ctx, probeTime, func() {
-		b := e.steer.Bound()
-		if b == nil {
+	runPeriodically(ctx, probeInterval, func() {
+		bound := e.steer.Bound()
+		if bound == nil {
 			return
 		}
-		live := e.candidates(b.View)
-		for i := range b.View.Backends {
-			u := &b.View.Backends[i]
+		live := e.candidates(bound.View)
+		for i := range bound.View.Backends {
+			backend := &bound.View.Backends[i]
 			var ids []string
 			for _, c := range live {
-				if c.Region == b.View.Regions[u.Region] {
+				if c.Region == bound.View.Regions[backend.Region] {
 					ids = append(ids, c.ID)
 				}
 			}
-			if b.Counters.Closed[i].Load() || e.health.Awaited(u.Name) || proberOf(u.Name, ids, e.members.Self().GetId()) {
-				go e.probe(ctx, u)
+			if bound.Counters.Closed[i].Load() || e.health.Awaited(backend.Name) || isProber(backend.Name, ids, e.members.Self().GetId()) {
+				go e.probe(ctx, backend)
 			}
 		}
 	})
 }
 
-// proberOf reports whether a member is one of those that probe a backend server.
-func proberOf(backend string, ids []string, self string) bool {
+// isProber reports whether self is among the members of ids that probe a
+// backend server.
+func isProber(backend string, ids []string, self string) bool {
 	slices.SortFunc(ids, func(a, b string) int {
 		ha, hb := xxhash.Sum64String(backend+a), xxhash.Sum64String(backend+b)
 		if ha < hb {
@@ -56,15 +58,15 @@
 		}
 		return 1
 	})
-	return slices.Contains(ids[:min(len(ids), probers)], self)
+	return slices.Contains(ids[:min(len(ids), probersPerBackend)], self)
 }
 
-func (e *Entry) probe(ctx context.Context, u *version.BackendView) {
+func (e *Entry) probe(ctx context.Context, backend *version.BackendView) {
 	start := e.now()
-	rep, err := conn.Probe(ctx, e.probes, u.Address)
+	report, err := conn.Probe(ctx, e.probeClient, backend.Address)
 	if err != nil {
-		e.health.Failed(u.Name, e.now())
+		e.health.Failed(backend.Name, e.now())
 		return
 	}
-	e.health.Probed(u.Name, rep, e.now()-start, e.now())
+	e.health.Probed(backend.Name, report, e.now()-start, e.now())
 }
--- a/process/entry/rollout_test.go
+++ b/process/entry/rollout_test.go
@@ -13,11 +13,11 @@
 	"shalewick/request"
 )
 
-// TestEntrySaysThatItCarriesOutNoRollouts orders one as an operator would: this role sends
-// requests to all backend servers of a service, so it must not take the order.
-func TestEntrySaysThatItCarriesOutNoRollouts(t *testing.T) {
-	e := configured(t, 1)
-	h, err := e.adminServer()
+// TestRolloutOrderIsRefused orders a rollout through the operator's client: this role sends
+// requests to all backend servers of a service, so it must refuse the order.
+func TestRolloutOrderIsRefused(t *testing.T) {
+	e := newConfiguredEntry(t, 1)
+	h, err := e.adminHandler()
 	assert.NilError(t, err)
 	srv := httptest.NewServer(h)
 	defer srv.Close()
--- a/process/entry/routes.go
+++ b/process/entry/routes.go
@@ -20,113 +20,116 @@
 	"shalewick/version"
 )
 
-// Times and bounds of what route resources direct.
+// Timeouts and limits for requests of route resources.
 const (
-	routeDial    = 400 * time.Millisecond
-	routeSilence = 700 * time.Millisecond
-	routeIdle    = 8 * time.Second
-	retrySpan    = 10 * time.Second
-	// retryRatio and retryFixed bound the retries of all instances for one
-	// service in retrySpan.
+	routeDialTimeout = 400 * time.Millisecond
+	routeAckTimeout  = 700 * time.Millisecond
+	routeIdleTimeout = 8 * time.Second
+	retryWindow      = 10 * time.Second
+	// retryRatio and retryFixed limit the retries of all instances for one
+	// service within retryWindow.
 	retryRatio = 0.1
 	retryFixed = 20
 )
 
-// routes serves the requests that route resources direct, as the process on the
-// users' platform does. Slot tokens do not bound them: a backend server refuses what
-// is too much for it, and is not asked when it could not answer in time.
+// routes serves the requests that match route resources, as the process on the
+// users' platform does. Slot tokens don't limit them: a backend server refuses
+// requests that exceed its capacity, and gets no requests that it could not
+// answer in time.
 type routes struct {
-	e     *Entry
+	entry *Entry
 	table *balance.Table
 	proxy *proxy.Proxy
 
 	mu      sync.Mutex
 	config  *version.Config // nil: there are no route resources
-	leaving []string        // backend servers that said so, as the table has them
+	leaving []string        // backend servers that the table has closed because they are leaving
 }
 
 func newRoutes(e *Entry) *routes {
-	x := &routes{e: e}
-	dialer := conn.NewDialer(routeDial, routeSilence)
-	x.table = &balance.Table{
-		Now: e.now, MemberIndex: x.place, Hall: e.settings.Hall,
+	rt := &routes{entry: e}
+	dialer := conn.NewDialer(routeDialTimeout, routeAckTimeout)
+	rt.table = &balance.Table{
+		Now: e.now, MemberIndex: rt.memberIndex, Hall: e.settings.Hall,
 		Probe: func(p *conn.Pool) error { return p.Open(context.Background()) },
 		NewPool: func(address string) *conn.Pool {
-			return &conn.Pool{Address: address, Dialer: dialer, IdleTimeout: routeIdle}
+			return &conn.Pool{Address: address, Dialer: dialer, IdleTimeout: routeIdleTimeout}
 		},
 	}
-	x.proxy = &proxy.Proxy{
-		Names: request.OwnNames, Table: x.table, Metrics: e.metrics, Log: e.log, Now: e.now,
-		ConfigFresh: e.steer.Fresh, NewID: rand.Text, OnResponse: x.answered, ConfigAge: x.age,
-		RetryBudget: &retry.Window{Span: retrySpan, Ratio: retryRatio, Fixed: retryFixed, Instances: x.instances},
+	rt.proxy = &proxy.Proxy{
+		Names: request.OwnNames, Table: rt.table, Metrics: e.metrics, Log: e.log, Now: e.now,
+		ConfigFresh: e.steer.Fresh, NewID: rand.Text, OnResponse: rt.onResponse, ConfigAge: rt.configAge,
+		RetryBudget: &retry.Window{Span: retryWindow, Ratio: retryRatio, Fixed: retryFixed, Instances: rt.instanceCount},
 	}
-	return x
+	return rt
 }
 
-// place returns the place of this instance among those that are alive, by id,
-// and their number; zero while the entry does not serve yet.
-func (x *routes) place() (place, of int) {
-	if !x.e.Ready() {
+// memberIndex returns the index of this instance among the live instances in
+// order of their ids, and their number. It returns zeros while the entry is not
+// ready.
+func (rt *routes) memberIndex() (index, count int) {
+	if !rt.entry.Ready() {
 		return 0, 0
 	}
-	self := x.e.members.Self().GetId()
-	of = 1
-	for _, m := range x.e.members.Live(x.e.now()) {
+	self := rt.entry.members.Self().GetId()
+	count = 1
+	for _, m := range rt.entry.members.Live(rt.entry.now()) {
 		if m.GetId() == self {
 			continue
 		}
-		of++
+		count++
 		if m.GetId() < self {
-			place++
+			index++
 		}
 	}
-	return place, of
+	return index, count
 }
 
-func (x *routes) instances() int {
-	_, of := x.place()
-	return of
+func (rt *routes) instanceCount() int {
+	_, count := rt.memberIndex()
+	return count
 }
 
-// age returns how long ago the version in force was confirmed.
-func (x *routes) age() time.Duration {
-	age, _ := x.e.steer.Confirmed()
+// configAge returns the time since the version in force was confirmed.
+func (rt *routes) configAge() time.Duration {
+	age, _ := rt.entry.steer.Confirmed()
 	return age
 }
 
-// answered notes what a backend server says of itself.
-func (x *routes) answered(backend string, h http.Header, took time.Duration) {
-	x.e.health.Answered(backend, took, h.Get(request.HeaderState), h.Get(request.HeaderBoot), x.e.now())
+// onResponse records the state that a backend server reports in a response.
+func (rt *routes) onResponse(backend string, h http.Header, took time.Duration) {
+	rt.entry.health.Answered(backend, took, h.Get(request.HeaderState), h.Get(request.HeaderBoot), rt.entry.now())
 }
 
-// install puts a version in force.
-func (x *routes) install(c *version.Config) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if len(c.List(version.KindRoute)) == 0 && x.config == nil {
-		return // most deployments have none
+// install compiles the routing of a version and puts it in force.
+func (rt *routes) install(c *version.Config) {
+	rt.mu.Lock()
+	defer rt.mu.Unlock()
+	if len(c.List(version.KindRoute)) == 0 && rt.config == nil {
+		return // most deployments have no route resources
 	}
-	x.config = c
-	x.compile(x.leavingNow())
+	rt.config = c
+	rt.compile(rt.leavingBackends())
 }
 
-// refresh takes up which backend servers have said that they leave, if that changed.
-func (x *routes) refresh() {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.config == nil {
+// refresh compiles the routing again if the set of leaving backend servers changed.
+func (rt *routes) refresh() {
+	rt.mu.Lock()
+	defer rt.mu.Unlock()
+	if rt.config == nil {
 		return
 	}
-	if now := x.leavingNow(); !slices.Equal(now, x.leaving) {
-		x.compile(now)
+	if now := rt.leavingBackends(); !slices.Equal(now, rt.leaving) {
+		rt.compile(now)
 	}
 }
 
-// leavingNow returns the names of the backend servers that have said that they leave.
-func (x *routes) leavingNow() []string {
+// leavingBackends returns the sorted names of the backend servers that announced
+// that they are leaving.
+func (rt *routes) leavingBackends() []string {
 	var out []string
-	for _, f := range x.e.health.Facts() {
-		if x.e.health.Leaving(f.Backend) {
+	for _, f := range rt.entry.health.Facts() {
+		if rt.entry.health.Leaving(f.Backend) {
 			out = append(out, f.Backend)
 		}
 	}
@@ -134,25 +137,25 @@
 	return slices.Compact(out)
 }
 
-// compile makes the table decide on the version, without the backend servers that
-// leave. The caller holds the lock.
-func (x *routes) compile(leaving []string) {
-	x.leaving = leaving
-	r := version.CompileRouting(x.config, x.table.Routing())
+// compile installs the routing of the version in the table, with the leaving
+// backend servers closed. The caller must hold the lock.
+func (rt *routes) compile(leaving []string) {
+	rt.leaving = leaving
+	r := version.CompileRouting(rt.config, rt.table.Routing())
 	for i := range r.Backends {
 		if slices.Contains(leaving, r.Backends[i].Name) {
 			r.Backends[i].Closed = true
 		}
 	}
-	x.table.Install(r)
+	rt.table.Install(r)
 }
 
-// serveCaller serves a caller's request: by a route resource if one directs it,
-// else by the routes of services.
+// serveCaller serves a caller's request by a route resource if one matches, and
+// else by the routes of the services.
 func (e *Entry) serveCaller(w http.ResponseWriter, r *http.Request) {
-	own := strings.HasPrefix(r.URL.Path, front.ReservedPrefix)
+	reserved := strings.HasPrefix(r.URL.Path, front.ReservedPrefix)
 	routing := e.routes.table.Routing()
-	if own || routing == nil || routing.Route(r.Host, r.URL.Path) == nil {
+	if reserved || routing == nil || routing.Route(r.Host, r.URL.Path) == nil {
 		e.front.ServeHTTP(w, r)
 		return
 	}
--- a/process/entry/routes_test.go
+++ b/process/entry/routes_test.go
@@ -17,9 +17,9 @@
 	"shalewick/version"
 )
 
-// routed is an entry without loops whose version has route resources: /bids/ of
-// a.example to service s, and /mix/ to s and t by weight.
-type routed struct {
+// routeFixture is an entry without background loops whose version has two route resources for
+// a.example: /bids/ to service s, and /mix/ to s and t by weight.
+type routeFixture struct {
 	t        *testing.T
 	entry    *Entry
 	front    *httptest.Server
@@ -27,7 +27,7 @@
 	config   *version.Config
 }
 
-const routedDocs = `kind: region
+const routeDocuments = `kind: region
 name: r
 spec: {}
 ---
@@ -52,108 +52,107 @@
 spec: {host: a.example, prefix: /mix/, class: read, repeatable: true, timeout: 1s, attempts: 2, split: [{service: s, weight: 3}, {service: t, weight: 1}]}
 `
 
-func newRouted(t *testing.T) *routed {
+func newRouteFixture(t *testing.T) *routeFixture {
 	t.Helper()
-	x := &routed{t: t, entry: bare(), config: &version.Config{}}
-	docs := routedDocs
+	f := &routeFixture{t: t, entry: newTestEntry(), config: &version.Config{}}
+	docs := routeDocuments
 	for i, service := range []string{"s", "s", "t"} {
-		u := &server.Server{Name: fmt.Sprintf("u%d", i), Names: request.OwnNames, Slots: 4, Work: time.Millisecond}
-		assert.NilError(t, u.Start())
-		t.Cleanup(u.Close)
-		x.backends = append(x.backends, u)
-		docs += fmt.Sprintf("---\nkind: backend\nname: %s\nspec: {service: %s, hall: h, address: %q, slots: 4}\n", u.Name, service, u.Address())
+		backend := &server.Server{Name: fmt.Sprintf("u%d", i), Names: request.OwnNames, Slots: 4, Work: time.Millisecond}
+		assert.NilError(t, backend.Start())
+		t.Cleanup(backend.Close)
+		f.backends = append(f.backends, backend)
+		docs += fmt.Sprintf("---\nkind: backend\nname: %s\nspec: {service: %s, hall: h, address: %q, slots: 4}\n", backend.Name, service, backend.Address())
 	}
-	x.apply(docs)
-	x.entry.confirm(x.entry.now())
-	x.front = httptest.NewServer(http.HandlerFunc(x.entry.serveCaller))
-	t.Cleanup(x.front.Close)
-	return x
+	f.apply(docs)
+	f.entry.confirm(f.entry.now())
+	f.front = httptest.NewServer(http.HandlerFunc(f.entry.serveCaller))
+	t.Cleanup(f.front.Close)
+	return f
 }
 
-func (x *routed) apply(docs string) {
-	x.t.Helper()
+func (f *routeFixture) apply(docs string) {
+	f.t.Helper()
 	rs, err := version.Parse([]byte(docs))
-	assert.NilError(x.t, err)
-	next, _, err := x.config.Propose(version.Change{Operation: fmt.Sprint(x.config.Seq), Puts: rs})
-	assert.NilError(x.t, err)
-	x.config = next
-	assert.NilError(x.t, x.entry.store.AdoptSnapshot(next))
+	assert.NilError(f.t, err)
+	next, _, err := f.config.Propose(version.Change{Operation: fmt.Sprint(f.config.Seq), Puts: rs})
+	assert.NilError(f.t, err)
+	f.config = next
+	assert.NilError(f.t, f.entry.store.AdoptSnapshot(next))
 }
 
-func (x *routed) send(path, id string) (*http.Response, string) {
-	x.t.Helper()
-	req, err := http.NewRequest(http.MethodPost, x.front.URL+path, nil)
-	assert.NilError(x.t, err)
+func (f *routeFixture) send(path, id string) (*http.Response, string) {
+	f.t.Helper()
+	req, err := http.NewRequest(http.MethodPost, f.front.URL+path, nil)
+	assert.NilError(f.t, err)
 	req.Host = "a.example"
 	if id != "" {
 		req.Header.Set(request.HeaderID, id)
 	}
 	res, err := http.DefaultClient.Do(req)
-	assert.NilError(x.t, err)
+	assert.NilError(f.t, err)
 	defer res.Body.Close()
 	b, err := io.ReadAll(res.Body)
-	assert.NilError(x.t, err)
+	assert.NilError(f.t, err)
 	return res, string(b)
 }
 
-func (x *routed) runs(i int) int { return len(x.backends[i].Runs()) }
+func (f *routeFixture) runCount(i int) int { return len(f.backends[i].Runs()) }
 
-func TestEntryServesRouteResources(t *testing.T) {
-	x := newRouted(t)
+func TestRouteResources(t *testing.T) {
+	f := newRouteFixture(t)
 	for i := range 40 {
 		id := fmt.Sprintf("x%d", i)
-		res, body := x.send("/mix/1", id)
+		res, body := f.send("/mix/1", id)
 		assert.Equal(t, res.StatusCode, http.StatusOK)
 		assert.Equal(t, body, server.Body(id))
 	}
-	assert.Equal(t, x.runs(0)+x.runs(1), 30, "three parts in four go to s")
-	assert.Equal(t, x.runs(2), 10)
-	res, body := x.send("/bids/1", "")
+	assert.Equal(t, f.runCount(0)+f.runCount(1), 30, "three quarters go to s")
+	assert.Equal(t, f.runCount(2), 10)
+	res, body := f.send("/bids/1", "")
 	assert.Equal(t, res.StatusCode, http.StatusOK, "a request without an id gets one")
 	assert.Equal(t, body, server.Body(res.Header.Get(request.HeaderID)))
-	res, _ = x.send("/none/1", "y")
+	res, _ = f.send("/none/1", "y")
 	assert.Equal(t, res.StatusCode, http.StatusNotFound)
 }
 
-// TestEntryRefusesWhatNobodyConfirmed checks that a route resource is not acted
-// on when neither a peer nor the platform has confirmed the version lately.
-func TestEntryRefusesWhatNobodyConfirmed(t *testing.T) {
-	x := newRouted(t)
-	x.entry.started = x.entry.started.Add(-time.Minute) // the process stood still
-	res, _ := x.send("/bids/1", "x")
+// TestRoutesRefuseStaleConfig checks that requests of route resources are refused
+// if neither a peer nor the platform has confirmed the version recently.
+func TestRoutesRefuseStaleConfig(t *testing.T) {
+	f := newRouteFixture(t)
+	f.entry.started = f.entry.started.Add(-time.Minute) // as if the process had been suspended
+	res, _ := f.send("/bids/1", "x")
 	assert.Equal(t, res.StatusCode, http.StatusServiceUnavailable)
 	assert.Equal(t, res.Header.Get(request.HeaderResult), request.Unconfirmed.String())
-	assert.Equal(t, x.runs(0)+x.runs(1), 0)
+	assert.Equal(t, f.runCount(0)+f.runCount(1), 0)
 }
 
-// TestDrainHoldsForRouteResources drains one backend server, as an operator would, and
-// hears from another one that it is leaving.
-func TestDrainHoldsForRouteResources(t *testing.T) {
-	x := newRouted(t)
-	x.apply("kind: drain\nname: d\nspec: {backend: u0}\n")
+// TestRoutesSkipDrainedAndLeavingBackends drains one backend server by a resource, and has
+// another one report that it is leaving.
+func TestRoutesSkipDrainedAndLeavingBackends(t *testing.T) {
+	f := newRouteFixture(t)
+	f.apply("kind: drain\nname: d\nspec: {backend: u0}\n")
 	for i := range 10 {
-		res, _ := x.send("/bids/1", fmt.Sprintf("x%d", i))
+		res, _ := f.send("/bids/1", fmt.Sprintf("x%d", i))
 		assert.Equal(t, res.StatusCode, http.StatusOK)
 	}
-	assert.Equal(t, x.runs(0), 0)
-	x.entry.health.Answered("u1", time.Millisecond, "leaving", "boot", x.entry.now())
-	x.entry.routes.refresh()
-	res, _ := x.send("/bids/1", "last")
+	assert.Equal(t, f.runCount(0), 0)
+	f.entry.health.Answered("u1", time.Millisecond, "leaving", "boot", f.entry.now())
+	f.entry.routes.refresh()
+	res, _ := f.send("/bids/1", "last")
 	assert.Equal(t, res.StatusCode, http.StatusServiceUnavailable)
-	assert.Equal(t, x.runs(1), 10)
+	assert.Equal(t, f.runCount(1), 10)
 }
 
-// TestWorkspaceResourcesBindRouteResources applies a workspace as an operator would, and
-// takes it away again.
-func TestWorkspaceResourcesBindRouteResources(t *testing.T) {
-	x := newRouted(t)
+// TestRoutesEnforceWorkspaceKeys applies a workspace and deletes it again.
+func TestRoutesEnforceWorkspaceKeys(t *testing.T) {
+	f := newRouteFixture(t)
 	hash, err := version.HashKey("good").MarshalText()
 	assert.NilError(t, err)
-	x.apply(fmt.Sprintf("kind: workspace\nname: farm\nspec: {keys: [%s], rate: 40, burst: 40, homes: [r]}\n", hash))
-	res, _ := x.send("/bids/1", "x")
+	f.apply(fmt.Sprintf("kind: workspace\nname: farm\nspec: {keys: [%s], rate: 40, burst: 40, homes: [r]}\n", hash))
+	res, _ := f.send("/bids/1", "x")
 	assert.Equal(t, res.StatusCode, http.StatusUnauthorized)
 	assert.Equal(t, res.Header.Get(request.HeaderResult), request.KeyMissing.String())
-	req, err := http.NewRequest(http.MethodPost, x.front.URL+"/bids/1", nil)
+	req, err := http.NewRequest(http.MethodPost, f.front.URL+"/bids/1", nil)
 	assert.NilError(t, err)
 	req.Host = "a.example"
 	req.Header.Set("Authorization", "Bearer good")
@@ -161,13 +160,13 @@
 	assert.NilError(t, err)
 	res.Body.Close()
 	assert.Equal(t, res.StatusCode, http.StatusOK)
-	ran := append(x.backends[0].Runs(), x.backends[1].Runs()...)
-	assert.Equal(t, len(ran), 1)
-	assert.Equal(t, ran[0].Header.Get(request.OwnNames.Workspace), "farm")
-	present := x.config.Resources[version.Key{Kind: version.KindWorkspace, Name: "farm"}]
-	next, _, err := x.config.Propose(version.Change{Operation: "gone", Deletes: []version.Ref{{Key: present.Key, Version: present.Version}}})
+	runs := append(f.backends[0].Runs(), f.backends[1].Runs()...)
+	assert.Equal(t, len(runs), 1)
+	assert.Equal(t, runs[0].Header.Get(request.OwnNames.Workspace), "farm")
+	workspace := f.config.Resources[version.Key{Kind: version.KindWorkspace, Name: "farm"}]
+	next, _, err := f.config.Propose(version.Change{Operation: "gone", Deletes: []version.Ref{{Key: workspace.Key, Version: workspace.Version}}})
 	assert.NilError(t, err)
-	assert.NilError(t, x.entry.store.AdoptSnapshot(next))
-	res, _ = x.send("/bids/1", "y")
+	assert.NilError(t, f.entry.store.AdoptSnapshot(next))
+	res, _ = f.send("/bids/1", "y")
 	assert.Equal(t, res.StatusCode, http.StatusOK, "there are no workspaces any more")
 }
--- a/process/entry/secure_test.go
+++ b/process/entry/secure_test.go
@@ -27,16 +27,16 @@
 	"shalewick/version"
 )
 
-// TestSecureEntries runs two entries that know each other by certificate, a
-// third of another authority, and operators with good, wrong, expired and no
-// tokens.
-func TestSecureEntries(t *testing.T) {
+// TestMutualTLSAndTokens runs two entries with certificates of one authority, a
+// third entry with one of another authority, and operators with valid, unknown,
+// expired and missing tokens.
+func TestMutualTLSAndTokens(t *testing.T) {
 	dir := t.TempDir()
 	tokens := filepath.Join(dir, "workspaces")
-	line := func(name, token, more string) string {
-		return fmt.Sprintf("- {name: %s, hash: %x%s}\n", name, sha256.Sum256([]byte(token)), more)
+	tokenEntry := func(name, token, options string) string {
+		return fmt.Sprintf("- {name: %s, hash: %x%s}\n", name, sha256.Sum256([]byte(token)), options)
 	}
-	text := "workspaces:\n" + line("root", "root", ", admin: true") + line("a", "a", "") + line("b", "b", ", expires: 2020-01-01T00:00:00Z")
+	text := "workspaces:\n" + tokenEntry("root", "root", ", admin: true") + tokenEntry("a", "a", "") + tokenEntry("b", "b", ", expires: 2020-01-01T00:00:00Z")
 	assert.NilError(t, os.WriteFile(tokens, []byte(text), 0o600))
 	var p standin.Server
 	p.SetInstances([]platform.Instance{{Name: "one"}, {Name: "two"}})
@@ -69,8 +69,8 @@
 		return c
 	}
 	region := []version.Resource{{Key: version.Key{Kind: version.KindRegion, Name: "r"}, Region: &version.Region{}}}
-	limit := time.Now().Add(10 * time.Second)
-	for !one.Ready() && time.Now().Before(limit) {
+	deadline := time.Now().Add(10 * time.Second)
+	for !one.Ready() && time.Now().Before(deadline) {
 		time.Sleep(10 * time.Millisecond)
 	}
 	applied, err := client("root").Apply(context.Background(), region)
@@ -94,20 +94,20 @@
 		if missing, ok := known["two"]; ok && missing == "" && known["foreign"] == "no answer" {
 			break
 		}
-		assert.Assert(t, time.Now().Before(limit), "the entries did not find each other: %v", known)
+		assert.Assert(t, time.Now().Before(deadline), "the entries did not find each other: %v", known)
 		time.Sleep(20 * time.Millisecond)
 	}
-	assert.Assert(t, foreign.Ready()) // by the platform alone
+	assert.Assert(t, foreign.Ready()) // it is confirmed by the platform alone
 }
 
-func TestWithoutCredentialsLoopbackOnly(t *testing.T) {
-	s := good()
+func TestAddressesAreLoopbackWithoutCredentials(t *testing.T) {
+	s := validSettings()
 	s.Front = "10.0.0.1:8000"
-	assert.ErrorContains(t, s.Check(), "--front: 10.0.0.1:8000 is not loopback")
+	assert.ErrorContains(t, s.Validate(), "--front: 10.0.0.1:8000 is not loopback")
 	s.WorkspaceTokens = "f"
-	assert.ErrorContains(t, s.Check(), "is not loopback")
+	assert.ErrorContains(t, s.Validate(), "is not loopback")
 	s.Cert = "c"
-	assert.ErrorContains(t, s.Check(), "all or none")
+	assert.ErrorContains(t, s.Validate(), "all or none")
 	s.Key, s.Authority = "k", "a"
-	assert.NilError(t, s.Check())
+	assert.NilError(t, s.Validate())
 }
--- a/process/entry/server.go
+++ b/process/entry/server.go
@@ -17,24 +17,25 @@
 	"shalewick/process/ticket"
 )
 
-// quickReconnect makes a connection to a peer that came back usable soon.
-var quickReconnect = grpc.ConnectParams{
+// reconnectParams keep the backoff short, so that a peer that restarts is
+// connected again within about a second.
+var reconnectParams = grpc.ConnectParams{
 	Backoff: backoff.Config{
 		BaseDelay: 100 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second,
 	},
 	MinConnectTimeout: exchangeTimeout,
 }
 
-// peerServer answers other instances.
+// peerServer serves the requests of other instances.
 type peerServer struct {
 	peer.UnimplementedPeerServer
-	e *Entry
+	entry *Entry
 }
 
-// Exchange takes up what the peer has and answers with what it lacks.
+// Exchange applies the peer's state and replies with what the peer lacks.
 func (p *peerServer) Exchange(_ context.Context, in *peer.State) (*peer.State, error) {
-	e := p.e
-	e.absorb(in)
+	e := p.entry
+	e.applyState(in)
 	out := e.state()
 	if in.GetSeq() < out.GetSeq() {
 		out.Changes = e.changesSince(in.GetSeq())
@@ -46,17 +47,17 @@
 		out.Members = e.members.Gossip(e.now())
 	}
 	if in.GetLeavingDigest() != out.GetLeavingDigest() {
-		out.Leaving = e.leavingFacts()
+		out.Leaving = e.leavingBackends()
 	}
 	return out, nil
 }
 
-// Config answers with the whole configuration if it is newer.
+// Config returns the whole configuration if it is newer than the peer's.
 func (p *peerServer) Config(_ context.Context, in *peer.ConfigRequest) (*peer.ConfigReply, error) {
-	if _, _, ok := p.e.store.InForce(); !ok {
+	if _, _, ok := p.entry.store.InForce(); !ok {
 		return &peer.ConfigReply{}, nil
 	}
-	c := p.e.store.Config()
+	c := p.entry.store.Config()
 	if c.Seq <= in.GetSeq() {
 		return &peer.ConfigReply{}, nil
 	}
@@ -67,13 +68,13 @@
 	return &peer.ConfigReply{Snapshot: b}, nil
 }
 
-// Lease lends tokens and lengthens leases.
+// Lease lends tokens and renews leases.
 func (p *peerServer) Lease(_ context.Context, in *peer.LeaseRequest) (*peer.LeaseReply, error) {
-	e := p.e
+	e := p.entry
 	now := e.now()
 	out := &peer.LeaseReply{}
 	if !e.steer.Fresh() {
-		return out, nil // what is held may have a new home already
+		return out, nil // the tokens may already have a new owner
 	}
 	out.Renewed = toTokens(e.slots.Renew(in.GetHolder(), fromTokens(in.GetRenew()), now))
 	for _, w := range in.GetWants() {
@@ -83,41 +84,41 @@
 	return out, nil
 }
 
-// Return takes lent tokens back.
+// Return takes back lent tokens.
 func (p *peerServer) Return(_ context.Context, in *peer.ReturnRequest) (*peer.ReturnReply, error) {
-	p.e.slots.TakeBack(in.GetHolder(), fromTokens(in.GetTokens()), p.e.now())
+	p.entry.slots.TakeBack(in.GetHolder(), fromTokens(in.GetTokens()), p.entry.now())
 	return &peer.ReturnReply{}, nil
 }
 
 // Inherit takes over the tickets of a leaving instance.
 func (p *peerServer) Inherit(_ context.Context, in *peer.InheritRequest) (*peer.InheritReply, error) {
-	if p.e.members.Leaving() {
-		return nil, status.Error(codes.FailedPrecondition, "leaving too")
+	if p.entry.members.Leaving() {
+		return nil, status.Error(codes.FailedPrecondition, "this instance is leaving too")
 	}
-	bk := ticket.Book{Member: in.GetFrom(), Key: in.GetKey(), Age: time.Duration(in.GetAgeMs()) * time.Millisecond}
+	book := ticket.Book{Member: in.GetFrom(), Key: in.GetKey(), Age: time.Duration(in.GetAgeMs()) * time.Millisecond}
 	for _, r := range in.GetRecords() {
 		rec := ticket.Record{Outcome: ticket.Outcome{Status: int(r.GetStatus()), Body: r.GetBody(), Kept: r.GetKept()}}
 		copy(rec.Nonce[:], r.GetNonce())
 		if err := json.Unmarshal(r.GetHeader(), &rec.Outcome.Header); err != nil {
 			rec.Outcome.Kept = false
 		}
-		bk.Records = append(bk.Records, rec)
+		book.Records = append(book.Records, rec)
 	}
-	if err := p.e.ledger.Inherit(bk); err != nil {
+	if err := p.entry.ledger.Inherit(book); err != nil {
 		return nil, status.Error(codes.FailedPrecondition, err.Error())
 	}
 	return &peer.InheritReply{}, nil
 }
 
-// Status tells what is in force here.
+// Status returns the status of this instance.
 func (p *peerServer) Status(context.Context, *peer.StatusRequest) (*peer.StatusReply, error) {
-	return p.e.status(), nil
+	return p.entry.status(), nil
 }
 
-// status is what the entry tells of itself.
+// status returns the version, split and tokens of this instance.
 func (e *Entry) status() *peer.StatusReply {
 	now := e.now()
-	out := &peer.StatusReply{Self: e.members.Self(), Epoch: e.slots.Split().Epoch, Leaving: e.leavingFacts()}
+	out := &peer.StatusReply{Self: e.members.Self(), Epoch: e.slots.Split().Epoch, Leaving: e.leavingBackends()}
 	out.ConfirmedMs = -1
 	if age, ok := e.steer.Confirmed(); ok {
 		out.ConfirmedMs = age.Milliseconds()
--- a/process/entry/settings.go
+++ b/process/entry/settings.go
@@ -14,35 +14,35 @@
 	"shalewick/process/setting"
 )
 
-// Settings of an entry. All are checked before anything starts.
+// Settings configure an entry. Start validates all of them first.
 type Settings struct {
-	Instance string // name in the platform's list
-	Hall     string // name of the hall resource that the instance stands in
+	Instance string // name in the platform's list of instances
+	Hall     string // name of the instance's hall resource
 	Front    string // address for callers
 	Peer     string // address for other instances
 	Admin    string // address for operators
 	Platform string // base URL of the platform
 	Peers    []string
-	// Grace is how long a stopping entry goes on serving, so that callers'
-	// look-ups run out first.
+	// Grace is how long a stopping entry continues to serve, so that the
+	// lookups that callers have cached expire first.
 	Grace    time.Duration
 	LogLevel string
 
-	// WorkspaceTokens is the file of the workspaces' tokens, see package auth.
+	// WorkspaceTokens is the path of the workspace token file, see package auth.
 	WorkspaceTokens string
-	// Cert, Key and Authority are PEM files: this instance's certificate and
-	// key, and the authority of all instances.
+	// Cert, Key and Authority are paths of PEM files: the instance's
+	// certificate and key, and the certificate authority of all instances.
 	Cert, Key, Authority string
 }
 
-// secure reports whether operators and instances must prove who they are.
-func (s *Settings) secure() bool { return s.WorkspaceTokens != "" && s.Cert != "" }
+// authenticated reports whether operators and instances must authenticate.
+func (s *Settings) authenticated() bool { return s.WorkspaceTokens != "" && s.Cert != "" }
 
-// DefaultGrace is the least time after which no caller has a cached look-up.
+// DefaultGrace is the time after which no caller uses a cached lookup any more.
 const DefaultGrace = front.LookupTTL + time.Second/2
 
-// Check returns an error for the first bad setting, naming its flag.
-func (s *Settings) Check() error {
+// Validate returns an error that names the flag of the first invalid setting.
+func (s *Settings) Validate() error {
 	if s.Instance == "" {
 		return errors.New("--instance: must be set")
 	}
@@ -54,7 +54,7 @@
 			return err
 		}
 	}
-	if err := s.checkSecurity(); err != nil {
+	if err := s.validateAuthentication(); err != nil {
 		return err
 	}
 	if u, err := url.Parse(s.Platform); err != nil || u.Scheme != "http" || u.Host == "" {
@@ -62,7 +62,7 @@
 	}
 	for _, p := range s.Peers {
 		if _, err := netip.ParseAddrPort(p); err != nil {
-			return errors.Errorf("--peers: %q is not an IP number and port", p)
+			return errors.Errorf("--peers: %q is not an IP address and port", p)
 		}
 	}
 	if s.Grace < 0 {
@@ -74,13 +74,13 @@
 	return nil
 }
 
-// checkSecurity lets an entry leave loopback only when operators and instances
-// must prove who they are.
-func (s *Settings) checkSecurity() error {
+// validateAuthentication allows addresses other than loopback only if operators
+// and instances must authenticate.
+func (s *Settings) validateAuthentication() error {
 	if (s.Cert == "") != (s.Key == "") || (s.Cert == "") != (s.Authority == "") {
 		return errors.New("--cert, --key and --authority: all or none must be set")
 	}
-	if s.secure() {
+	if s.authenticated() {
 		return nil
 	}
 	for _, a := range []struct{ flag, value string }{{"front", s.Front}, {"peer", s.Peer}, {"admin", s.Admin}} {
--- a/process/entry/split.go
+++ b/process/entry/split.go
@@ -16,60 +16,61 @@
 	"shalewick/version"
 )
 
-// Times and bounds of the splitting of tokens.
+// Intervals and limits of splitting tokens among members.
 const (
-	splitTime = 500 * time.Millisecond
-	// splitTurn is how long a member waits for each member before it, in the
-	// order of ids, to do the work.
-	splitTurn = time.Second
-	// cedeEvery is how often a member looks for tokens that others should have.
-	cedeEvery = 2 * time.Second
-	cedeLimit = 64
+	splitInterval = 500 * time.Millisecond
+	// takeoverDelay is how long a member waits for each live member with a
+	// lower id to write the split before it does so itself.
+	takeoverDelay = time.Second
+	// cedeInterval is how often a member looks for tokens that other members
+	// should own.
+	cedeInterval     = 2 * time.Second
+	maxCededPerRound = 64
 )
 
-// splitter is the state of the splitting at one member.
+// splitter holds a member's state of splitting tokens.
 type splitter struct {
 	mu       sync.Mutex // guards revision and rows
 	revision int64      // of the split's row, as last read
 	rows     []string   // ids of the members' rows, as last read
 
-	work sync.Mutex // held for a whole round; guards the rest
-	// ceding are tokens taken off this member for a transaction whose end
-	// is not known. They stay so until the row has another revision than
-	// the one that the transaction was bound to.
-	ceding  []slots.TokenID
-	boundTo int64
-	due     time.Duration // since when there is something to do
-	ceded   time.Duration // last look for tokens to cede
+	round sync.Mutex // held for a whole round; guards the fields below
+	// ceding holds tokens that this member no longer uses because of a
+	// transaction with unknown outcome. They stay unused until the row's
+	// revision differs from the one that the transaction expected.
+	ceding           []slots.TokenID
+	expectedRevision int64
+	neededSince      time.Duration // since when a new split is needed; 0: it is not
+	lastCedeCheck    time.Duration // last time that tokens to cede were looked for
 }
 
-// read notes the revision of the row.
-func (s *splitter) read(revision int64) {
+// setRevision stores the revision of the split's row.
+func (s *splitter) setRevision(revision int64) {
 	s.mu.Lock()
 	s.revision = revision
 	s.mu.Unlock()
 }
 
-// readRows notes the members' rows.
-func (s *splitter) readRows(ids []string) {
+// setRows stores the ids of the members' rows.
+func (s *splitter) setRows(ids []string) {
 	s.mu.Lock()
 	s.rows = ids
 	s.mu.Unlock()
 }
 
-// splitLoop gives homes to tokens that have none.
+// splitLoop assigns owners to tokens that have none.
 func (e *Entry) splitLoop(ctx context.Context) {
 	select {
 	case <-e.synced:
 	case <-ctx.Done():
 		return
 	}
-	t := time.NewTicker(splitTime)
+	t := time.NewTicker(splitInterval)
 	defer t.Stop()
 	for {
 		e.splitRound(ctx)
 		select {
-		case <-e.split: // a new version may have new limits
+		case <-e.splitNeeded: // a new version may have new limits
 		case <-t.C:
 		case <-ctx.Done():
 			return
@@ -77,14 +78,16 @@
 	}
 }
 
+// splitRound writes a new split if tokens need one and it is this member's
+// turn. Otherwise it cedes tokens that other members should own.
 func (e *Entry) splitRound(ctx context.Context) {
 	b := e.steer.Bound()
-	e.splitter.work.Lock()
-	defer e.splitter.work.Unlock()
+	e.splitter.round.Lock()
+	defer e.splitter.round.Unlock()
 	if b == nil || e.members.Leaving() {
 		return
 	}
-	if !e.settleCeding(ctx) {
+	if !e.resolveCeding(ctx) {
 		return
 	}
 	now := e.now()
@@ -92,37 +95,37 @@
 	in := slots.PlanInput{Live: live, Dead: e.members.Dead(now), View: b.View, Ceder: e.members.Self().GetId()}
 	_, needed := slots.Plan(e.slots.Split(), in)
 	if !needed {
-		e.splitter.due = 0
+		e.splitter.neededSince = 0
 		if e.rank(live) == 0 {
-			e.sweepRows(ctx, in.Dead)
+			e.deleteDownRows(ctx, in.Dead)
 		}
-		if now-e.splitter.ceded < cedeEvery {
+		if now-e.splitter.lastCedeCheck < cedeInterval {
 			return
 		}
-		e.splitter.ceded = now
-		in.Ceded = e.slots.Cede(live, cedeLimit, now)
+		e.splitter.lastCedeCheck = now
+		in.Ceded = e.slots.Cede(live, maxCededPerRound, now)
 		if len(in.Ceded) > 0 {
 			e.commitSplit(ctx, in)
 		}
 		return
 	}
-	if e.splitter.due == 0 {
-		e.splitter.due = now
+	if e.splitter.neededSince == 0 {
+		e.splitter.neededSince = now
 	}
-	if now-e.splitter.due >= e.rank(live)*splitTurn {
+	if now-e.splitter.neededSince >= e.rank(live)*takeoverDelay {
 		e.commitSplit(ctx, in)
 	}
 }
 
-// sweepRows deletes the rows of dead members that are the home of nothing.
-func (e *Entry) sweepRows(ctx context.Context, dead map[string]bool) {
-	homes := e.slots.Split().Members
+// deleteDownRows deletes the rows of members that are down and own no tokens.
+func (e *Entry) deleteDownRows(ctx context.Context, down map[string]bool) {
+	owners := e.slots.Split().Members
 	var ops []platform.Op
 	e.splitter.mu.Lock()
 	rows := e.splitter.rows
 	e.splitter.mu.Unlock()
 	for _, id := range rows {
-		if dead[id] && !slices.Contains(homes, id) {
+		if down[id] && !slices.Contains(owners, id) {
 			ops = append(ops, platform.Op{Kind: platform.OpDelete, Table: tableMembers, Key: id, Revision: platform.AnyRevision})
 		}
 	}
@@ -134,13 +137,13 @@
 	}
 }
 
-// rank is the number of live members before this one.
+// rank returns the number of candidates with a lower id than this member.
 func (e *Entry) rank(live []slots.Candidate) time.Duration {
 	self := e.members.Self().GetId()
 	return time.Duration(max(0, slices.IndexFunc(live, func(c slots.Candidate) bool { return c.ID == self })))
 }
 
-// candidates returns the members that can be homes of tokens, ordered by id.
+// candidates returns the members that can own tokens, ordered by id.
 func (e *Entry) candidates(v *version.View) []slots.Candidate {
 	var out []slots.Candidate
 	for _, m := range e.members.Live(e.now()) {
@@ -153,11 +156,12 @@
 	return out
 }
 
-// commitSplit plans on the platform's present split and commits the plan.
+// commitSplit reads the platform's current split, plans the next one and
+// commits it.
 func (e *Entry) commitSplit(ctx context.Context, in slots.PlanInput) {
 	e.splitter.ceding = in.Ceded
 	if err := e.readSplit(ctx); err != nil {
-		e.splitter.boundTo = -1 // nothing was sent
+		e.splitter.expectedRevision = -1 // nothing was sent
 		return
 	}
 	e.splitter.mu.Lock()
@@ -165,59 +169,61 @@
 	e.splitter.mu.Unlock()
 	next, changed := slots.Plan(e.slots.Split(), in)
 	if !changed {
-		e.splitter.boundTo = -1
+		e.splitter.expectedRevision = -1
 		return
 	}
 	e.writeSplit(ctx, next, revision)
 }
 
-// writeSplit commits a split over the row at a revision, and takes it up.
+// writeSplit commits a split if the row still has the given revision, and
+// installs it.
 func (e *Entry) writeSplit(ctx context.Context, next *slots.Split, revision int64) {
 	b, err := json.Marshal(next)
 	if err != nil {
 		e.log.Error().Err(err).Msg("split-not-written")
 		return
 	}
-	e.splitter.boundTo = revision
+	e.splitter.expectedRevision = revision
 	err = e.platform.Commit(ctx, []platform.Op{{
 		Kind: platform.OpPut, Table: tableSlots, Key: keySplit, Revision: revision, Value: b,
 	}})
 	switch {
 	case err == nil:
 		e.slots.SetSplit(next, e.now())
-		e.splitter.read(-1) // not known until it is read again
-		e.splitter.boundTo = -1
+		e.splitter.setRevision(-1) // unknown until the row is read again
+		e.splitter.expectedRevision = -1
 		e.log.Info().Int64("epoch", next.Epoch).Msg("split")
-		poke(e.push)
+		notify(e.pushNeeded)
 	case errors.Is(err, platform.Conflict), errors.Is(err, platform.Unavailable):
-		e.splitter.boundTo = -1
+		e.splitter.expectedRevision = -1
 	}
 }
 
-// settleCeding makes tokens usable again whose ceding surely failed. After a
-// lost answer that is known only once the row has a new revision; if it still
-// has the old one, it is written anew, so that the lost write can not come
-// after. It returns false while the end is not known.
-func (e *Entry) settleCeding(ctx context.Context) bool {
+// resolveCeding makes tokens usable again if ceding them certainly failed. After
+// a lost response that is known only once the row has a new revision. If it
+// still has the old one, the split is written again under a new epoch, so that
+// the lost write can't take effect later. It returns false while the outcome is
+// unknown.
+func (e *Entry) resolveCeding(ctx context.Context) bool {
 	s := &e.splitter
 	if len(s.ceding) == 0 {
 		return true
 	}
-	// Whatever became of the write, the row is read before a token is used.
+	// The row is read before a token is used, whatever the outcome of the write.
 	if err := e.readSplit(ctx); err != nil {
 		return false
 	}
 	s.mu.Lock()
 	revision := s.revision
 	s.mu.Unlock()
-	if revision == s.boundTo {
-		same := *e.slots.Split()
-		same.Epoch++
-		e.writeSplit(ctx, &same, revision)
+	if revision == s.expectedRevision {
+		current := *e.slots.Split()
+		current.Epoch++
+		e.writeSplit(ctx, &current, revision)
 		return false
 	}
 	e.slots.Uncede(s.ceding, e.now())
 	s.ceding = nil
-	s.boundTo = -1
+	s.expectedRevision = -1
 	return true
 }
--- a/process/entry/split_test.go
+++ b/process/entry/split_test.go
@@ -14,20 +14,20 @@
 	"shalewick/process/slots"
 )
 
-// rowPlatform is a platform with the split's row only. Commit asks act what to
-// do with each write.
-type rowPlatform struct {
+// fakePlatform is a platform that has only the split's row. Commit passes each
+// write to onCommit.
+type fakePlatform struct {
 	platform.Platform
-	row platform.Row
-	act func(ops []platform.Op) error
+	row      platform.Row
+	onCommit func(ops []platform.Op) error
 }
 
-func (p *rowPlatform) Get(context.Context, string, string) (platform.Row, error) { return p.row, nil }
+func (p *fakePlatform) Get(context.Context, string, string) (platform.Row, error) { return p.row, nil }
 
-func (p *rowPlatform) Commit(_ context.Context, ops []platform.Op) error { return p.act(ops) }
+func (p *fakePlatform) Commit(_ context.Context, ops []platform.Op) error { return p.onCommit(ops) }
 
-// land carries a write out, if its condition holds.
-func (p *rowPlatform) land(ops []platform.Op) error {
+// apply carries out a write if its condition holds.
+func (p *fakePlatform) apply(ops []platform.Op) error {
 	if ops[0].Revision != p.row.Revision {
 		return platform.Conflict
 	}
@@ -36,10 +36,11 @@
 	return nil
 }
 
-// TestLateSplitIsNotUndone: the answer to a ceding is lost, and its write lands
-// only while the member tries to rule that out. The tokens are the other's then.
-func TestLateSplitIsNotUndone(t *testing.T) {
-	e := configured(t, 1)
+// TestDelayedSplitWriteIsNotUndone guards against a member using tokens that it has ceded. The
+// response to the ceding is lost, and its write takes effect only while the member tries to rule
+// that out. The tokens then belong to the other member.
+func TestDelayedSplitWriteIsNotUndone(t *testing.T) {
+	e := newConfiguredEntry(t, 1)
 	view := e.steer.Bound().View
 	self := e.members.Self().GetId()
 	e.members.Merge([]*peer.Member{{Id: "z", Hall: "h", Peer: "127.0.0.1:2"}}, e.now())
@@ -48,18 +49,18 @@
 	e.slots.SetSplit(all, e.now())
 	value, err := json.Marshal(all)
 	assert.NilError(t, err)
-	p := &rowPlatform{row: platform.Row{Revision: 1, Value: value}}
+	p := &fakePlatform{row: platform.Row{Revision: 1, Value: value}}
 	e.platform = p
-	var late []platform.Op
-	p.act = func(ops []platform.Op) error {
-		if late == nil {
-			late = ops // on its way
+	var delayed []platform.Op
+	p.onCommit = func(ops []platform.Op) error {
+		if delayed == nil {
+			delayed = ops // still in transit
 			return platform.Unknown
 		}
-		_ = p.land(late) // it lands now, before this one
-		return p.land(ops)
+		_ = p.apply(delayed) // takes effect now, before this write
+		return p.apply(ops)
 	}
-	e.splitter.ceded = -cedeEvery // due
+	e.splitter.lastCedeCheck = -cedeInterval // due
 	for range 4 {
 		e.splitRound(context.Background())
 		row, err := slots.ParseSplit(p.row.Value)
@@ -73,5 +74,5 @@
 		free := e.slots.Status(e.now())[0].Free
 		assert.Assert(t, free <= own, "%d tokens are usable, the row gives %d", free, own)
 	}
-	assert.Assert(t, late != nil)
+	assert.Assert(t, delayed != nil)
 }
--- a/process/entry/status.go
+++ b/process/entry/status.go
@@ -13,24 +13,26 @@
 
 const statusTimeout = time.Second
 
-// allStatus asks every member what it has in force.
-func (e *Entry) allStatus(ctx context.Context) []admin.EntryStatus {
+// collectStatus requests the status of every member. Instances of the
+// platform's list that are not members are reported as missing.
+func (e *Entry) collectStatus(ctx context.Context) []admin.EntryStatus {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	members := e.members.All(e.now())
 	out := make([]admin.EntryStatus, len(members))
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, m := range members {
-		all.Go(func() { out[i] = e.statusOf(ctx, m) })
+		wg.Go(func() { out[i] = e.memberStatus(ctx, m) })
 	}
-	all.Wait()
+	wg.Wait()
 	for _, name := range e.members.Absent() {
 		out = append(out, admin.EntryStatus{Instance: name, Missing: "in the platform's list, but not known"})
 	}
 	return out
 }
 
-func (e *Entry) statusOf(ctx context.Context, m *peer.Member) admin.EntryStatus {
+// memberStatus returns the status of one member, or why it is missing.
+func (e *Entry) memberStatus(ctx context.Context, m *peer.Member) admin.EntryStatus {
 	s := admin.EntryStatus{ID: m.GetId(), Instance: m.GetInstance(), Hall: m.GetHall(), Leaving: m.GetLeaving()}
 	reply := e.status()
 	if m.GetId() != e.members.Self().GetId() {
--- a/process/entry/stop.go
+++ b/process/entry/stop.go
@@ -17,85 +17,86 @@
 	"shalewick/version"
 )
 
-// Times of a planned stop.
+// Intervals and timeouts of a planned stop.
 const (
-	stopPoll = 20 * time.Millisecond
-	// keepBefore is how long before the end of the grace nothing more is
-	// lent: a lease, and the time in which holders return what has lapsed.
-	keepBefore  = slots.LeaseTime + 2*upkeepTime + balanceTime
-	lentWait    = slots.LeaseTime + time.Second
-	inheritTime = 2 * time.Second
-	lastWords   = time.Second
+	stopPollInterval = 20 * time.Millisecond
+	// stopLendingBefore is how long before the end of the grace period lending
+	// stops: the duration of a lease, and the time in which holders return
+	// expired tokens.
+	stopLendingBefore = slots.LeaseTime + 2*renewInterval + borrowInterval
+	lentTokensTimeout = slots.LeaseTime + time.Second
+	inheritTimeout    = 2 * time.Second
+	finalTimeout      = time.Second
 )
 
-// Stop ends the entry as planned. New work goes elsewhere first; requests in
-// flight are finished; tickets and tokens are handed over. It ends by itself,
-// at the latest after the longest deadline of a request.
+// Stop shuts the entry down gracefully. Callers first move to other instances;
+// then requests in flight are finished, and tickets and tokens are handed over.
+// The wait for requests in flight is limited to version.MaxDeadline.
 func (e *Entry) Stop(ctx context.Context) {
-	begun := e.now()
+	start := e.now()
 	e.members.UpdateSelf(func(m *peer.Member) { m.Leaving = true })
 	e.slots.Leave()
 	e.routes.proxy.DisableKeepAlives()
 	e.log.Info().Msg("stopping")
 	e.pushAll(ctx)
-	clock.Sleep(ctx, e.settings.Grace-keepBefore)
+	clock.Sleep(ctx, e.settings.Grace-stopLendingBefore)
 	e.slots.Keep()
-	clock.Sleep(ctx, min(e.settings.Grace, keepBefore))
+	clock.Sleep(ctx, min(e.settings.Grace, stopLendingBefore))
 	e.front.Close()
-	e.awaitRunning(ctx)
+	e.awaitInFlight(ctx)
 	e.handOverTickets(ctx)
 	e.handOverTokens(ctx)
 	e.members.UpdateSelf(func(m *peer.Member) { m.Gone = true })
 	e.pushAll(ctx)
 	e.deleteRow(ctx)
-	e.closeFront(ctx)
+	e.shutdownFront(ctx)
 	e.Kill()
-	e.log.Info().Dur("took", e.now()-begun).Msg("stopped")
+	e.log.Info().Dur("took", e.now()-start).Msg("stopped")
 }
 
-// closeFront lets the last refusals to callers be sent whole.
-func (e *Entry) closeFront(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, lastWords)
+// shutdownFront waits until the last refusals to callers are sent completely.
+func (e *Entry) shutdownFront(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, finalTimeout)
 	defer cancel()
 	if err := e.frontServer.Shutdown(ctx); err != nil {
 		e.log.Info().Err(err).Msg("front-not-idle")
 	}
 }
 
-// Kill ends the entry at once, as the death of its process would.
+// Kill ends the entry immediately, as a crash of its process would.
 func (e *Entry) Kill() {
 	e.cancel()
 	for _, s := range e.servers {
-		_ = s.Close() // nothing more can be done about a failure
+		_ = s.Close() // the entry ends also if this fails
 	}
 	e.grpc.Stop()
 	e.loops.Wait()
 	e.peers.retain(nil)
 }
 
-// awaitRunning waits until no request is in flight.
-func (e *Entry) awaitRunning(ctx context.Context) {
-	limit := e.now() + version.MaxDeadline
-	for e.front.InFlight()+e.routes.proxy.InFlight() > 0 && e.now() < limit && ctx.Err() == nil {
-		time.Sleep(stopPoll)
+// awaitInFlight waits until no request is in flight, at most version.MaxDeadline.
+func (e *Entry) awaitInFlight(ctx context.Context) {
+	deadline := e.now() + version.MaxDeadline
+	for e.front.InFlight()+e.routes.proxy.InFlight() > 0 && e.now() < deadline && ctx.Err() == nil {
+		time.Sleep(stopPollInterval)
 	}
 }
 
-// handOverTickets gives the tickets to one successor. If its answer is lost,
-// no other is asked, since two members must never answer for one ticket; the
-// tickets then count as gone.
+// handOverTickets transfers the tickets to one successor. If its reply is lost,
+// no other member is tried, because two members must never own one ticket; the
+// tickets then count as lost.
 func (e *Entry) handOverTickets(ctx context.Context) {
 	books := e.ledger.Stop()
-	b := e.steer.Bound()
-	if b == nil {
+	bound := e.steer.Bound()
+	if bound == nil {
 		return
 	}
-	bal := &balancer{e: e}
-	for _, p := range bal.peersByDistance(b.View) {
+	br := &borrower{entry: e}
+	for _, p := range br.peersByDistance(bound.View) {
 		if p.member.GetLeaving() || p.member.GetGone() {
 			continue
 		}
-		err := e.bequeath(ctx, p.member, books)
+		err := e.transferTickets(ctx, p.member, books)
 		if err == nil {
 			e.members.UpdateSelf(func(m *peer.Member) { m.Successor = p.member.GetId() })
 		}
@@ -104,16 +105,17 @@
 	}
 }
 
-func (e *Entry) bequeath(ctx context.Context, to *peer.Member, books []ticket.Book) error {
-	ctx, cancel := context.WithTimeout(ctx, inheritTime)
+// transferTickets sends ticket books to another member.
+func (e *Entry) transferTickets(ctx context.Context, to *peer.Member, books []ticket.Book) error {
+	ctx, cancel := context.WithTimeout(ctx, inheritTimeout)
 	defer cancel()
 	client, err := e.peers.client(to.GetPeer())
 	if err != nil {
 		return err
 	}
-	for _, bk := range books {
-		req := &peer.InheritRequest{From: bk.Member, Key: bk.Key, AgeMs: bk.Age.Milliseconds()}
-		for _, r := range bk.Records {
+	for _, book := range books {
+		req := &peer.InheritRequest{From: book.Member, Key: book.Key, AgeMs: book.Age.Milliseconds()}
+		for _, r := range book.Records {
 			h, err := json.Marshal(r.Outcome.Header)
 			if err != nil {
 				return errors.Trace(err)
@@ -129,35 +131,36 @@
 	return nil
 }
 
-// handOverTokens gives the tokens at home here to the other members.
+// handOverTokens cedes the tokens that this member owns to other members, after
+// waiting for lent tokens to come back.
 func (e *Entry) handOverTokens(ctx context.Context) {
-	b := e.steer.Bound()
-	if b == nil {
+	bound := e.steer.Bound()
+	if bound == nil {
 		return
 	}
-	limit := e.now() + lentWait
-	for e.slots.Outstanding() && e.now() < limit && ctx.Err() == nil {
-		time.Sleep(stopPoll)
+	deadline := e.now() + lentTokensTimeout
+	for e.slots.Outstanding() && e.now() < deadline && ctx.Err() == nil {
+		time.Sleep(stopPollInterval)
 	}
-	e.splitter.work.Lock()
-	defer e.splitter.work.Unlock()
-	live := e.candidates(b.View)
-	const tries = 3
-	for range tries {
-		in := slots.PlanInput{Live: live, View: b.View, Dead: e.members.Dead(e.now()), Ceder: e.members.Self().GetId()}
+	e.splitter.round.Lock()
+	defer e.splitter.round.Unlock()
+	live := e.candidates(bound.View)
+	const maxAttempts = 3
+	for range maxAttempts {
+		in := slots.PlanInput{Live: live, View: bound.View, Dead: e.members.Dead(e.now()), Ceder: e.members.Self().GetId()}
 		in.Ceded = e.slots.Cede(live, version.MaxSlots, e.now())
 		in.Ceded = append(in.Ceded, e.splitter.ceding...)
 		if len(in.Ceded) == 0 || len(live) == 0 {
 			return
 		}
 		e.commitSplit(ctx, in)
-		clock.Sleep(ctx, stopPoll)
+		clock.Sleep(ctx, stopPollInterval)
 	}
 }
 
-// deleteRow removes the own member's row.
+// deleteRow deletes the own member's row from the platform.
 func (e *Entry) deleteRow(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, lastWords)
+	ctx, cancel := context.WithTimeout(ctx, finalTimeout)
 	defer cancel()
 	op := platform.Op{Kind: platform.OpDelete, Table: tableMembers, Key: e.members.Self().GetId(), Revision: platform.AnyRevision}
 	if err := e.platform.Commit(ctx, []platform.Op{op}); err != nil {
--- a/process/entry/traffic.go
+++ b/process/entry/traffic.go
@@ -9,8 +9,8 @@
 	"google.golang.org/grpc/stats"
 )
 
-// traffic counts the bytes of the messages between instances, as they are on
-// the wire, without the framing of HTTP/2.
+// traffic is a stats.Handler that counts the bytes of the messages between
+// instances as sent, without HTTP/2 framing.
 type traffic struct {
 	in  metrics.Counter
 	out metrics.Counter
@@ -25,7 +25,7 @@
 // HandleConn implements stats.Handler.
 func (t *traffic) HandleConn(context.Context, stats.ConnStats) {}
 
-// HandleRPC counts what came and went.
+// HandleRPC counts received and sent bytes.
 func (t *traffic) HandleRPC(_ context.Context, s stats.RPCStats) {
 	switch s := s.(type) {
 	case *stats.InPayload:
