--- a/cmd/shalewick/rollout_test.go
+++ b/cmd/shalewick/rollout_test.go
@@ -38,7 +38,7 @@
 		rs, err := version.Parse(body.Bytes())
 		assert.Check(t, err)
 		x.ordered = append(x.ordered, rs...)
-		_ = json.NewEncoder(w).Encode(admin.Applied{Version: 7, Operation: "o"})
+		_ = json.NewEncoder(w).Encode(admin.ApplyResponse{Version: 7, Operation: "o"})
 	})
 	mux.Handle("GET "+rolloutview.Pattern, rolloutview.Handler(func(service string) (rolloutview.Status, bool) {
 		record := &rollout.Record{Service: service, Order: 7, Target: "v2", Previous: "v1", Phase: x.phase, Cause: "it fails more often"}
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -124,7 +124,7 @@
 func (w *world) listInstances(n int) {
 	var list []platform.Instance
 	for i := range n {
-		list = append(list, platform.Instance{Name: instanceName(i), State: platform.Live})
+		list = append(list, platform.Instance{Name: instanceName(i), State: platform.StateLive})
 	}
 	w.platform.SetInstances(list)
 }
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -54,7 +54,7 @@
 
 // RefusedError is a call that was refused, with the result.
 type RefusedError struct {
-	admin.Refused
+	admin.ErrorResponse
 }
 
 // Error gives the result's number, name and detail.
@@ -64,12 +64,12 @@
 
 // Apply writes resources, each against the version that it names. After a
 // lost answer it asks again with the same operation id.
-func (c *Client) Apply(ctx context.Context, rs []version.Resource) (admin.Applied, error) {
+func (c *Client) Apply(ctx context.Context, rs []version.Resource) (admin.ApplyResponse, error) {
 	var body bytes.Buffer
 	for i := range rs {
 		b, err := json.Marshal(rs[i])
 		if err != nil {
-			return admin.Applied{}, errors.Trace(err)
+			return admin.ApplyResponse{}, errors.Trace(err)
 		}
 		body.Write(b)
 		body.WriteString("\n---\n")
@@ -78,12 +78,12 @@
 }
 
 // ApplyDocuments writes YAML or JSON documents.
-func (c *Client) ApplyDocuments(ctx context.Context, docs []byte) (admin.Applied, error) {
+func (c *Client) ApplyDocuments(ctx context.Context, docs []byte) (admin.ApplyResponse, error) {
 	return c.change(ctx, http.MethodPost, "/v1/apply", docs)
 }
 
 // Delete removes a resource at a version.
-func (c *Client) Delete(ctx context.Context, k version.Key, v int64) (admin.Applied, error) {
+func (c *Client) Delete(ctx context.Context, k version.Key, v int64) (admin.ApplyResponse, error) {
 	return c.change(ctx, http.MethodDelete, resourcePath(k)+"?version="+strconv.FormatInt(v, 10), nil)
 }
 
@@ -94,11 +94,11 @@
 // tell whether it was accepted, it asks again with the same operation id until
 // it knows or the context ends. From then on, a refusal because the platform
 // is down no longer means that nothing was written.
-func (c *Client) change(ctx context.Context, method, path string, body []byte) (admin.Applied, error) {
+func (c *Client) change(ctx context.Context, method, path string, body []byte) (admin.ApplyResponse, error) {
 	operation := rand.Text()
 	unsure := false
 	for {
-		var out admin.Applied
+		var out admin.ApplyResponse
 		err := c.call(ctx, method, path, operation, body, &out)
 		if err == nil {
 			return out, nil
@@ -134,16 +134,16 @@
 }
 
 // Status returns what each instance has in force.
-func (c *Client) Status(ctx context.Context) (admin.Status, error) {
-	var st admin.Status
+func (c *Client) Status(ctx context.Context) (admin.StatusResponse, error) {
+	var st admin.StatusResponse
 	err := c.call(ctx, http.MethodGet, "/v1/status", "", nil, &st)
 	return st, err
 }
 
 // WaitInForce returns once a version is in force everywhere, or with the
 // status at the end of the time and an error.
-func (c *Client) WaitInForce(ctx context.Context, v int64, timeout time.Duration) (admin.Status, error) {
-	var st admin.Status
+func (c *Client) WaitInForce(ctx context.Context, v int64, timeout time.Duration) (admin.StatusResponse, error) {
+	var st admin.StatusResponse
 	path := "/v1/status?wait=" + strconv.FormatInt(v, 10) + "&timeout=" + timeout.String()
 	if err := c.call(ctx, http.MethodGet, path, "", nil, &st); err != nil {
 		return st, err
@@ -244,7 +244,7 @@
 	}
 	if code := res.Header.Get(request.HeaderResult); code != "" && code != request.NotInForce.String() {
 		var r RefusedError
-		if err := json.Unmarshal(b, &r.Refused); err != nil {
+		if err := json.Unmarshal(b, &r.ErrorResponse); err != nil {
 			return false, errors.Annotatef(err, "call %s", address)
 		}
 		return true, &r
--- a/operator/summary.go
+++ b/operator/summary.go
@@ -42,7 +42,7 @@
 
 // PrintSummary writes a status on one screen: what is in force where, the
 // limits and how much of them is held, used and lent, and what is draining.
-func PrintSummary(w io.Writer, st *admin.Status, resources []version.Resource) {
+func PrintSummary(w io.Writer, st *admin.StatusResponse, resources []version.Resource) {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(t, "version %d, in force everywhere: %v\n", st.Version, st.InForce)
 	printEntries(t, st.Entries)
--- a/process/admin/admin.go
+++ b/process/admin/admin.go
@@ -25,7 +25,7 @@
 	"shalewick/version"
 )
 
-// Admin serves operators. The fields are set before use.
+// Admin serves the operators' API. The fields must be set before use.
 type Admin struct {
 	Log        *config.Log
 	Store      *config.Store
@@ -33,29 +33,29 @@
 	Metrics    *metric.Set
 	Status     func(context.Context) []EntryStatus
 	Ready      func() bool
-	Workspaces *auth.Workspaces // nil: calls carry no token
-	// Rollouts finds the roll-out of a service. Nil: this role carries out none, and
-	// accepts no orders for any.
+	Workspaces *auth.Workspaces // nil: requests are not authenticated
+	// Rollouts finds the rollout of a service. If nil, this role runs no
+	// rollouts and refuses orders for them.
 	Rollouts rolloutview.Find
 }
 
-// EntryStatus is what one instance has in force.
+// EntryStatus is the status of one instance.
 type EntryStatus struct {
 	ID          string    `json:"id"`
 	Instance    string    `json:"instance"`
 	Hall        string    `json:"hall"`
 	Leaving     bool      `json:"leaving,omitempty"`
-	Missing     string    `json:"missing,omitempty"` // why it did not answer
+	Missing     string    `json:"missing,omitempty"` // reason why its status is missing
 	Version     int64     `json:"version"`
 	Since       time.Time `json:"since"`
-	ConfirmedMs int64     `json:"confirmedMs"` // age of the last confirmation; -1: none
+	ConfirmedMs int64     `json:"confirmedMs"` // age of the last confirmation of the version; -1: none
 	Epoch       int64     `json:"epoch"`       // of the split of tokens
 
 	Pools           []PoolStatus `json:"pools,omitempty"`
 	BackendsLeaving []string     `json:"backendsLeaving,omitempty"`
 }
 
-// PoolStatus counts the tokens of one limit at one instance.
+// PoolStatus holds the token counts of one limit at one instance.
 type PoolStatus struct {
 	Pool     string `json:"pool"`
 	Size     int32  `json:"size"`
@@ -66,41 +66,41 @@
 	Borrowed int32  `json:"borrowed"`
 }
 
-// Applied is the answer to an accepted change.
-type Applied struct {
+// ApplyResponse is the response to an accepted change.
+type ApplyResponse struct {
 	Version   int64  `json:"version"`
 	Operation string `json:"operation"`
 }
 
-// Refused is the answer to a refused change.
-type Refused struct {
+// ErrorResponse is the response to a refused request.
+type ErrorResponse struct {
 	request.Result
 	Text    string            `json:"text"`
-	Present *version.Resource `json:"present,omitempty"` // on conflict
+	Present *version.Resource `json:"present,omitempty"` // current resource, on conflict
 }
 
-// Status is the answer to a status call.
-type Status struct {
-	Version int64         `json:"version"` // in force at the answering instance
-	InForce bool          `json:"inForce"` // everywhere; with wait, the awaited version
+// StatusResponse is the response to a status request.
+type StatusResponse struct {
+	Version int64         `json:"version"` // in force at the responding instance
+	InForce bool          `json:"inForce"` // at all instances; with wait, whether the awaited version is
 	Entries []EntryStatus `json:"entries"`
 }
 
-// maxBody bounds a call's body, in bytes.
-const maxBody = 8 << 20
+// maxBodyBytes limits the size of a request body.
+const maxBodyBytes = 8 << 20
 
-// Handler returns the HTTP handler.
+// Handler returns the HTTP handler of the API.
 func (a *Admin) Handler() (http.Handler, error) {
 	app := iris.New()
 	app.Logger().SetLevel("disable")
 	app.Get("/healthz", func(c iris.Context) { _, _ = c.WriteString("ok\n") })
 	app.Get("/readyz", a.ready)
-	app.Use(a.authenticate) // for all routes below
+	app.Use(a.authenticate) // applies to the routes registered below
 	app.Post("/v1/apply", a.apply)
-	app.Get("/v1/resources", a.list)
-	app.Get("/v1/resources/{kind}", a.list)
-	app.Get("/v1/resources/{kind}/{name}", a.get)
-	app.Delete("/v1/resources/{kind}/{name}", a.delete)
+	app.Get("/v1/resources", a.listResources)
+	app.Get("/v1/resources/{kind}", a.listResources)
+	app.Get("/v1/resources/{kind}/{name}", a.getResource)
+	app.Delete("/v1/resources/{kind}/{name}", a.deleteResource)
 	app.Get("/v1/rollouts/{service}", func(c iris.Context) { rolloutview.Serve(c.ResponseWriter(), c.Params().Get("service"), a.Rollouts) })
 	app.Get("/v1/watch", a.watch)
 	app.Get("/v1/status", a.status)
@@ -120,7 +120,7 @@
 }
 
 func (a *Admin) apply(c iris.Context) {
-	body, err := io.ReadAll(http.MaxBytesReader(c.ResponseWriter(), c.Request().Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(c.ResponseWriter(), c.Request().Body, maxBodyBytes))
 	if err != nil {
 		a.refuse(c, request.TooLarge, err)
 		return
@@ -134,16 +134,16 @@
 		a.refuse(c, request.Invalid, errors.New("no documents"))
 		return
 	}
-	if order, found := a.notCarriedOut(puts); found {
+	if order, found := a.findRolloutOrder(puts); found {
 		a.refuse(c, request.NotCarriedOut, errors.Errorf("%s: requests go to all backend servers of a service here, whatever version they run", order))
 		return
 	}
 	a.commit(c, version.Change{Puts: puts})
 }
 
-// notCarriedOut returns the first order for a roll-out, if this role carries out none: it
-// would be accepted, and nothing would follow.
-func (a *Admin) notCarriedOut(puts []version.Resource) (order version.Key, found bool) {
+// findRolloutOrder returns the first order for a rollout if this role runs no
+// rollouts. Such an order must be refused, because it would have no effect.
+func (a *Admin) findRolloutOrder(puts []version.Resource) (order version.Key, found bool) {
 	for _, r := range puts {
 		if a.Rollouts == nil && r.Kind == version.KindRollout {
 			return r.Key, true
@@ -152,45 +152,46 @@
 	return version.Key{}, false
 }
 
-func (a *Admin) delete(c iris.Context) {
+func (a *Admin) deleteResource(c iris.Context) {
 	v, err := strconv.ParseInt(c.URLParam("version"), 10, 64)
 	if err != nil || v <= 0 {
 		a.refuse(c, request.Invalid, errors.New("version: must name the version that the deletion is made against"))
 		return
 	}
-	a.commit(c, version.Change{Deletes: []version.Ref{{Key: keyOf(c), Version: v}}})
+	a.commit(c, version.Change{Deletes: []version.Ref{{Key: resourceKey(c), Version: v}}})
 }
 
-func keyOf(c iris.Context) version.Key {
+// resourceKey returns the key of the resource that the request path names.
+func resourceKey(c iris.Context) version.Key {
 	return version.Key{Kind: version.ParseKind(c.Params().Get("kind")), Name: c.Params().Get("name")}
 }
 
-// commitTimeout bounds the taking of a change to the platform.
+// commitTimeout limits the time for committing a change to the platform.
 const commitTimeout = 15 * time.Second
 
 func (a *Admin) commit(c iris.Context, ch version.Change) {
 	ch.Operation = cmp.Or(c.GetHeader(request.HeaderOperation), rand.Text())
 	c.Header(request.HeaderOperation, ch.Operation)
-	// A caller that goes away does not leave a change half known.
+	// The commit continues if the caller disconnects.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(c.Request().Context()), commitTimeout)
 	defer cancel()
 	check := func(*version.Config, *version.Change) error { return nil }
-	if workspace, ok := c.Values().Get(workspaceKey).(auth.Workspace); ok {
+	if workspace, ok := c.Values().Get(workspaceContextKey).(auth.Workspace); ok {
 		ch.Author = workspace.Name
-		check = workspace.Allowed
+		check = workspace.Authorize
 	}
 	seq, err := a.Log.Commit(ctx, ch, check)
 	if err != nil {
-		a.refuse(c, codeOf(err), err)
+		a.refuse(c, commitErrorCode(err), err)
 		return
 	}
 	a.Logger.Info().Int64("version", seq).Str("operation", ch.Operation).Int("puts", len(ch.Puts)).
 		Int("deletes", len(ch.Deletes)).Msg("accepted")
-	writeJSON(c, http.StatusOK, Applied{Version: seq, Operation: ch.Operation})
+	writeJSON(c, http.StatusOK, ApplyResponse{Version: seq, Operation: ch.Operation})
 }
 
-// codeOf numbers the error of a commit.
-func codeOf(err error) request.Code {
+// commitErrorCode returns the result code for an error of a commit.
+func commitErrorCode(err error) request.Code {
 	var conflict *version.ConflictError
 	var field *version.FieldError
 	switch {
@@ -200,15 +201,16 @@
 		return request.Invalid
 	case errors.Is(err, config.NotAllowed):
 		return request.Forbidden
-	case errors.Is(err, platform.Unknown):
+	case errors.Is(err, platform.ErrUnknownOutcome):
 		return request.CommitUnknown
 	}
 	return request.PlatformDown
 }
 
+// refuse responds with a result for a request that was not carried out.
 func (a *Admin) refuse(c iris.Context, code request.Code, err error) {
 	info := code.Info()
-	r := Refused{Result: request.NotRun(code, 0), Text: info.Text}
+	r := ErrorResponse{Result: request.NotRun(code, 0), Text: info.Text}
 	r.Name = info.Name
 	r.Detail = err.Error()
 	if code == request.CommitUnknown {
@@ -226,10 +228,10 @@
 func writeJSON(c iris.Context, status int, v any) {
 	c.ContentType("application/json")
 	c.StatusCode(status)
-	_ = json.NewEncoder(c.ResponseWriter()).Encode(v) // a caller that is gone needs no answer
+	_ = json.NewEncoder(c.ResponseWriter()).Encode(v) // fails only if the caller has disconnected
 }
 
-func (a *Admin) list(c iris.Context) {
+func (a *Admin) listResources(c iris.Context) {
 	rs := a.Store.Config().List(version.ParseKind(c.Params().Get("kind")))
 	if rs == nil {
 		rs = []version.Resource{}
@@ -237,17 +239,17 @@
 	writeJSON(c, http.StatusOK, rs)
 }
 
-func (a *Admin) get(c iris.Context) {
-	r, ok := a.Store.Config().Resources[keyOf(c)]
+func (a *Admin) getResource(c iris.Context) {
+	r, ok := a.Store.Config().Resources[resourceKey(c)]
 	if !ok {
-		a.refuse(c, request.NotFound, errors.Errorf("%s does not exist", keyOf(c)))
+		a.refuse(c, request.NotFound, errors.Errorf("%s does not exist", resourceKey(c)))
 		return
 	}
 	writeJSON(c, http.StatusOK, r)
 }
 
-// watch streams changes. One that is asked for from a version that is no
-// longer kept begins with the whole configuration as one change.
+// watch streams the changes after a version. If these are no longer kept, the
+// stream begins with the whole configuration as one change.
 func (a *Admin) watch(c iris.Context) {
 	from, err := strconv.ParseInt(cmp.Or(c.URLParam("from"), "0"), 10, 64)
 	if err != nil {
@@ -258,7 +260,7 @@
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	enc := json.NewEncoder(w)
 	for {
-		news := a.Store.News()
+		updated := a.Store.News()
 		changes, ok := a.Store.Since(from)
 		if !ok {
 			cfg := a.Store.Config()
@@ -272,44 +274,44 @@
 		}
 		w.Flush()
 		select {
-		case <-news:
+		case <-updated:
 		case <-c.Request().Context().Done():
 			return
 		}
 	}
 }
 
-// Times of a waiting status call.
+// Poll interval and default timeout of a status request with wait.
 const (
-	statusPoll     = 20 * time.Millisecond
-	defaultTimeout = 13 * time.Second
+	statusPollInterval   = 20 * time.Millisecond
+	defaultStatusTimeout = 13 * time.Second
 )
 
 func (a *Admin) status(c iris.Context) {
 	ctx := c.Request().Context()
-	st := Status{Version: a.Store.Config().Seq}
-	want := st.Version
+	st := StatusResponse{Version: a.Store.Config().Seq}
+	wantVersion := st.Version
 	if text := c.URLParam("wait"); text != "" {
-		w, err := strconv.ParseInt(text, 10, 64)
+		v, err := strconv.ParseInt(text, 10, 64)
 		if err != nil {
 			a.refuse(c, request.Invalid, errors.New("wait: must be a version"))
 			return
 		}
-		want = w
+		wantVersion = v
 	}
-	timeout, err := time.ParseDuration(cmp.Or(c.URLParam("timeout"), defaultTimeout.String()))
+	timeout, err := time.ParseDuration(cmp.Or(c.URLParam("timeout"), defaultStatusTimeout.String()))
 	if err != nil {
 		a.refuse(c, request.Invalid, errors.New("timeout: must be a duration like 5s"))
 		return
 	}
-	limit := time.Now().Add(timeout)
+	deadline := time.Now().Add(timeout)
 	for {
 		st.Entries = a.Status(ctx)
-		st.InForce = inForce(st.Entries, want)
-		if st.InForce || c.URLParam("wait") == "" || time.Now().After(limit) || ctx.Err() != nil {
+		st.InForce = inForce(st.Entries, wantVersion)
+		if st.InForce || c.URLParam("wait") == "" || time.Now().After(deadline) || ctx.Err() != nil {
 			break
 		}
-		time.Sleep(statusPoll)
+		time.Sleep(statusPollInterval)
 	}
 	st.Version = a.Store.Config().Seq
 	code := http.StatusOK
@@ -320,6 +322,7 @@
 	writeJSON(c, code, st)
 }
 
+// inForce reports whether all instances have at least version want in force.
 func inForce(entries []EntryStatus, want int64) bool {
 	for _, e := range entries {
 		if e.Missing != "" || e.Version < want {
--- a/process/admin/authenticate.go
+++ b/process/admin/authenticate.go
@@ -13,34 +13,34 @@
 	"shalewick/request"
 )
 
-// workspaceKey names the caller's workspace among a call's values.
-const workspaceKey = "workspace"
+// workspaceContextKey is the key of the caller's workspace in the request context.
+const workspaceContextKey = "workspace"
 
-const bearer = "Bearer "
+const bearerPrefix = "Bearer "
 
-// authenticate finds the workspace of a call's token and refuses the call if there
-// is none.
+// authenticate stores the workspace of the request's token in the request
+// context, and refuses the request if there is none.
 func (a *Admin) authenticate(c iris.Context) {
 	if a.Workspaces == nil {
 		c.Next()
 		return
 	}
-	token, _ := strings.CutPrefix(c.GetHeader("Authorization"), bearer)
+	token, _ := strings.CutPrefix(c.GetHeader("Authorization"), bearerPrefix)
 	workspace, err := a.Workspaces.Find(token, time.Now())
 	if err != nil {
-		a.refuse(c, tokenCode(err), err)
+		a.refuse(c, tokenErrorCode(err), err)
 		return
 	}
-	c.Values().Set(workspaceKey, workspace)
+	c.Values().Set(workspaceContextKey, workspace)
 	c.Next()
 }
 
-// tokenCode numbers the error of a token.
-func tokenCode(err error) request.Code {
+// tokenErrorCode returns the result code for an invalid token.
+func tokenErrorCode(err error) request.Code {
 	switch {
-	case errors.Is(err, auth.Missing):
+	case errors.Is(err, auth.ErrTokenMissing):
 		return request.TokenMissing
-	case errors.Is(err, auth.Expired):
+	case errors.Is(err, auth.ErrTokenExpired):
 		return request.TokenExpired
 	}
 	return request.TokenWrong
--- a/process/admin/doc.go
+++ b/process/admin/doc.go
@@ -1,23 +1,23 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package admin is the side of an instance that operators see.
+Package admin serves the HTTP API for operators.
 
-	POST   /v1/apply                    documents to write; see below
+	POST   /v1/apply                    write documents; see below
 	GET    /v1/resources                all resources
-	GET    /v1/resources/{kind}         those of a kind
-	GET    /v1/resources/{kind}/{name}  one
+	GET    /v1/resources/{kind}         resources of a kind
+	GET    /v1/resources/{kind}/{name}  one resource
 	DELETE /v1/resources/{kind}/{name}?version=N
-	GET    /v1/rollouts/{service}       where the roll-out of a service stands
-	GET    /v1/watch?from=N             changes above N, a JSON line each, as they come
-	GET    /v1/status                   what each instance has in force
+	GET    /v1/rollouts/{service}       state of a service's rollout
+	GET    /v1/watch?from=N             stream of changes after N, one JSON line each
+	GET    /v1/status                   status of each instance
 	GET    /v1/status?wait=N&timeout=T  returns once N is in force everywhere
 	GET    /metrics, /healthz, /readyz
 
-Every change names, for each resource, the version that it was made against. A
-call can carry an operation id in the header Shalewick-Operation; a call that is
-made again with the same id is not carried out twice. Refusals are results as
-in package request. A role that carries out no roll-outs refuses a change that orders
-one as a whole.
+A change names, for each resource, the version that it was based on. A request
+can carry an operation id in the header Shalewick-Operation, which makes it
+idempotent: a retry with the same id is not carried out twice. Errors are
+results as in package request. A role that does not run rollouts refuses the
+whole of a change that orders one.
 */
 package admin
--- a/process/admin/rollout_test.go
+++ b/process/admin/rollout_test.go
@@ -26,7 +26,7 @@
 	"shalewick/version"
 )
 
-const places = `
+const baseDocuments = `
 kind: region
 name: r
 spec: {}
@@ -40,7 +40,7 @@
 spec: {routes: [{prefix: /, class: read, deadline: 1s}]}
 `
 
-// fixture is an instance's admin API on a stand-in of the platform, with a client.
+// fixture is an instance's admin API with a stand-in for the platform, and a client.
 type fixture struct {
 	t      *testing.T
 	admin  *admin.Admin
@@ -48,13 +48,13 @@
 	url    string
 
 	mu     sync.Mutex
-	states []rolloutview.Status // told in turn, the last one on and on; none: not found
+	states []rolloutview.Status // returned by find in turn, the last one repeatedly; empty: not found
 }
 
-func newFixture(t *testing.T, carriesOut bool) *fixture {
+func newFixture(t *testing.T, runsRollouts bool) *fixture {
 	t.Helper()
-	var s standin.Server
-	p := httptest.NewServer(s.Handler())
+	var platformServer standin.Server
+	p := httptest.NewServer(platformServer.Handler())
 	t.Cleanup(p.Close)
 	f := &fixture{t: t}
 	store := &config.Store{Now: func() time.Duration { return 0 }, OnInstall: func(*version.Config, *version.View) {}}
@@ -62,7 +62,7 @@
 		Log: &config.Log{Platform: platform.NewClient(p.URL), Store: store}, Store: store, Logger: zerolog.Nop(), Metrics: metric.NewSet(),
 		Status: func(context.Context) []admin.EntryStatus { return nil }, Ready: func() bool { return true },
 	}
-	if carriesOut {
+	if runsRollouts {
 		f.admin.Rollouts = f.find
 	}
 	h, err := f.admin.Handler()
@@ -71,7 +71,7 @@
 	t.Cleanup(srv.Close)
 	f.url = srv.Listener.Addr().String()
 	f.client = operator.New([]string{f.url})
-	f.apply(places)
+	f.apply(baseDocuments)
 	return f
 }
 
@@ -95,17 +95,17 @@
 	return applied.Version
 }
 
-func code(t *testing.T, err error) request.Code {
+func resultCode(t *testing.T, err error) request.Code {
 	t.Helper()
 	var refused *operator.RefusedError
 	assert.Assert(t, errors.As(err, &refused), "%v", err)
 	return refused.Code
 }
 
-var key = version.Key{Kind: version.KindRollout, Name: "s"}
+var rolloutKey = version.Key{Kind: version.KindRollout, Name: "s"}
 
-// TestRolloutIsAResource writes, reads, replaces, watches and deletes an order.
-func TestRolloutIsAResource(t *testing.T) {
+// TestRolloutResource orders, reads, replaces, watches and deletes a rollout.
+func TestRolloutResource(t *testing.T) {
 	f := newFixture(t, true)
 	ctx := t.Context()
 	first, err := f.client.OrderRollout(ctx, version.Rollout{Service: "s", Target: "v2", Within: version.Duration(30 * time.Second)})
@@ -113,59 +113,59 @@
 	second, err := f.client.OrderRollout(ctx, version.Rollout{Service: "s", Target: "v3", Within: version.Duration(time.Minute)})
 	assert.NilError(t, err)
 	assert.Assert(t, second > first)
-	r, err := f.client.Get(ctx, key)
+	r, err := f.client.Get(ctx, rolloutKey)
 	assert.NilError(t, err)
 	assert.Equal(t, r.Version, second)
 	assert.DeepEqual(t, *r.Rollout, version.Rollout{Service: "s", Target: "v3", Within: version.Duration(time.Minute)})
 	all, err := f.client.List(ctx, version.KindRollout)
 	assert.NilError(t, err)
 	assert.Equal(t, len(all), 1)
-	seen := errors.New("seen")
+	errSeen := errors.New("seen")
 	err = f.client.Watch(ctx, first, func(ch version.Change) error {
 		assert.Equal(t, ch.Puts[0].Rollout.Target, "v3")
-		return seen
+		return errSeen
 	})
-	assert.Equal(t, err, seen)
+	assert.Equal(t, err, errSeen)
 	_, err = f.client.ApplyDocuments(ctx, []byte("kind: rollout\nname: other\nspec: {service: s, target: v4, within: 30s}\n"))
-	assert.Equal(t, code(t, err), request.Invalid)
-	_, err = f.client.Delete(ctx, key, second)
+	assert.Equal(t, resultCode(t, err), request.Invalid)
+	_, err = f.client.Delete(ctx, rolloutKey, second)
 	assert.NilError(t, err)
-	_, err = f.client.Get(ctx, key)
-	assert.Equal(t, code(t, err), request.NotFound)
+	_, err = f.client.Get(ctx, rolloutKey)
+	assert.Equal(t, resultCode(t, err), request.NotFound)
 }
 
-// TestRoleThatCarriesOutNoneSaysSo checks that an order is refused with all that comes
-// with it, and that nothing is written.
-func TestRoleThatCarriesOutNoneSaysSo(t *testing.T) {
+// TestRoleWithoutRolloutsRefusesOrders checks that a change that orders a rollout is refused
+// as a whole, and that nothing is written.
+func TestRoleWithoutRolloutsRefusesOrders(t *testing.T) {
 	f := newFixture(t, false)
 	before := f.admin.Store.Config().Seq
 	order := version.Rollout{Service: "s", Target: "v2", Within: version.Duration(time.Second)}
 	_, err := f.client.OrderRollout(t.Context(), order)
-	assert.Equal(t, code(t, err), request.NotCarriedOut)
+	assert.Equal(t, resultCode(t, err), request.NotCarriedOut)
 	assert.ErrorContains(t, err, "70 NOT_CARRIED_OUT: rollout/s: requests go to all backend servers")
 	_, err = f.client.ApplyDocuments(t.Context(), []byte("kind: region\nname: q\nspec: {}\n---\nkind: rollout\nname: s\nspec: {service: s, target: v2, within: 1s}\n"))
-	assert.Equal(t, code(t, err), request.NotCarriedOut)
+	assert.Equal(t, resultCode(t, err), request.NotCarriedOut)
 	assert.Equal(t, f.admin.Store.Config().Seq, before)
 	_, err = f.client.Rollout(t.Context(), "s")
-	assert.Equal(t, code(t, err), request.NotCarriedOut)
+	assert.Equal(t, resultCode(t, err), request.NotCarriedOut)
 }
 
-func record(order int64, phase rollout.Phase, cause string) *rollout.Record {
+func newRecord(order int64, phase rollout.Phase, cause string) *rollout.Record {
 	return &rollout.Record{Service: "s", Order: order, Target: "v2", Previous: "v1", Phase: phase, Cause: cause}
 }
 
-// TestRolloutIsFollowedToItsEnd checks that what is known of an earlier order ends no
-// wait, and that each state is told once.
-func TestRolloutIsFollowedToItsEnd(t *testing.T) {
+// TestFollowRolloutUntilItEnds checks that the record of an earlier order does not end the
+// wait, and that each state is reported once.
+func TestFollowRolloutUntilItEnds(t *testing.T) {
 	for _, end := range []rollout.Phase{rollout.Completed, rollout.Reverted} {
 		f := newFixture(t, true)
 		f.states = []rolloutview.Status{
-			{Service: "s", Order: 3, Record: record(3, rollout.Completed, "")},
-			{Service: "s", Order: 7, Record: record(3, rollout.Completed, "")},
-			{Service: "s", Order: 7, Record: record(7, rollout.Canary, "")},
-			{Service: "s", Order: 7, Record: record(7, rollout.Canary, "")},
-			{Service: "s", Record: record(7, rollout.Canary, "")},
-			{Service: "s", Order: 7, Record: record(7, end, "why")},
+			{Service: "s", Order: 3, Record: newRecord(3, rollout.Completed, "")},
+			{Service: "s", Order: 7, Record: newRecord(3, rollout.Completed, "")},
+			{Service: "s", Order: 7, Record: newRecord(7, rollout.Canary, "")},
+			{Service: "s", Order: 7, Record: newRecord(7, rollout.Canary, "")},
+			{Service: "s", Record: newRecord(7, rollout.Canary, "")},
+			{Service: "s", Order: 7, Record: newRecord(7, end, "why")},
 		}
 		var states []string
 		s, err := f.client.FollowRollout(t.Context(), "s", 7, func(s rolloutview.Status) { states = append(states, string(s.State())) })
@@ -175,24 +175,24 @@
 	}
 }
 
-// TestRolloutThatDoesNotEndIsSaid checks the end of the time, of one that an instance has
-// not heard of, and of one that nobody ordered.
-func TestRolloutThatDoesNotEndIsSaid(t *testing.T) {
+// TestFollowRolloutErrors checks the timeout of a rollout that the instance does not know
+// yet, and the error for a rollout that was not ordered.
+func TestFollowRolloutErrors(t *testing.T) {
 	f := newFixture(t, true)
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	_, err := f.client.FollowRollout(ctx, "s", 7, func(rolloutview.Status) {})
 	assert.ErrorContains(t, err, "the roll-out of s has not ended")
 	_, err = f.client.FollowRollout(t.Context(), "s", 0, func(rolloutview.Status) {})
-	assert.Equal(t, code(t, err), request.NotFound)
+	assert.Equal(t, resultCode(t, err), request.NotFound)
 }
 
-// TestStatusIsPrinted checks what operators read.
-func TestStatusIsPrinted(t *testing.T) {
+// TestPrintRollout checks the text that operators read.
+func TestPrintRollout(t *testing.T) {
 	var out strings.Builder
 	operator.PrintRollout(&out, &rolloutview.Status{
 		Service: "s", InForce: "v1", Order: 7, Target: "v2", Within: version.Duration(30 * time.Second),
-		Record: record(7, rollout.Reverted, "it fails more often"), Remaining: version.Duration(2 * time.Second),
+		Record: newRecord(7, rollout.Reverted, "it fails more often"), Remaining: version.Duration(2 * time.Second),
 	})
 	for _, want := range []string{
 		"state     reverted", "in force  v1", "order     7: v2 within 30s", "order 7: from v1 to v2, reverted", "cause     it fails more often", "left      2s",
--- a/process/auth/auth_test.go
+++ b/process/auth/auth_test.go
@@ -18,50 +18,50 @@
 	"shalewick/version"
 )
 
-func hash(token string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(token))) }
+func tokenHash(token string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(token))) }
 
-func write(t *testing.T, path, text string) {
+func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	assert.NilError(t, os.WriteFile(path, []byte(text), 0o600))
 }
 
-func TestTokens(t *testing.T) {
+func TestFindWorkspaceByToken(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "workspaces")
-	write(t, path, "workspaces:\n- {name: a, hash: "+hash("secret")+"}\n- {name: b, hash: "+hash("old")+", expires: 2020-01-01T00:00:00Z}\n")
-	workspaces, err := Open(path)
+	writeFile(t, path, "workspaces:\n- {name: a, hash: "+tokenHash("secret")+"}\n- {name: b, hash: "+tokenHash("old")+", expires: 2020-01-01T00:00:00Z}\n")
+	workspaces, err := OpenWorkspaces(path)
 	assert.NilError(t, err)
 	now := time.Now()
 	workspace, err := workspaces.Find("secret", now)
 	assert.NilError(t, err)
 	assert.Equal(t, workspace.Name, "a")
-	for token, want := range map[string]error{"": Missing, "secre": Wrong, "old": Expired} {
+	for token, want := range map[string]error{"": ErrTokenMissing, "secre": ErrTokenUnknown, "old": ErrTokenExpired} {
 		_, err := workspaces.Find(token, now)
 		assert.ErrorIs(t, err, want)
 	}
-	// A file that is spoilt leaves what was read before; a new one counts.
-	write(t, path, "workspaces: 5")
-	workspaces.file.looked = time.Time{}
+	// An invalid file leaves the previous content in use; a valid one replaces it.
+	writeFile(t, path, "workspaces: 5")
+	workspaces.file.checkedAt = time.Time{}
 	_, err = workspaces.Find("secret", now)
 	assert.NilError(t, err)
-	write(t, path, "workspaces:\n- {name: c, hash: "+hash("new")+"}\n")
-	workspaces.file.looked, workspaces.file.times = time.Time{}, nil
+	writeFile(t, path, "workspaces:\n- {name: c, hash: "+tokenHash("new")+"}\n")
+	workspaces.file.checkedAt, workspaces.file.modTimes = time.Time{}, nil
 	_, err = workspaces.Find("secret", now)
-	assert.ErrorIs(t, err, Wrong)
+	assert.ErrorIs(t, err, ErrTokenUnknown)
 }
 
-func TestBadTokensFile(t *testing.T) {
+func TestInvalidTokenFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "workspaces")
-	_, err := Open(path)
+	_, err := OpenWorkspaces(path)
 	assert.ErrorContains(t, err, "no such file")
-	write(t, path, "workspaces:\n- {name: a, hash: abc}\n")
-	_, err = Open(path)
+	writeFile(t, path, "workspaces:\n- {name: a, hash: abc}\n")
+	_, err = OpenWorkspaces(path)
 	assert.ErrorContains(t, err, "SHA-256")
-	write(t, path, "workspaces:\n- {name: a, token: abc}\n")
-	_, err = Open(path)
+	writeFile(t, path, "workspaces:\n- {name: a, token: abc}\n")
+	_, err = OpenWorkspaces(path)
 	assert.ErrorContains(t, err, "unknown field")
 }
 
-func TestWorkspaceChangesOnlyItsOwn(t *testing.T) {
+func TestAuthorizeChange(t *testing.T) {
 	rs, err := version.Parse([]byte(`
 kind: region
 name: r
@@ -112,28 +112,28 @@
 		"giving itself another's service":    {version.Change{Puts: []version.Resource{{Key: rs[3].Key, Service: &version.Service{Workspace: "a"}}}}, false},
 	} {
 		tc.ch.Seq = 2
-		assert.Equal(t, workspace.Allowed(c, &tc.ch) == nil, tc.ok, name)
-		assert.NilError(t, admin.Allowed(c, &tc.ch), name)
+		assert.Equal(t, workspace.Authorize(c, &tc.ch) == nil, tc.ok, name)
+		assert.NilError(t, admin.Authorize(c, &tc.ch), name)
 	}
 }
 
-// shake makes one mutual handshake and returns the error that the client or
-// the server saw.
-func shake(t *testing.T, server, client *Identity) error {
+// handshake makes one mutual TLS handshake and returns the error of the client
+// or, if it has none, of the server.
+func handshake(t *testing.T, server, client *Identity) error {
 	t.Helper()
-	l, err := tls.Listen("tcp", "127.0.0.1:0", server.Server(true))
+	l, err := tls.Listen("tcp", "127.0.0.1:0", server.ServerConfig(true))
 	assert.NilError(t, err)
 	defer l.Close()
-	seen := make(chan error, 1)
+	serverErr := make(chan error, 1)
 	go func() {
 		c, err := l.Accept()
 		if err == nil {
 			err = c.(*tls.Conn).Handshake()
 			_ = c.Close()
 		}
-		seen <- err
+		serverErr <- err
 	}()
-	cfg, err := client.Client()
+	cfg, err := client.ClientConfig()
 	assert.NilError(t, err)
 	cfg.ServerName = "127.0.0.1"
 	raw, err := net.Dial("tcp", l.Addr().String())
@@ -143,26 +143,26 @@
 	if err := c.Handshake(); err != nil {
 		return err
 	}
-	return <-seen
+	return <-serverErr
 }
 
-func TestInstancesKnowEachOther(t *testing.T) {
+func TestMutualTLS(t *testing.T) {
 	dir := t.TempDir()
 	ours, others := authtest.NewAuthority(t), authtest.NewAuthority(t)
-	open := func(a *authtest.Authority, name string, life time.Duration) *Identity {
-		cert, key, authority := a.Write(t, filepath.Join(dir, name), life)
+	open := func(a *authtest.Authority, name string, validity time.Duration) *Identity {
+		cert, key, authority := a.Write(t, filepath.Join(dir, name), validity)
 		i, err := OpenIdentity(cert, key, authority)
 		assert.NilError(t, err)
 		return i
 	}
 	a, b := open(ours, "a", time.Hour), open(ours, "b", time.Hour)
-	assert.NilError(t, shake(t, a, b))
-	assert.Assert(t, shake(t, a, open(others, "c", time.Hour)) != nil, "another authority")
-	assert.Assert(t, shake(t, a, open(ours, "d", -time.Minute)) != nil, "expired")
-	// A new certificate is taken up without a restart.
+	assert.NilError(t, handshake(t, a, b))
+	assert.Assert(t, handshake(t, a, open(others, "c", time.Hour)) != nil, "another authority")
+	assert.Assert(t, handshake(t, a, open(ours, "d", -time.Minute)) != nil, "expired")
+	// A renewed certificate is used without a restart.
 	e := open(ours, "e", -time.Minute)
-	assert.Assert(t, shake(t, a, e) != nil)
+	assert.Assert(t, handshake(t, a, e) != nil)
 	ours.Write(t, filepath.Join(dir, "e"), time.Hour)
-	e.file.looked, e.file.times = time.Time{}, nil
-	assert.NilError(t, shake(t, a, e))
+	e.file.checkedAt, e.file.modTimes = time.Time{}, nil
+	assert.NilError(t, handshake(t, a, e))
 }
--- a/process/auth/authtest/authority.go
+++ b/process/auth/authtest/authority.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 
-// Package authtest makes certificates for tests.
+// Package authtest creates certificates for tests.
 package authtest
 
 import (
@@ -26,7 +26,7 @@
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority makes an authority.
+// NewAuthority creates a certificate authority that is valid for an hour.
 func NewAuthority(t testing.TB) *Authority {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -42,15 +42,16 @@
 	return &Authority{cert: cert, key: key}
 }
 
-// Write writes a certificate for 127.0.0.1, its key and the authority into a
-// directory, and returns the three paths.
-func (a *Authority) Write(t testing.TB, dir string, life time.Duration) (cert, key, authority string) {
+// Write creates a certificate for 127.0.0.1 that expires after validity. It
+// writes the certificate, its key and the authority to files in dir, and returns
+// their paths.
+func (a *Authority) Write(t testing.TB, dir string, validity time.Duration) (cert, key, authority string) {
 	t.Helper()
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(t, err)
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: "instance"},
-		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(life), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
+		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(validity), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &k.PublicKey, a.key)
@@ -58,10 +59,10 @@
 	keyDER, err := x509.MarshalPKCS8PrivateKey(k)
 	assert.NilError(t, err)
 	assert.NilError(t, os.MkdirAll(dir, 0o700))
-	put := func(name, kind string, der []byte) string {
+	writePEM := func(name, kind string, der []byte) string {
 		path := filepath.Join(dir, name)
 		assert.NilError(t, os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600))
 		return path
 	}
-	return put("cert.pem", "CERTIFICATE", der), put("key.pem", "PRIVATE KEY", keyDER), put("authority.pem", "CERTIFICATE", a.cert.Raw)
+	return writePEM("cert.pem", "CERTIFICATE", der), writePEM("key.pem", "PRIVATE KEY", keyDER), writePEM("authority.pem", "CERTIFICATE", a.cert.Raw)
 }
--- a/process/auth/doc.go
+++ b/process/auth/doc.go
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package auth tells who calls.
+Package auth authenticates operators and instances.
 
-Operators carry the token of their workspace. The tokens' file holds only hashes:
+Operators authenticate with the token of their workspace. The token file holds
+only hashes:
 
 	workspaces:
 	- name: auctions
@@ -14,11 +15,12 @@
 	  admin: true
 
 A hash is the SHA-256 of the token in hex. A workspace may change the services that
-name it, and what belongs to these: backend servers, shifts, and drains of backend servers.
-Regions, halls, links and drains of whole places need an admin workspace.
+name it and the resources of these services: backend servers, shifts, rollouts, and drains
+of backend servers. Regions, halls, links and drains of regions and halls need an admin
+workspace.
 
-Instances know each other by certificates of a common authority (Identity).
-Both kinds of file are read again when they change; a file that can not be read
-leaves what was read before in use.
+Instances authenticate each other by certificates of a common authority (Identity).
+Both kinds of files are read again when they change. If a file can't be read, the
+previous content stays in use.
 */
 package auth
--- a/process/auth/identity.go
+++ b/process/auth/identity.go
@@ -10,25 +10,27 @@
 	"github.com/juju/errors"
 )
 
-// Identity is an instance's certificate and the authority of all instances.
+// Identity holds an instance's certificate and the certificate authority of all
+// instances. The files are read again when they change.
 type Identity struct {
-	file watched[*material]
+	file watchedFiles[*keyMaterial]
 }
 
-// material is what was read from the files.
-type material struct {
+// keyMaterial is the parsed content of the files.
+type keyMaterial struct {
 	cert tls.Certificate
 	pool *x509.CertPool
 }
 
-// OpenIdentity reads certificate, key and authority from PEM files.
+// OpenIdentity reads a certificate, its key and the certificate authority from
+// PEM files.
 func OpenIdentity(cert, key, authority string) (*Identity, error) {
-	i := &Identity{file: watched[*material]{paths: []string{cert, key, authority}, read: readMaterial}}
+	i := &Identity{file: watchedFiles[*keyMaterial]{paths: []string{cert, key, authority}, read: readKeyMaterial}}
 	_, err := i.file.get()
 	return i, err
 }
 
-func readMaterial(paths []string) (*material, error) {
+func readKeyMaterial(paths []string) (*keyMaterial, error) {
 	cert, err := tls.LoadX509KeyPair(paths[0], paths[1])
 	if err != nil {
 		return nil, errors.Annotate(err, "certificate and key")
@@ -41,12 +43,12 @@
 	if !pool.AppendCertsFromPEM(pem) {
 		return nil, errors.Errorf("authority: no certificate in %s", paths[2])
 	}
-	return &material{cert: cert, pool: pool}, nil
+	return &keyMaterial{cert: cert, pool: pool}, nil
 }
 
-// Server returns the settings of a listener that asks callers for a
-// certificate of the authority, when mutual is set.
-func (i *Identity) Server(mutual bool) *tls.Config {
+// ServerConfig returns the TLS configuration of a listener. If mutual is set,
+// clients must present a certificate of the authority.
+func (i *Identity) ServerConfig(mutual bool) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -64,9 +66,10 @@
 	}
 }
 
-// Client returns the settings for calls to another instance. Its certificate
-// must be of the authority and name the address that is called.
-func (i *Identity) Client() (*tls.Config, error) {
+// ClientConfig returns the TLS configuration for connections to other instances.
+// Their certificates must be signed by the authority and name the address that
+// is dialled.
+func (i *Identity) ClientConfig() (*tls.Config, error) {
 	m, err := i.file.get()
 	if m == nil {
 		return nil, err
--- a/process/auth/watched.go
+++ b/process/auth/watched.go
@@ -8,49 +8,52 @@
 	"time"
 )
 
-// lookEvery is how often files are looked at for a change.
-const lookEvery = time.Second
+// checkInterval is how often files are checked for changes.
+const checkInterval = time.Second
 
-// watched is a value read from files, which is read again when one changes.
-type watched[T any] struct {
+// watchedFiles holds a value that is read from files, and read again when one of
+// them changes.
+type watchedFiles[T any] struct {
 	paths []string
 	read  func(paths []string) (T, error)
 
-	mu     sync.Mutex
-	value  T
-	set    bool
-	looked time.Time
-	times  []time.Time // of the files' last change, as read
+	mu        sync.Mutex
+	value     T
+	loaded    bool
+	checkedAt time.Time
+	modTimes  []time.Time // of the files when value was read
 }
 
-// get returns the value. After a failed reading it is the one read before,
-// with the error.
-func (w *watched[T]) get() (T, error) {
+// get returns the current value. If reading fails, it returns the previous
+// value and the error.
+func (w *watchedFiles[T]) get() (T, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.set && time.Since(w.looked) < lookEvery {
+	if w.loaded && time.Since(w.checkedAt) < checkInterval {
 		return w.value, nil
 	}
-	w.looked = time.Now()
-	times, changed := w.changes()
-	if w.set && !changed {
+	w.checkedAt = time.Now()
+	times, changed := w.checkModTimes()
+	if w.loaded && !changed {
 		return w.value, nil
 	}
 	v, err := w.read(w.paths)
 	if err != nil {
 		return w.value, err
 	}
-	w.value, w.set, w.times = v, true, times
+	w.value, w.loaded, w.modTimes = v, true, times
 	return v, nil
 }
 
-func (w *watched[T]) changes() (times []time.Time, changed bool) {
+// checkModTimes returns the modification times of the files, and whether one
+// differs from that of the last read.
+func (w *watchedFiles[T]) checkModTimes() (times []time.Time, changed bool) {
 	times = make([]time.Time, len(w.paths))
 	for i, p := range w.paths {
 		if info, err := os.Stat(p); err == nil {
 			times[i] = info.ModTime()
 		}
-		changed = changed || i >= len(w.times) || !times[i].Equal(w.times[i])
+		changed = changed || i >= len(w.modTimes) || !times[i].Equal(w.modTimes[i])
 	}
 	return times, changed
 }
--- a/process/auth/workspace.go
+++ b/process/auth/workspace.go
@@ -15,14 +15,14 @@
 	"shalewick/version"
 )
 
-// The reasons why a caller is not known.
+// Reasons why a token is not accepted.
 const (
-	Missing = errors.ConstError("no token was given")
-	Wrong   = errors.ConstError("no workspace has this token")
-	Expired = errors.ConstError("the token has expired")
+	ErrTokenMissing = errors.ConstError("no token was given")
+	ErrTokenUnknown = errors.ConstError("no workspace has this token")
+	ErrTokenExpired = errors.ConstError("the token has expired")
 )
 
-// Workspace is whoever has a token.
+// Workspace is a workspace with its token, as listed in the token file.
 type Workspace struct {
 	Name string `json:"name"`
 	// Hash is the SHA-256 of the token, in hex.
@@ -33,16 +33,16 @@
 	sum [sha256.Size]byte
 }
 
-// Workspaces is the tokens' file. Use Open to make one.
+// Workspaces is the token file. Use OpenWorkspaces to create one.
 type Workspaces struct {
-	file watched[[]Workspace]
+	file watchedFiles[[]Workspace]
 }
 
-// Open reads the tokens' file at a path.
-func Open(path string) (*Workspaces, error) {
-	t := &Workspaces{file: watched[[]Workspace]{paths: []string{path}, read: readWorkspaces}}
-	_, err := t.file.get()
-	return t, err
+// OpenWorkspaces reads the token file at path.
+func OpenWorkspaces(path string) (*Workspaces, error) {
+	w := &Workspaces{file: watchedFiles[[]Workspace]{paths: []string{path}, read: readWorkspaces}}
+	_, err := w.file.get()
+	return w, err
 }
 
 func readWorkspaces(paths []string) ([]Workspace, error) {
@@ -57,21 +57,21 @@
 		return nil, errors.Annotate(err, paths[0])
 	}
 	for i := range f.Workspaces {
-		t := &f.Workspaces[i]
-		sum, err := hex.DecodeString(t.Hash)
-		if err != nil || len(sum) != sha256.Size || t.Name == "" {
+		w := &f.Workspaces[i]
+		sum, err := hex.DecodeString(w.Hash)
+		if err != nil || len(sum) != sha256.Size || w.Name == "" {
 			return nil, errors.Errorf("%s: workspace %d needs a name, and as hash the SHA-256 of its token in hex", paths[0], i+1)
 		}
-		copy(t.sum[:], sum)
+		copy(w.sum[:], sum)
 	}
 	return f.Workspaces, nil
 }
 
-// Find returns the workspace of a token. Its time does not depend on how much of
-// the token is right.
+// Find returns the workspace of a token. It compares in constant time, so that
+// its duration does not reveal how much of a token is correct.
 func (w *Workspaces) Find(token string, now time.Time) (Workspace, error) {
 	if token == "" {
-		return Workspace{}, Missing
+		return Workspace{}, ErrTokenMissing
 	}
 	workspaces, err := w.file.get()
 	if workspaces == nil {
@@ -85,25 +85,26 @@
 		}
 	}
 	if found < 0 {
-		return Workspace{}, Wrong
+		return Workspace{}, ErrTokenUnknown
 	}
 	workspace := workspaces[found]
 	if !workspace.Expires.IsZero() && now.After(workspace.Expires) {
-		return Workspace{}, Expired
+		return Workspace{}, ErrTokenExpired
 	}
 	return workspace, nil
 }
 
-// Allowed returns an error that names the first resource of a change that a
-// workspace may not touch. What counts is who owns it before and after the change.
-func (w *Workspace) Allowed(c *version.Config, ch *version.Change) error {
+// Authorize returns an error that names the first resource of a change that the
+// workspace may not change. It must own each resource both before and after the
+// change.
+func (w *Workspace) Authorize(c *version.Config, ch *version.Change) error {
 	if w.Admin {
 		return nil
 	}
 	next := c.Apply(*ch)
 	for _, ref := range ch.Refs() {
 		for _, cfg := range []*version.Config{c, next} {
-			if r, ok := cfg.Resources[ref.Key]; ok && owner(cfg, &r) != w.Name {
+			if r, ok := cfg.Resources[ref.Key]; ok && owningWorkspace(cfg, &r) != w.Name {
 				return errors.Errorf("%s does not belong to workspace %s", ref.Key, w.Name)
 			}
 		}
@@ -111,9 +112,9 @@
 	return nil
 }
 
-// owner returns the workspace that a resource belongs to, or "" for what only an
-// admin workspace may change.
-func owner(c *version.Config, r *version.Resource) string {
+// owningWorkspace returns the workspace that owns a resource, or "" if only an
+// admin workspace may change the resource.
+func owningWorkspace(c *version.Config, r *version.Resource) string {
 	service := ""
 	switch {
 	case r.Service != nil:
@@ -125,9 +126,9 @@
 	case r.Rollout != nil:
 		service = r.Rollout.Service
 	case r.Drain != nil && r.Drain.Backend != "":
-		u := c.Resources[version.Key{Kind: version.KindBackend, Name: r.Drain.Backend}]
-		if u.Backend != nil {
-			service = u.Backend.Service
+		backend := c.Resources[version.Key{Kind: version.KindBackend, Name: r.Drain.Backend}]
+		if backend.Backend != nil {
+			service = backend.Backend.Service
 		}
 	}
 	if s := c.Resources[version.Key{Kind: version.KindService, Name: service}]; s.Service != nil {
--- a/process/config/commit.go
+++ b/process/config/commit.go
@@ -44,7 +44,7 @@
 func (l *Log) readHead(ctx context.Context) (head, int64, error) {
 	var h head
 	row, err := l.Platform.Get(ctx, tableConfig, keyHead)
-	if errors.Is(err, platform.NotFound) {
+	if errors.Is(err, platform.ErrNotFound) {
 		return h, 0, nil
 	}
 	if err != nil {
@@ -161,23 +161,23 @@
 		switch {
 		case err == nil:
 			return l.accepted(numbered, next)
-		case errors.Is(err, platform.Conflict):
+		case errors.Is(err, platform.ErrConflict):
 			continue
-		case errors.Is(err, platform.Unavailable):
+		case errors.Is(err, platform.ErrUnavailable):
 			return 0, worst(unknown, err)
 		}
 		unknown = true // the next round reads back whether it was written
 	}
 	if unknown {
-		return 0, platform.Unknown
+		return 0, platform.ErrUnknownOutcome
 	}
-	return 0, errors.WithType(errors.New("too many changes at once"), platform.Unavailable)
+	return 0, errors.WithType(errors.New("too many changes at once"), platform.ErrUnavailable)
 }
 
 // worst returns Unknown for a failure after a write whose answer was lost.
 func worst(unknown bool, err error) error {
 	if unknown {
-		return errors.WithType(err, platform.Unknown)
+		return errors.WithType(err, platform.ErrUnknownOutcome)
 	}
 	return err
 }
@@ -234,7 +234,7 @@
 		}
 		h.Snapshot = c.Seq
 		ops = append(ops, platform.Op{Kind: platform.OpPut, Table: tableConfig, Key: keyHead, Revision: revision, Value: encode(h)})
-		if err := l.Platform.Commit(ctx, ops); !errors.Is(err, platform.Conflict) {
+		if err := l.Platform.Commit(ctx, ops); !errors.Is(err, platform.ErrConflict) {
 			return
 		}
 	}
--- a/process/config/commit_test.go
+++ b/process/config/commit_test.go
@@ -69,8 +69,8 @@
 	l := newLog(t, url)
 	s.SetFault(standin.Fault{Down: true})
 	_, err := l.Commit(context.Background(), region("a", "x", 0), anything)
-	assert.ErrorIs(t, err, platform.Unavailable)
-	assert.Assert(t, !errors.Is(err, platform.Unknown))
+	assert.ErrorIs(t, err, platform.ErrUnavailable)
+	assert.Assert(t, !errors.Is(err, platform.ErrUnknownOutcome))
 }
 
 func TestNewProcessReadsSnapshotAndChanges(t *testing.T) {
--- a/process/entry/entry.go
+++ b/process/entry/entry.go
@@ -142,7 +142,7 @@
 // loadCredentials reads the files that authenticate operators and instances.
 func (e *Entry) loadCredentials() (err error) {
 	if e.settings.WorkspaceTokens != "" {
-		if e.workspaces, err = auth.Open(e.settings.WorkspaceTokens); err != nil {
+		if e.workspaces, err = auth.OpenWorkspaces(e.settings.WorkspaceTokens); err != nil {
 			return errors.Annotate(err, "--workspace-tokens")
 		}
 	}
--- a/process/entry/exchange.go
+++ b/process/entry/exchange.go
@@ -92,7 +92,7 @@
 	if p.identity == nil {
 		return insecure.NewCredentials(), nil
 	}
-	c, err := p.identity.Client()
+	c, err := p.identity.ClientConfig()
 	return credentials.NewTLS(c), err
 }
 
--- a/process/entry/listen.go
+++ b/process/entry/listen.go
@@ -55,8 +55,8 @@
 	}
 	options := []grpc.ServerOption{grpc.StatsHandler(e.peers.traffic)}
 	if e.identity != nil {
-		options = append(options, grpc.Creds(credentials.NewTLS(e.identity.Server(true))))
-		adminListener = tls.NewListener(adminListener, e.identity.Server(false))
+		options = append(options, grpc.Creds(credentials.NewTLS(e.identity.ServerConfig(true))))
+		adminListener = tls.NewListener(adminListener, e.identity.ServerConfig(false))
 	}
 	e.grpc = grpc.NewServer(options...)
 	peer.RegisterPeerServer(e.grpc, &peerServer{entry: e})
--- a/process/entry/platform.go
+++ b/process/entry/platform.go
@@ -119,7 +119,7 @@
 // readSplit reads the split of tokens and records the revision of its row.
 func (e *Entry) readSplit(ctx context.Context) error {
 	row, err := e.platform.Get(ctx, tableSlots, keySplit)
-	if errors.Is(err, platform.NotFound) {
+	if errors.Is(err, platform.ErrNotFound) {
 		e.splitter.setRevision(0)
 		return nil
 	}
--- a/process/entry/secure_test.go
+++ b/process/entry/secure_test.go
@@ -62,7 +62,7 @@
 	foreign := start("foreign", others)
 	client := func(token string) *operator.Client {
 		c := operator.New([]string{one.settings.Admin})
-		cfg, err := one.identity.Client()
+		cfg, err := one.identity.ClientConfig()
 		assert.NilError(t, err)
 		c.TLS, c.Token = true, token
 		c.HTTP.Transport = &http.Transport{TLSClientConfig: &tls.Config{RootCAs: cfg.RootCAs}}
--- a/process/entry/split.go
+++ b/process/entry/split.go
@@ -194,7 +194,7 @@
 		e.splitter.expectedRevision = -1
 		e.log.Info().Int64("epoch", next.Epoch).Msg("split")
 		notify(e.pushNeeded)
-	case errors.Is(err, platform.Conflict), errors.Is(err, platform.Unavailable):
+	case errors.Is(err, platform.ErrConflict), errors.Is(err, platform.ErrUnavailable):
 		e.splitter.expectedRevision = -1
 	}
 }
--- a/process/entry/split_test.go
+++ b/process/entry/split_test.go
@@ -29,7 +29,7 @@
 // apply carries out a write if its condition holds.
 func (p *fakePlatform) apply(ops []platform.Op) error {
 	if ops[0].Revision != p.row.Revision {
-		return platform.Conflict
+		return platform.ErrConflict
 	}
 	p.row.Revision++
 	p.row.Value = ops[0].Value
@@ -55,7 +55,7 @@
 	p.onCommit = func(ops []platform.Op) error {
 		if delayed == nil {
 			delayed = ops // still in transit
-			return platform.Unknown
+			return platform.ErrUnknownOutcome
 		}
 		_ = p.apply(delayed) // takes effect now, before this write
 		return p.apply(ops)
--- a/process/member/registry.go
+++ b/process/member/registry.go
@@ -156,7 +156,7 @@
 	r.listed = make(map[string]bool, len(list))
 	for _, i := range list {
 		r.listed[i.Name] = true
-		if i.State == platform.Leaving {
+		if i.State == platform.StateLeaving {
 			r.leaving(i.Name)
 		}
 	}
--- a/process/member/registry_test.go
+++ b/process/member/registry_test.go
@@ -25,7 +25,7 @@
 }
 
 func TestDeadOnlyWhenLapsedAndUnlisted(t *testing.T) {
-	listed := []platform.Instance{{Name: "a", State: platform.Live}}
+	listed := []platform.Instance{{Name: "a", State: platform.StateLive}}
 	for name, tc := range map[string]struct {
 		act  func(r *Registry)
 		want bool
--- a/process/platform/platform.go
+++ b/process/platform/platform.go
@@ -15,26 +15,26 @@
 	"github.com/juju/errors"
 )
 
-// The ways in which a call fails.
+// Errors of calls to the platform.
 const (
-	Conflict    = errors.ConstError("a condition of the transaction did not hold")
-	Unavailable = errors.ConstError("the platform is not available; nothing was written")
-	Unknown     = errors.ConstError("the platform's answer was lost; the write may have taken effect")
-	NotFound    = errors.ConstError("no such row or object")
+	ErrConflict       = errors.ConstError("a condition of the transaction did not hold")
+	ErrUnavailable    = errors.ConstError("the platform is not available; nothing was written")
+	ErrUnknownOutcome = errors.ConstError("the platform's answer was lost; the write may have taken effect")
+	ErrNotFound       = errors.ConstError("no such row or object")
 )
 
 // Row is one row of a table.
 type Row struct {
 	Key string `json:"key"`
-	// Revision rises with each write of the row.
+	// Revision increases with each write of the row.
 	Revision int64           `json:"revision"`
 	Value    json.RawMessage `json:"value"`
 }
 
-// OpKind is what a transaction does with one row.
+// OpKind is the kind of an operation on one row.
 type OpKind string
 
-// The kinds of Op.
+// The kinds of operations. OpCheck only checks the row's revision.
 const (
 	OpCheck  OpKind = "check"
 	OpPut    OpKind = "put"
@@ -44,41 +44,42 @@
 // AnyRevision is the Revision of an Op without a condition.
 const AnyRevision int64 = -1
 
-// Op is one step of a transaction.
+// Op is one operation of a transaction.
 type Op struct {
 	Kind  OpKind `json:"kind"`
 	Table string `json:"table"`
 	Key   string `json:"key"`
-	// Revision is the one that the row must have: zero, the row must not
-	// exist; AnyRevision, no condition.
+	// Revision is the revision that the row must have. Zero means that the row
+	// must not exist, AnyRevision that there is no condition.
 	Revision int64           `json:"revision"`
 	Value    json.RawMessage `json:"value,omitempty"`
 }
 
-// InstanceState is what the list says of an instance.
+// InstanceState is the state of an instance in the platform's list.
 type InstanceState string
 
 // The states of a listed instance.
 const (
-	Live    InstanceState = "live"
-	Leaving InstanceState = "leaving"
+	StateLive    InstanceState = "live"
+	StateLeaving InstanceState = "leaving"
 )
 
-// Instance is an entry of the platform's list of instances, which lags.
+// Instance is an entry of the platform's list of instances. The list can be out
+// of date.
 type Instance struct {
 	Name  string        `json:"name"`
 	State InstanceState `json:"state"`
 }
 
-// Platform is what shalewick needs of the platform.
+// Platform is the interface of the platform.
 type Platform interface {
-	// Get returns one row, or NotFound.
+	// Get returns one row, or ErrNotFound.
 	Get(ctx context.Context, table, key string) (Row, error)
-	// Scan returns the rows with keys above after, in order of their keys.
+	// Scan returns the rows with keys greater than after, in key order.
 	Scan(ctx context.Context, table, after string) ([]Row, error)
-	// Commit carries out all ops or none.
+	// Commit carries out all ops atomically.
 	Commit(ctx context.Context, ops []Op) error
-	// GetObject returns an object, or NotFound.
+	// GetObject returns an object, or ErrNotFound.
 	GetObject(ctx context.Context, name string) ([]byte, error)
 	// PutObject stores an object.
 	PutObject(ctx context.Context, name string, data []byte) error
@@ -86,57 +87,57 @@
 	Instances(ctx context.Context) ([]Instance, error)
 }
 
-// Client is the HTTP form of Platform.
+// Client implements Platform over HTTP.
 type Client struct {
-	base string
-	http http.Client
+	baseURL    string
+	httpClient http.Client
 }
 
-// Timeout bounds each call of a Client.
-const Timeout = 2 * time.Second
+// CallTimeout limits the duration of each call of a Client.
+const CallTimeout = 2 * time.Second
 
-// maxObject bounds what is read from the platform in one call, in bytes.
-const maxObject = 64 << 20
+// maxResponseBytes limits the size of a response from the platform.
+const maxResponseBytes = 64 << 20
 
-// NewClient returns a client of the platform at base, like "http://127.0.0.1:7000".
-func NewClient(base string) *Client {
-	t := &http.Transport{MaxIdleConnsPerHost: 4, DialContext: (&net.Dialer{Timeout: Timeout}).DialContext}
-	return &Client{base: base, http: http.Client{Transport: t, Timeout: Timeout}}
+// NewClient returns a client of the platform at baseURL, like "http://127.0.0.1:7000".
+func NewClient(baseURL string) *Client {
+	transport := &http.Transport{MaxIdleConnsPerHost: 4, DialContext: (&net.Dialer{Timeout: CallTimeout}).DialContext}
+	return &Client{baseURL: baseURL, httpClient: http.Client{Transport: transport, Timeout: CallTimeout}}
 }
 
-// Get returns one row.
+// Get implements Platform.
 func (c *Client) Get(ctx context.Context, table, key string) (Row, error) {
 	var r Row
-	err := c.read(ctx, "/v1/tables/"+url.PathEscape(table)+"/"+url.PathEscape(key), &r)
+	err := c.getJSON(ctx, "/v1/tables/"+url.PathEscape(table)+"/"+url.PathEscape(key), &r)
 	return r, err
 }
 
-// Scan returns the rows above a key.
+// Scan implements Platform.
 func (c *Client) Scan(ctx context.Context, table, after string) ([]Row, error) {
 	var rs []Row
-	err := c.read(ctx, "/v1/tables/"+url.PathEscape(table)+"?after="+url.QueryEscape(after), &rs)
+	err := c.getJSON(ctx, "/v1/tables/"+url.PathEscape(table)+"?after="+url.QueryEscape(after), &rs)
 	return rs, err
 }
 
-// Instances returns the list of instances.
+// Instances implements Platform.
 func (c *Client) Instances(ctx context.Context) ([]Instance, error) {
 	var is []Instance
-	err := c.read(ctx, "/v1/instances", &is)
+	err := c.getJSON(ctx, "/v1/instances", &is)
 	return is, err
 }
 
-// GetObject returns an object.
+// GetObject implements Platform.
 func (c *Client) GetObject(ctx context.Context, name string) ([]byte, error) {
 	return c.call(ctx, http.MethodGet, "/v1/objects/"+url.PathEscape(name), nil)
 }
 
-// PutObject stores an object.
+// PutObject implements Platform.
 func (c *Client) PutObject(ctx context.Context, name string, data []byte) error {
 	_, err := c.call(ctx, http.MethodPut, "/v1/objects/"+url.PathEscape(name), data)
 	return err
 }
 
-// Commit carries out a transaction.
+// Commit implements Platform.
 func (c *Client) Commit(ctx context.Context, ops []Op) error {
 	b, err := json.Marshal(ops)
 	if err != nil {
@@ -146,50 +147,53 @@
 	return err
 }
 
-func (c *Client) read(ctx context.Context, path string, v any) error {
+// getJSON decodes the response to a GET request into v.
+func (c *Client) getJSON(ctx context.Context, path string, v any) error {
 	b, err := c.call(ctx, http.MethodGet, path, nil)
 	if err != nil {
 		return err
 	}
 	if err := json.Unmarshal(b, v); err != nil {
-		return errors.WithType(err, Unavailable)
+		return errors.WithType(err, ErrUnavailable)
 	}
 	return nil
 }
 
+// call sends one request and returns the response body.
 func (c *Client) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, errors.WithType(err, Unavailable)
+		return nil, errors.WithType(err, ErrUnavailable)
 	}
-	res, err := c.http.Do(req)
+	res, err := c.httpClient.Do(req)
 	if err != nil {
-		return nil, lost(method, err)
+		return nil, callError(method, err)
 	}
 	defer res.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(res.Body, maxObject))
+	b, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
-		return nil, lost(method, err)
+		return nil, callError(method, err)
 	}
 	switch res.StatusCode {
 	case http.StatusOK:
 		return b, nil
 	case http.StatusConflict:
-		return nil, Conflict
+		return nil, ErrConflict
 	case http.StatusNotFound:
-		return nil, NotFound
+		return nil, ErrNotFound
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return nil, errors.WithType(errors.Errorf("status %d", res.StatusCode), Unavailable)
+		return nil, errors.WithType(errors.Errorf("status %d", res.StatusCode), ErrUnavailable)
 	}
-	return nil, lost(method, errors.Errorf("status %d", res.StatusCode))
+	return nil, callError(method, errors.Errorf("status %d", res.StatusCode))
 }
 
-// lost tells a call that can not have taken effect from one that may have.
-func lost(method string, err error) error {
-	var op *net.OpError
-	dialed := !(errors.As(err, &op) && op.Op == "dial")
-	if method == http.MethodGet || !dialed {
-		return errors.WithType(err, Unavailable)
+// callError returns ErrUnavailable if the call can't have taken effect, because
+// it only reads or no connection was made, and else ErrUnknownOutcome.
+func callError(method string, err error) error {
+	var opErr *net.OpError
+	connected := !(errors.As(err, &opErr) && opErr.Op == "dial")
+	if method == http.MethodGet || !connected {
+		return errors.WithType(err, ErrUnavailable)
 	}
-	return errors.WithType(err, Unknown)
+	return errors.WithType(err, ErrUnknownOutcome)
 }
--- a/proof/cluster_test.go
+++ b/proof/cluster_test.go
@@ -169,7 +169,7 @@
 		name: name, hall: c.size.Hall(number),
 		front: ps[0].String(), peer: ps[1].String(), admin: ps[2].String(),
 	}
-	c.listed = append(c.listed, platform.Instance{Name: name, State: platform.Live})
+	c.listed = append(c.listed, platform.Instance{Name: name, State: platform.StateLive})
 	c.list()
 	c.runEntry(e)
 	c.entries = append(c.entries, e)
@@ -234,7 +234,7 @@
 }
 
 // apply writes resources and waits until they are in force everywhere.
-func (c *cluster) apply(rs ...version.Resource) admin.Applied {
+func (c *cluster) apply(rs ...version.Resource) admin.ApplyResponse {
 	c.t.Helper()
 	applied, err := c.op.Apply(context.Background(), rs)
 	assert.NilError(c.t, err)
