--- a/process/entry/doc.go
+++ b/process/entry/doc.go
@@ -13,8 +13,8 @@
 	health     the health of backend servers            process/health
 	admin      serves operators                         process/admin
 
-Each loop has a file of its own in this package: the gossip exchange with peers,
-the polling of the platform, the split of tokens, the borrowing of tokens and
-the probes of backend servers. So has the planned stop.
+The loops are in this package, one file each: the gossip exchange with peers, the
+polling of the platform, the split of tokens, the borrowing of tokens and the
+probes of backend servers. The planned stop has a file, too.
 */
 package entry
--- a/process/entry/stop.go
+++ b/process/entry/stop.go
@@ -31,7 +31,8 @@
 
 // Stop shuts the entry down gracefully. Callers first move to other instances;
 // then requests in flight are finished, and tickets and tokens are handed over.
-// The wait for requests in flight is limited to version.MaxDeadline.
+// Stop returns even if ctx is never done: the wait for requests in flight is
+// limited to version.MaxDeadline, the longest deadline of a request.
 func (e *Entry) Stop(ctx context.Context) {
 	start := e.now()
 	e.members.UpdateSelf(func(m *peer.Member) { m.Leaving = true })
