--- a/process/config/commit.go
+++ b/process/config/commit.go
@@ -44,7 +44,7 @@
 func (l *Log) readHead(ctx context.Context) (head, int64, error) {
 	var h head
 	row, err := l.Platform.Get(ctx, tableConfig, keyHead)
-	if errors.Is(err, platform.NotFound) {
+	if errors.Is(err, platform.ErrNotFound) {
 		return h, 0, nil
 	}
 	if err != nil {
@@ -161,24 +161,24 @@
 		switch {
 		case err == nil:
 			return l.adoptAccepted(numbered, next)
-		case errors.Is(err, platform.Conflict):
+		case errors.Is(err, platform.ErrConflict):
 			continue
-		case errors.Is(err, platform.Unavailable):
+		case errors.Is(err, platform.ErrUnavailable):
 			return 0, asUnknown(outcomeUnknown, err)
 		}
 		outcomeUnknown = true // the next attempt reads back whether it was written
 	}
 	if outcomeUnknown {
-		return 0, platform.Unknown
+		return 0, platform.ErrUnknownOutcome
 	}
-	return 0, errors.WithType(errors.New("too many changes at once"), platform.Unavailable)
+	return 0, errors.WithType(errors.New("too many changes at once"), platform.ErrUnavailable)
 }
 
 // asUnknown returns err as platform.Unknown if the response to an earlier write was
 // lost.
 func asUnknown(outcomeUnknown bool, err error) error {
 	if outcomeUnknown {
-		return errors.WithType(err, platform.Unknown)
+		return errors.WithType(err, platform.ErrUnknownOutcome)
 	}
 	return err
 }
@@ -237,7 +237,7 @@
 		}
 		h.Snapshot = c.Seq
 		ops = append(ops, platform.Op{Kind: platform.OpPut, Table: tableConfig, Key: keyHead, Revision: revision, Value: encode(h)})
-		if err := l.Platform.Commit(ctx, ops); !errors.Is(err, platform.Conflict) {
+		if err := l.Platform.Commit(ctx, ops); !errors.Is(err, platform.ErrConflict) {
 			return
 		}
 	}
--- a/process/member/registry_test.go
+++ b/process/member/registry_test.go
@@ -26,7 +26,7 @@
 }
 
 func TestDownOnlyIfHeartbeatExpiredAndUnlisted(t *testing.T) {
-	listed := []platform.Instance{{Name: "a", State: platform.Live}}
+	listed := []platform.Instance{{Name: "a", State: platform.StateLive}}
 	for name, tc := range map[string]struct {
 		apply func(r *Registry)
 		want  bool
