--- a/caller/caller.go
+++ b/caller/caller.go
@@ -21,36 +21,36 @@
 	"shalewick/retry"
 )
 
-// Request is one request.
+// Request describes a request to a service.
 type Request struct {
 	Service string
 	Method  string
-	Path    string // with the query
+	Path    string // including the query
 	Header  http.Header
 	Body    []byte
-	// Once marks a request that may not be repeated.
+	// AtMostOnce marks a request that must not be run more than once.
 	AtMostOnce bool
-	// Timeout bounds the whole of it; zero means DefaultTimeout.
+	// Timeout limits the request including all retries; zero means DefaultTimeout.
 	Timeout time.Duration
 }
 
-// DefaultTimeout is the timeout of a request that names none.
+// DefaultTimeout applies to requests without a Timeout.
 const DefaultTimeout = 10 * time.Second
 
-// Response is a whole answer of a backend server.
+// Response is the complete response of a backend server.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Refusal is the end of a request that got no whole answer.
+// RequestError is returned for a request without a complete response.
 type RequestError struct {
 	request.Result
-	Err error // the last failure, if it was not a result
+	Err error // last failure, unless an instance returned a Result
 }
 
-// Error describes the refusal.
+// Error describes the last failure, and whether the request ran.
 func (r *RequestError) Error() string {
 	if r.Err != nil {
 		return fmt.Sprintf("ran: %s: %v", r.Ran, r.Err)
@@ -60,15 +60,15 @@
 
 // Client sends requests. It is safe for concurrent use.
 type Client struct {
-	// Known are addresses of instances to start from.
+	// Seeds are the addresses of the instances used for the first lookup.
 	Seeds []string
-	// Address is the client's own, for the look-up; "" lets the instance see.
+	// Address is the client's own address, sent with lookups; if it is "", the
+	// instance uses the remote address of the connection.
 	Address string
-	// HTTP carries the calls.
-	HTTP *http.Client
+	HTTP    *http.Client
 
-	lookupSlot    chan struct{} // holds one look-up at a time
-	earlyTimeouts retry.Budget  // calls that were given up before the request's time
+	lookupSlot    chan struct{} // semaphore that admits one lookup at a time
+	earlyTimeouts retry.Budget  // attempts that were cancelled before the request's deadline
 	mu            sync.Mutex
 	entries       []string
 	entriesExpire time.Time
@@ -81,10 +81,10 @@
 	fetchedAt time.Time
 }
 
-// New returns a client that starts from known instances.
-func New(known []string) *Client {
+// New returns a client that finds instances through the seeds.
+func New(seeds []string) *Client {
 	t := &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}
-	return &Client{Seeds: known, lookupSlot: make(chan struct{}, 1), HTTP: &http.Client{Transport: t}}
+	return &Client{Seeds: seeds, lookupSlot: make(chan struct{}, 1), HTTP: &http.Client{Transport: t}}
 }
 
 const (
@@ -94,24 +94,25 @@
 	ticketMaxAge   = time.Minute
 	maxLookupBytes = 64 << 10
 	retryInterval  = 50 * time.Millisecond
-	// tryParts is the part of a request's time after which another instance
-	// is asked, and tryBody the largest body, in bytes, that is sent again.
+	// An attempt gets the remaining time of its request divided by
+	// attemptDivisor, unless the body is larger than maxRetryBody, in bytes.
 	attemptDivisor = 4
 	maxRetryBody   = 64 << 10
 )
 
-// sending is the course of one request.
+// requestState is the state of one request across its attempts.
 type requestState struct {
 	c            *Client
 	req          *Request
 	ticket       string
-	ticketIssuer string      // the instance that the ticket is of
-	ran          request.Ran // what is known so far
+	ticketIssuer string      // the instance that issued the ticket
+	ran          request.Ran // whether an earlier attempt may have run
 	failures     int
 	lastErr      RequestError
 }
 
-// Do sends a request until it has an answer, a final refusal, or no time left.
+// Do sends a request, and retries it until it gets a response, a final
+// rejection, or runs out of time.
 func (c *Client) Do(ctx context.Context, req *Request) (*Response, error) {
 	timeout := req.Timeout
 	if timeout == 0 {
@@ -122,11 +123,11 @@
 	c.earlyTimeouts.Deposit()
 	s := &requestState{c: c, req: req, ran: request.RanNo}
 	for ctx.Err() == nil {
-		res, retry, final := s.attempt(ctx)
+		res, delay, final := s.attempt(ctx)
 		if res != nil {
 			return res, nil
 		}
-		if final || !sleepBeforeDeadline(ctx, retry) {
+		if final || !sleepBeforeDeadline(ctx, delay) {
 			break
 		}
 	}
@@ -134,17 +135,18 @@
 	return nil, &s.lastErr
 }
 
-// sleepWithin waits, unless the context would end before.
+// sleepBeforeDeadline waits for d. It returns false at once if the context's
+// deadline comes earlier.
 func sleepBeforeDeadline(ctx context.Context, d time.Duration) bool {
-	if limit, ok := ctx.Deadline(); ok && time.Until(limit) < d {
+	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) < d {
 		return false
 	}
 	return clock.Sleep(ctx, d)
 }
 
-// try sends once. Without an answer it says when to try again, or that the
-// refusal is final.
-func (s *requestState) attempt(ctx context.Context) (res *Response, retry time.Duration, final bool) {
+// attempt sends the request once. Without a response it returns the delay
+// before the next attempt, or that the rejection is final.
+func (s *requestState) attempt(ctx context.Context) (res *Response, delay time.Duration, final bool) {
 	entry := s.ticketIssuer
 	if entry == "" || s.c.isAvoided(entry) {
 		var err error
@@ -162,11 +164,11 @@
 		}
 		s.ticket, s.ticketIssuer = t, entry
 	}
-	tryCtx, cancel := s.attemptContext(ctx)
+	attemptCtx, cancel := s.attemptContext(ctx)
 	defer cancel()
-	res, result, err := s.c.send(tryCtx, entry, s.req, s.ticket)
+	res, result, err := s.c.send(attemptCtx, entry, s.req, s.ticket)
 	if err != nil {
-		if tryCtx.Err() != nil && ctx.Err() == nil {
+		if attemptCtx.Err() != nil && ctx.Err() == nil {
 			s.c.earlyTimeouts.TryWithdraw()
 		}
 		s.recordFailure(entry, err)
@@ -178,21 +180,21 @@
 	return s.handleResult(entry, result)
 }
 
-// tryContext bounds one call, so that an instance that is silent does not use
-// up all the time. A large body may need the time that it takes; and when many
-// calls were given up early, all instances are slow, and asking more of them
-// would make it worse.
+// attemptContext limits one attempt, so that an unresponsive instance does not
+// use up the whole time of the request. Large bodies are exempt, since sending
+// them may take long. So are all requests once many attempts have timed out
+// early: then all instances are slow, and retries would add to the overload.
 func (s *requestState) attemptContext(ctx context.Context) (context.Context, context.CancelFunc) {
-	limit, ok := ctx.Deadline()
+	deadline, ok := ctx.Deadline()
 	if !ok || len(s.req.Body) > maxRetryBody || !s.c.earlyTimeouts.Available() {
 		return ctx, func() {}
 	}
-	return context.WithTimeout(ctx, max(time.Until(limit)/attemptDivisor, lookupTimeout))
+	return context.WithTimeout(ctx, max(time.Until(deadline)/attemptDivisor, lookupTimeout))
 }
 
-// broken takes note of a call that brought nothing. With a ticket the outcome
-// can be asked for by way of another instance; without one the request is
-// repeatable and is sent again.
+// recordFailure records an attempt without any result. With a ticket, the next
+// attempt queries the outcome through another instance; without one, the
+// request is repeatable and is sent again.
 func (s *requestState) recordFailure(entry string, err error) {
 	s.c.markFailed(entry)
 	s.lastErr = RequestError{Err: err}
@@ -200,8 +202,8 @@
 	s.failures++
 }
 
-// pause is the time before the next try after a broken call: none the first
-// time, since another instance is asked.
+// retryDelay returns the delay before the next attempt after a failure: zero
+// after the first one, since the next attempt uses another instance.
 func (s *requestState) retryDelay() time.Duration {
 	if s.failures <= 1 {
 		return 0
@@ -209,7 +211,8 @@
 	return retryInterval
 }
 
-// refused takes note of a result.
+// handleResult records a result, and returns when to retry and whether the
+// result is final.
 func (s *requestState) handleResult(entry string, r *request.Result) (*Response, time.Duration, bool) {
 	s.lastErr = RequestError{Result: *r}
 	if r.Code == request.Leaving {
@@ -219,8 +222,9 @@
 		s.ran = request.RanUnknown
 		return nil, r.Retry, r.Retry == 0 || s.ticket == ""
 	}
-	// Not run: the ticket is used up, the next try takes another. But if an
-	// earlier call with it may have run, this is not known of that one.
+	// Not run: the ticket is used up, and the next attempt takes another. This
+	// holds for earlier attempts with the same ticket too. Without a ticket, an
+	// earlier attempt may still have run.
 	if s.ticket != "" {
 		s.ran = request.RanNo
 		s.ticket, s.ticketIssuer = "", ""
@@ -228,7 +232,7 @@
 	return nil, r.Retry, r.Retry == 0
 }
 
-// send makes one call. Exactly one of the three is set.
+// send makes one attempt. Exactly one of the three return values is set.
 func (c *Client) send(ctx context.Context, entry string, req *Request, ticket string) (*Response, *request.Result, error) {
 	hr, err := http.NewRequestWithContext(ctx, req.Method, "http://"+entry+req.Path, bytes.NewReader(req.Body))
 	if err != nil {
@@ -240,8 +244,8 @@
 	id := strconv.FormatUint(rand.Uint64(), 36)
 	hr.Header.Set(request.HeaderID, id)
 	hr.Header.Set(request.HeaderService, req.Service)
-	if limit, ok := ctx.Deadline(); ok {
-		hr.Header.Set(request.HeaderDeadline, strconv.FormatInt(max(1, time.Until(limit).Milliseconds()), 10))
+	if deadline, ok := ctx.Deadline(); ok {
+		hr.Header.Set(request.HeaderDeadline, strconv.FormatInt(max(1, time.Until(deadline).Milliseconds()), 10))
 	}
 	if ticket != "" {
 		hr.Header.Set(request.HeaderTicket, ticket)
@@ -254,10 +258,10 @@
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
 	if err != nil {
-		return nil, nil, errors.Annotatef(err, "answer of %s", entry)
+		return nil, nil, errors.Annotatef(err, "read response of %s", entry)
 	}
 	if res.Header.Get(request.HeaderID) != id {
-		return nil, nil, errors.Errorf("answer of %s is to another request", entry)
+		return nil, nil, errors.Errorf("%s sent the response to another request", entry)
 	}
 	if res.Header.Get(front.HeaderEntry) != "" {
 		c.expireLookup()
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -18,9 +18,9 @@
 	"shalewick/request"
 )
 
-// slowEntries starts instances that answer look-ups at once and requests only
-// after a time; it returns their addresses and the count of requests.
-func startSlowInstances(t *testing.T, n int, answer time.Duration) (addresses []string, calls *atomic.Int64) {
+// startSlowInstances starts instances that respond to lookups at once and to
+// requests after a delay. It returns their addresses and a count of requests.
+func startSlowInstances(t *testing.T, n int, delay time.Duration) (addresses []string, calls *atomic.Int64) {
 	t.Helper()
 	calls = new(atomic.Int64)
 	for range n {
@@ -35,7 +35,7 @@
 				return
 			}
 			calls.Add(1)
-			time.Sleep(answer)
+			time.Sleep(delay)
 		}))
 		t.Cleanup(s.Close)
 		addresses = append(addresses, s.Listener.Addr().String())
@@ -43,43 +43,43 @@
 	return addresses, calls
 }
 
-// TestOverloadIsNotMadeWorse: when all instances are slow, requests are not
-// sent again and again.
+// Retries at other instances must not multiply the load when all instances
+// respond more slowly than the time limit of an attempt.
 func TestSlowInstancesCauseNoRetryStorm(t *testing.T) {
 	addresses, calls := startSlowInstances(t, 3, 600*time.Millisecond)
 	c := New(addresses)
 	const n = 100
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	var answered atomic.Int64
 	for range n {
-		all.Go(func() {
+		wg.Go(func() {
 			if _, err := c.Do(context.Background(), &Request{Service: "s", Method: "GET", Path: "/", Timeout: 1600 * time.Millisecond}); err == nil {
 				answered.Add(1)
 			}
 		})
 		time.Sleep(10 * time.Millisecond)
 	}
-	all.Wait()
+	wg.Wait()
 	t.Logf("%d requests, %d calls, %d answered", n, calls.Load(), answered.Load())
 	assert.Assert(t, calls.Load() <= 2*n, "%d calls for %d requests", calls.Load(), n)
 	assert.Assert(t, answered.Load() >= n*8/10)
 }
 
-// TestInstancesThatFailedAreBetterThanNone: when all instances failed lately, one
-// of them is used all the same.
+// When all instances failed recently, one of them is used without waiting until
+// its avoidance expires.
 func TestFailedInstanceIsUsedWithoutAlternative(t *testing.T) {
 	addresses, _ := startSlowInstances(t, 2, 0)
 	c := New(addresses)
 	for _, a := range addresses {
 		c.markFailed(a)
 	}
-	begun := time.Now()
+	start := time.Now()
 	_, err := c.Do(context.Background(), &Request{Service: "s", Method: "GET", Path: "/", Timeout: avoidDuration / 2})
 	assert.NilError(t, err)
-	assert.Assert(t, time.Since(begun) < avoidDuration/2)
+	assert.Assert(t, time.Since(start) < avoidDuration/2)
 }
 
-// TestOneLookupServesAll: requests that come together look up once.
+// Concurrent requests of a new client share one lookup.
 func TestConcurrentRequestsShareLookup(t *testing.T) {
 	var lookups atomic.Int64
 	var address string
@@ -94,13 +94,13 @@
 	t.Cleanup(s.Close)
 	address = s.Listener.Addr().String()
 	c := New([]string{address})
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for range 40 {
-		all.Go(func() {
+		wg.Go(func() {
 			_, err := c.Do(context.Background(), &Request{Service: "s", Method: "GET", Path: "/", Timeout: 2 * time.Second})
 			assert.Check(t, err)
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	assert.Equal(t, lookups.Load(), int64(1))
 }
--- a/caller/lookup.go
+++ b/caller/lookup.go
@@ -17,8 +17,8 @@
 	"shalewick/process/front"
 )
 
-// pick returns the instance to use now. If all have failed lately the one that
-// did so first is used: better one that may be slow than none.
+// pickInstance returns the instance to use. If all failed recently, it returns
+// the one whose failure is the oldest, since a slow instance is better than none.
 func (c *Client) pickInstance(ctx context.Context) (string, error) {
 	entries, fresh := c.cachedEntries()
 	if !fresh || c.firstUsable(entries) == "" {
@@ -36,19 +36,19 @@
 	if e := c.earliestFailed(entries); e != "" {
 		return e, nil
 	}
-	return "", errors.New("no instance is known")
+	return "", errors.New("no instances known")
 }
 
-// cached returns the instances that the last look-up named, and whether they may
-// still be used without another one.
+// cachedEntries returns the instances of the last lookup, and whether that
+// lookup is still valid.
 func (c *Client) cachedEntries() (entries []string, fresh bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.entries, time.Now().Before(c.entriesExpire)
 }
 
-// refresh looks up which instances to use. One request does that for all: the
-// others go on with what they have, if one of it is usable, or wait for it.
+// refresh looks up which instances to use. Concurrent requests share one lookup:
+// while it runs, the others continue with a usable stale instance, or wait.
 func (c *Client) refresh(ctx context.Context, stale []string) ([]string, error) {
 	if c.firstUsable(stale) != "" {
 		select {
@@ -65,7 +65,7 @@
 	}
 	defer func() { <-c.lookupSlot }()
 	if entries, fresh := c.cachedEntries(); fresh && c.firstUsable(entries) != "" {
-		return entries, nil // looked up meanwhile
+		return entries, nil // another request has done the lookup
 	}
 	return c.lookup(ctx)
 }
@@ -79,30 +79,30 @@
 	return ""
 }
 
-// failedFirst returns the instance that will be avoided no longer soonest.
+// earliestFailed returns the instance whose avoidance expires first.
 func (c *Client) earliestFailed(entries []string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	first := ""
+	earliest := ""
 	for _, e := range entries {
-		if first == "" || c.avoidUntil[e].Before(c.avoidUntil[first]) {
-			first = e
+		if earliest == "" || c.avoidUntil[e].Before(c.avoidUntil[earliest]) {
+			earliest = e
 		}
 	}
-	return first
+	return earliest
 }
 
-// lookup asks the cached and the known instances, in turn, which to use: those
-// that failed lately only if there is no other.
+// lookup queries the cached instances and the seeds in turn. Instances that
+// failed recently are skipped unless there is no other.
 func (c *Client) lookup(ctx context.Context) ([]string, error) {
 	c.mu.Lock()
-	ask := append(append([]string(nil), c.entries...), c.Seeds...)
+	candidates := append(append([]string(nil), c.entries...), c.Seeds...)
 	c.mu.Unlock()
-	usable := slices.DeleteFunc(slices.Clone(ask), c.isAvoided)
+	usable := slices.DeleteFunc(slices.Clone(candidates), c.isAvoided)
 	if len(usable) == 0 {
-		usable = append(usable, c.earliestFailed(ask))
+		usable = append(usable, c.earliestFailed(candidates))
 	}
-	err := errors.New("no instance is known")
+	err := errors.New("no instances known")
 	for _, address := range usable {
 		var entries []string
 		if entries, err = c.lookupAt(ctx, address); err == nil {
@@ -113,7 +113,7 @@
 	return nil, err
 }
 
-// ask asks one instance which to use, and keeps its answer.
+// lookupAt queries one instance for the instances to use, and caches its response.
 func (c *Client) lookupAt(ctx context.Context, address string) ([]string, error) {
 	var l front.Lookup
 	if err := c.callInstance(ctx, address, "lookup?client="+url.QueryEscape(c.Address), &l); err != nil {
@@ -130,7 +130,8 @@
 	return entries, nil
 }
 
-// call makes one of the system's own calls.
+// callInstance calls an endpoint of an instance itself and decodes the JSON
+// response into v.
 func (c *Client) callInstance(ctx context.Context, address, path string, v any) error {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
@@ -149,7 +150,8 @@
 	return errors.Trace(json.NewDecoder(io.LimitReader(res.Body, maxLookupBytes)).Decode(v))
 }
 
-// takeTicket returns a ticket of an instance.
+// takeTicket returns an unused ticket of an instance. It fetches a batch when
+// none is cached that is recent enough.
 func (c *Client) takeTicket(ctx context.Context, entry string) (string, error) {
 	c.mu.Lock()
 	for ts := c.tickets[entry]; len(ts) > 0; ts = c.tickets[entry] {
@@ -162,12 +164,12 @@
 	}
 	c.mu.Unlock()
 	var ts front.Tickets
-	taken := time.Now()
+	fetchedAt := time.Now()
 	if err := c.callInstance(ctx, entry, "tickets?n="+strconv.Itoa(ticketBatch), &ts); err != nil {
 		return "", err
 	}
 	if len(ts.Tickets) == 0 {
-		return "", errors.Errorf("%s gave no ticket", entry)
+		return "", errors.Errorf("%s issued no tickets", entry)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -175,12 +177,13 @@
 		c.tickets = make(map[string][]ticket)
 	}
 	for _, t := range ts.Tickets[1:] {
-		c.tickets[entry] = append(c.tickets[entry], ticket{text: t, fetchedAt: taken})
+		c.tickets[entry] = append(c.tickets[entry], ticket{text: t, fetchedAt: fetchedAt})
 	}
 	return ts.Tickets[0], nil
 }
 
-// failed avoids an instance for a while and drops its unused tickets.
+// markFailed avoids an instance for avoidDuration, drops its unused tickets and
+// expires the lookup.
 func (c *Client) markFailed(entry string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -198,7 +201,7 @@
 	return time.Now().Before(c.avoidUntil[entry])
 }
 
-// forget makes the next request ask which instances to use.
+// expireLookup makes the next request look up the instances again.
 func (c *Client) expireLookup() {
 	c.mu.Lock()
 	c.entriesExpire = time.Time{}
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -22,12 +22,12 @@
 	"shalewick/version"
 )
 
-// Client calls the first of several instances that answers.
+// Client calls the admin API of the first of several instances that responds.
 type Client struct {
 	Addresses []string // admin addresses of instances
 	HTTP      *http.Client
-	Token     string // of the workspace; "" where none is needed
-	TLS       bool   // call over TLS, with HTTP's settings
+	Token     string // token of the workspace; "" if the instances need none
+	TLS       bool   // call over TLS, as configured in HTTP
 }
 
 // url returns the URL of a path at an instance.
@@ -47,23 +47,23 @@
 	return req, err
 }
 
-// New returns a client.
+// New returns a client of the instances at the given admin addresses.
 func New(addresses []string) *Client {
 	return &Client{Addresses: addresses, HTTP: &http.Client{}}
 }
 
-// RefusedError is a call that was refused, with the result.
+// RefusedError is the error of a call that was rejected, with its result.
 type RefusedError struct {
 	admin.Refused
 }
 
-// Error gives the result's number, name and detail.
+// Error returns the code, name and detail of the result.
 func (e *RefusedError) Error() string {
 	return e.Code.String() + ": " + e.Detail
 }
 
-// Apply writes resources, each against the version that it names. After a
-// lost answer it asks again with the same operation id.
+// Apply writes resources, each if its version is still the current one. After
+// a lost response it retries with the same operation id.
 func (c *Client) Apply(ctx context.Context, rs []version.Resource) (admin.Applied, error) {
 	var body bytes.Buffer
 	for i := range rs {
@@ -77,26 +77,26 @@
 	return c.ApplyDocuments(ctx, body.Bytes())
 }
 
-// ApplyDocuments writes YAML or JSON documents.
+// ApplyDocuments writes resources given as YAML or JSON documents.
 func (c *Client) ApplyDocuments(ctx context.Context, docs []byte) (admin.Applied, error) {
 	return c.submitChange(ctx, http.MethodPost, "/v1/apply", docs)
 }
 
-// Delete removes a resource at a version.
+// Delete removes a resource if v is still its version.
 func (c *Client) Delete(ctx context.Context, k version.Key, v int64) (admin.Applied, error) {
 	return c.submitChange(ctx, http.MethodDelete, resourcePath(k)+"?version="+strconv.FormatInt(v, 10), nil)
 }
 
-// changePause is the time between two askings for the outcome of a change.
+// changeRetryInterval is the time between two queries for the outcome of a change.
 const changeRetryInterval = 200 * time.Millisecond
 
-// change makes a change. After an answer that was lost, or one that does not
-// tell whether it was accepted, it asks again with the same operation id until
-// it knows or the context ends. From then on, a refusal because the platform
-// is down no longer means that nothing was written.
+// submitChange makes a change. If the response is lost, or does not state
+// whether the change was accepted, it retries with the same operation id until
+// the outcome is known or the context ends. After such a retry, PlatformDown no
+// longer means that nothing was written, since an earlier attempt may have been.
 func (c *Client) submitChange(ctx context.Context, method, path string, body []byte) (admin.Applied, error) {
 	operation := rand.Text()
-	unsure := false
+	ambiguous := false // an earlier attempt may have been accepted
 	for {
 		var out admin.Applied
 		err := c.call(ctx, method, path, operation, body, &out)
@@ -104,13 +104,13 @@
 			return out, nil
 		}
 		var refused *RefusedError
-		told := errors.As(err, &refused) && refused.Code != request.CommitUnknown
-		if told && !(unsure && refused.Code == request.PlatformDown) {
+		definite := errors.As(err, &refused) && refused.Code != request.CommitUnknown
+		if definite && !(ambiguous && refused.Code == request.PlatformDown) {
 			return out, err
 		}
-		unsure = true
+		ambiguous = true
 		if !clock.Sleep(ctx, changeRetryInterval) {
-			return out, errors.Annotatef(err, "not known whether operation %s was accepted", operation)
+			return out, errors.Annotatef(err, "operation %s may have been accepted", operation)
 		}
 	}
 }
@@ -122,7 +122,7 @@
 	return r, err
 }
 
-// List returns the resources of a kind, or all for "".
+// List returns the resources of a kind, or all resources if kind is "".
 func (c *Client) List(ctx context.Context, kind version.Kind) ([]version.Resource, error) {
 	path := "/v1/resources"
 	if kind != "" {
@@ -133,15 +133,15 @@
 	return rs, err
 }
 
-// Status returns what each instance has in force.
+// Status returns the version that each instance has in force.
 func (c *Client) Status(ctx context.Context) (admin.Status, error) {
 	var st admin.Status
 	err := c.call(ctx, http.MethodGet, "/v1/status", "", nil, &st)
 	return st, err
 }
 
-// WaitInForce returns once a version is in force everywhere, or with the
-// status at the end of the time and an error.
+// WaitInForce waits until a version is in force at all instances. On timeout it
+// returns the last status and an error.
 func (c *Client) WaitInForce(ctx context.Context, v int64, timeout time.Duration) (admin.Status, error) {
 	var st admin.Status
 	path := "/v1/status?wait=" + strconv.FormatInt(v, 10) + "&timeout=" + timeout.String()
@@ -154,8 +154,8 @@
 	return st, nil
 }
 
-// Watch calls f for each change above a version, until the context ends or f
-// returns an error. A broken stream is resumed at another instance.
+// Watch calls f for each change after version from, until the context ends or f
+// returns an error. When the stream breaks, it resumes at another instance.
 func (c *Client) Watch(ctx context.Context, from int64, f func(version.Change) error) error {
 	for ctx.Err() == nil {
 		for _, a := range c.Addresses {
@@ -192,7 +192,7 @@
 			return false, errors.Trace(err)
 		}
 		if ch.Seq <= *from {
-			continue // another instance may lag behind
+			continue // already seen: this instance lags behind the previous one
 		}
 		*from = ch.Seq
 		if err := f(ch); err != nil {
@@ -211,9 +211,10 @@
 	maxResponseBytes = 64 << 20
 )
 
-// call makes one call at the first instance that answers.
+// call sends a request to the instances in turn until one responds, and decodes
+// the response into v.
 func (c *Client) call(ctx context.Context, method, path, operation string, body []byte, v any) error {
-	err := errors.New("no admin address is known")
+	err := errors.New("no admin addresses configured")
 	for _, a := range c.Addresses {
 		var done bool
 		if done, err = c.callInstance(ctx, a, method, path, operation, body, v); done {
--- a/operator/rollout.go
+++ b/operator/rollout.go
@@ -20,54 +20,54 @@
 	"shalewick/version"
 )
 
-// rolloutPause is the time between two askings for the state of a roll-out.
+// rolloutPollInterval is the time between two queries for the status of a rollout.
 const rolloutPollInterval = 250 * time.Millisecond
 
-// OrderRollout writes the order for the roll-out of a service, in place of the one that
-// there may be.
+// OrderRollout writes the order for a rollout of a service, and replaces an existing one.
+// It returns the version of the order.
 func (c *Client) OrderRollout(ctx context.Context, order version.Rollout) (int64, error) {
 	r := version.Resource{Key: version.Key{Kind: version.KindRollout, Name: order.Service}, Rollout: &order}
-	present, err := c.Get(ctx, r.Key)
+	existing, err := c.Get(ctx, r.Key)
 	if err != nil && !isRefusedWith(err, request.NotFound) {
 		return 0, err
 	}
-	r.Version = present.Version
+	r.Version = existing.Version
 	applied, err := c.Apply(ctx, []version.Resource{r})
 	return applied.Version, err
 }
 
-// isRefused reports whether a call was refused with a code.
+// isRefusedWith reports whether err is a RefusedError with the given code.
 func isRefusedWith(err error, code request.Code) bool {
 	var refused *RefusedError
 	return errors.As(err, &refused) && refused.Code == code
 }
 
-// Rollout returns where the roll-out of a service stands.
+// Rollout returns the status of the latest rollout of a service.
 func (c *Client) Rollout(ctx context.Context, service string) (rolloutview.Status, error) {
 	var s rolloutview.Status
 	err := c.call(ctx, http.MethodGet, "/v1/rollouts/"+url.PathEscape(service), "", nil, &s)
 	return s, err
 }
 
-// FollowRollout calls f with the status of a service's roll-out, at first and whenever
-// its state changes, until it has ended. Order is the version of the order that is waited
-// for, or zero for whichever is known: an instance may not have heard of it yet. While no
-// instance answers it asks on.
+// FollowRollout calls f with the status of a service's rollout, once at the start and on
+// each change of its state, until the rollout has ended. Order is the version of the order
+// to follow, which the queried instance may not have received yet; zero follows any that
+// the instance knows. It keeps polling while no instance responds.
 func (c *Client) FollowRollout(ctx context.Context, service string, order int64, f func(rolloutview.Status)) (rolloutview.Status, error) {
 	var last rolloutview.State
 	for {
 		s, err := c.Rollout(ctx, service)
 		var refused *RefusedError
-		late := order != 0 && isRefusedWith(err, request.NotFound)
-		if errors.As(err, &refused) && !late {
+		notYetKnown := order != 0 && isRefusedWith(err, request.NotFound)
+		if errors.As(err, &refused) && !notYetKnown {
 			return s, err
 		}
-		heard := err == nil && (order == 0 || s.Order >= order || s.Record != nil && s.Record.Order >= order)
-		if heard && s.State() != last {
+		known := err == nil && (order == 0 || s.Order >= order || s.Record != nil && s.Record.Order >= order)
+		if known && s.State() != last {
 			last = s.State()
 			f(s)
 		}
-		if heard && s.Ended() {
+		if known && s.Ended() {
 			return s, nil
 		}
 		if !clock.Sleep(ctx, rolloutPollInterval) {
@@ -76,7 +76,7 @@
 	}
 }
 
-// PrintRollout writes where a roll-out stands.
+// PrintRollout writes the status of a rollout as a table.
 func PrintRollout(w io.Writer, s *rolloutview.Status) {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	line := func(name, value string) {
@@ -98,15 +98,15 @@
 	if s.Remaining > 0 {
 		line("left", time.Duration(s.Remaining).String())
 	}
-	_ = t.Flush() // a closed output has nobody to tell
+	_ = t.Flush() // an error means that the output is closed
 }
 
-// RevertedError is the end of a roll-out that moved nothing.
+// RevertedError reports that a rollout was reverted: the previous version stays in force.
 type RevertedError struct {
 	Record rollout.Record
 }
 
-// Error tells the cause.
+// Error describes the rollout and why it was reverted.
 func (e *RevertedError) Error() string {
 	return fmt.Sprintf("roll-out of %s to %s was reverted: %s", e.Record.Service, e.Record.Target, e.Record.Cause)
 }
--- a/operator/summary.go
+++ b/operator/summary.go
@@ -13,14 +13,14 @@
 	"shalewick/version"
 )
 
-// limitKey names a line of the summary: the slots of a service in a region, or
-// one link or shift.
+// limitKey identifies a row of the summary: the slots of a service in a region,
+// a link, or a shift.
 type limitKey struct {
 	kind string
 	name string
 }
 
-// limits adds up tokens of all instances.
+// limitTotals sums the tokens of all instances by limit.
 type limitTotals struct {
 	keys   []limitKey
 	totals map[limitKey]*admin.PoolStatus
@@ -40,8 +40,9 @@
 	s.Lent += p.Lent
 }
 
-// PrintSummary writes a status on one screen: what is in force where, the
-// limits and how much of them is held, used and lent, and what is draining.
+// PrintSummary writes a status as tables: the version in force at each
+// instance, how much of each limit is held, used and lent, and which backend
+// servers are draining.
 func PrintSummary(w io.Writer, st *admin.Status, resources []version.Resource) {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(t, "version %d, in force everywhere: %v\n", st.Version, st.InForce)
@@ -52,7 +53,7 @@
 	}
 	printLimits(t, st.Entries, byKey)
 	printDraining(t, st.Entries, byKey)
-	_ = t.Flush() // a closed output has nobody to tell
+	_ = t.Flush() // an error means that the output is closed
 }
 
 func printEntries(w io.Writer, entries []admin.EntryStatus) {
@@ -71,11 +72,11 @@
 	}
 }
 
-// printLimits writes a line for the slots of each service in each region, and
-// for each link and shift that is in use.
+// printLimits writes a row for the slots of each service in each region, each
+// link that is in use, and each shift.
 func printLimits(w io.Writer, entries []admin.EntryStatus, byKey map[string]version.Resource) {
 	l := limitTotals{totals: make(map[limitKey]*admin.PoolStatus)}
-	counted := make(map[string]bool)
+	counted := make(map[string]bool) // pools whose size is in the totals already
 	for _, e := range entries {
 		for i := range e.Pools {
 			p := &e.Pools[i]
@@ -99,40 +100,41 @@
 
 func limitKeyOf(pool string, byKey map[string]version.Resource) limitKey {
 	kind, name, _ := strings.Cut(pool, "/")
-	u := byKey[pool].Backend
-	if u == nil {
+	backend := byKey[pool].Backend
+	if backend == nil {
 		return limitKey{kind, name}
 	}
-	hall := byKey[version.Key{Kind: version.KindHall, Name: u.Hall}.String()]
+	hall := byKey[version.Key{Kind: version.KindHall, Name: backend.Hall}.String()]
 	region := "?"
 	if hall.Hall != nil {
 		region = hall.Hall.Region
 	}
-	return limitKey{"slots", u.Service + "@" + region}
+	return limitKey{"slots", backend.Service + "@" + region}
 }
 
-// printDraining writes a line for each backend server that is drained or said itself
-// that it is leaving, with what still runs there and for how long at most.
+// printDraining writes a row for each backend server that is drained or has
+// reported that it is leaving, with the number of requests that still run there
+// and the time within which they end.
 func printDraining(w io.Writer, entries []admin.EntryStatus, byKey map[string]version.Resource) {
-	busy, said := make(map[string]int32), make(map[string]bool)
+	busy, reportedLeaving := make(map[string]int32), make(map[string]bool)
 	for _, e := range entries {
 		for _, p := range e.Pools {
 			busy[p.Pool] += p.Busy
 		}
 		for _, name := range e.BackendsLeaving {
-			said[name] = true
+			reportedLeaving[name] = true
 		}
 	}
 	fmt.Fprintln(w, "DRAINING\tRUNNING\tAT MOST")
 	for _, r := range sortedResources(byKey, version.KindBackend) {
-		if !said[r.Name] && !isDrained(&r, byKey) {
+		if !reportedLeaving[r.Name] && !isDrained(&r, byKey) {
 			continue
 		}
-		left := "done"
+		timeLeft := "done"
 		if n := busy[r.Key.String()]; n > 0 {
-			left = maxRouteDeadline(byKey[version.Key{Kind: version.KindService, Name: r.Backend.Service}.String()].Service).String()
+			timeLeft = maxRouteDeadline(byKey[version.Key{Kind: version.KindService, Name: r.Backend.Service}.String()].Service).String()
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\n", r.Name, busy[r.Key.String()], left)
+		fmt.Fprintf(w, "%s\t%d\t%s\n", r.Name, busy[r.Key.String()], timeLeft)
 	}
 }
 
@@ -158,8 +160,8 @@
 	return false
 }
 
-// longest returns the longest deadline of a service's routes: a request that
-// runs now ends by then.
+// maxRouteDeadline returns the longest deadline of a service's routes. Requests
+// that run now end within it.
 func maxRouteDeadline(s *version.Service) time.Duration {
 	var d time.Duration
 	if s == nil {
