--- a/report/doc.go
+++ b/report/doc.go
@@ -1,22 +1,23 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package report counts, in the logs of any number of instances, what became of
-requests: for each window of time, service, class, hall and cause, how many were
-answered in time or late, refused, or failed.
+Package report aggregates the logs of any number of instances: for each time
+window, service, class, hall and cause it counts the requests that were answered
+in time, answered late, refused, or failed.
 
 	r := report.New(time.Second)
-	err := r.Read(name, file) // once for each log
+	err := r.Read(name, file) // once per log
 	r.Print(os.Stdout)        // or r.WriteHTML
 
-Where package explain tells of one request, this package tells at which moments
-and for which reason many were lost.
+Package explain explains the outcome of a single request; this package shows when
+and why many were lost.
 
-Instances bound their log lines. The first line of a kind after some were left out
-says how many, and these are counted as being like that line; so counts are
-estimates when there is much load, and the number of those estimated is printed.
+Instances limit the rate of their log lines. The first line of a kind after some
+were left out states how many, and those are counted as if they were equal to that
+line. Under high load the counts are therefore estimates; the summary states how
+many requests were counted this way.
 
-A report holds a bounded number of counts. When there are more, its windows
-become twice as long.
+A report holds a limited number of counts. When the limit is exceeded, the length
+of the windows doubles.
 */
 package report
--- a/report/html.go
+++ b/report/html.go
@@ -19,13 +19,13 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Size of a plot.
+// Dimensions of a plot.
 const (
 	plotWidth  = 22 * vg.Centimeter
 	plotHeight = 8 * vg.Centimeter
 )
 
-// colors are those of the outcomes, and in turn those of causes.
+// palette holds the colors of the lines of a plot, which repeat if there are more lines.
 var palette = []color.Color{
 	color.RGBA{0x2e, 0x7d, 0x32, 0xff}, color.RGBA{0xf9, 0xa8, 0x25, 0xff}, color.RGBA{0x15, 0x65, 0xc0, 0xff},
 	color.RGBA{0xc6, 0x28, 0x28, 0xff}, color.RGBA{0x6a, 0x1b, 0x9a, 0xff}, color.RGBA{0x00, 0x83, 0x8f, 0xff},
@@ -45,7 +45,7 @@
 {{end}}</body></html>
 `))
 
-// pageData is what the page shows.
+// pageData is the input of pageTemplate.
 type pageData struct {
 	Summary string
 	Plots   []pagePlot
@@ -53,7 +53,7 @@
 	Steps   []pageStep
 }
 
-// pageStep is a step of a roll-out.
+// pageStep is a row of the table of rollout steps.
 type pageStep struct {
 	Service, First, Last string
 	Lines                int
@@ -75,23 +75,23 @@
 	Counts Counts
 }
 
-// WriteHTML writes the report as one page with plots that needs nothing else.
-func (r *Report) WriteHTML(to io.Writer) error {
+// WriteHTML writes the report as a self-contained HTML page with plots.
+func (r *Report) WriteHTML(w io.Writer) error {
 	data := pageData{Summary: r.summary()}
 	ws := r.windows()
 	for _, x := range []struct {
 		title string
-		lines map[string]plotter.XYs
-		order []string
+		series map[string]plotter.XYs
+		order  []string
 	}{
 		{"Requests a second by outcome", outcomeSeries(r, ws), []string{"in time", "late", "refused", "failed"}},
 		{"Requests a second not answered in time, by cause", causeSeries(r, ws), nil},
 	} {
-		svg, err := renderPlot(x.lines, x.order)
+		svg, err := renderPlot(x.series, x.order)
 		if err != nil {
 			return errors.Annotate(err, x.title)
 		}
-		data.Plots = append(data.Plots, pagePlot{Title: x.title, SVG: template.HTML(svg)}) // made here, of numbers and escaped text
+		data.Plots = append(data.Plots, pagePlot{Title: x.title, SVG: template.HTML(svg)}) // safe: vgsvg escapes the text in it
 	}
 	for _, s := range sections {
 		data.Tables = append(data.Tables, newTable(s.title, r.sumBy(s.label)))
@@ -99,14 +99,14 @@
 	if sums := r.sumByVersion(); len(sums) > 0 {
 		data.Tables = append(data.Tables, newTable("answered by version", sums))
 	}
-	for _, x := range r.steps.sorted() {
-		t := r.steps.stats[x]
-		data.Steps = append(data.Steps, pageStep{Service: x.service, First: formatTime(t.first), Last: formatTime(t.last), Lines: t.lines, What: x.description()})
+	for _, step := range r.steps.sorted() {
+		stats := r.steps.stats[step]
+		data.Steps = append(data.Steps, pageStep{Service: step.service, First: formatTime(stats.first), Last: formatTime(stats.last), Lines: stats.lines, What: step.description()})
 	}
-	return errors.Annotate(pageTemplate.Execute(to, data), "write page")
+	return errors.Annotate(pageTemplate.Execute(w, data), "write page")
 }
 
-// tableOf returns a table of sums, ordered by name.
+// newTable returns a table with a row per sum, ordered by name.
 func newTable(title string, sums map[string]Counts) pageTable {
 	t := pageTable{Title: title}
 	for _, name := range slices.Sorted(maps.Keys(sums)) {
@@ -116,49 +116,50 @@
 }
 
 func outcomeSeries(r *Report, ws []window) map[string]plotter.XYs {
-	lines := make(map[string]plotter.XYs)
+	series := make(map[string]plotter.XYs)
 	for _, w := range ws {
 		for o := range numOutcomes {
-			lines[o.String()] = append(lines[o.String()], r.point(ws, w, w.counts[o]))
+			series[o.String()] = append(series[o.String()], r.point(ws, w, w.counts[o]))
 		}
 	}
-	return lines
+	return series
 }
 
 func causeSeries(r *Report, ws []window) map[string]plotter.XYs {
-	lines := make(map[string]plotter.XYs)
+	series := make(map[string]plotter.XYs)
 	for _, w := range ws {
 		for cause := range w.notInTime {
-			lines[cause] = nil
+			series[cause] = nil
 		}
 	}
-	for cause := range lines {
+	for cause := range series {
 		for _, w := range ws {
-			lines[cause] = append(lines[cause], r.point(ws, w, w.notInTime[cause]))
+			series[cause] = append(series[cause], r.point(ws, w, w.notInTime[cause]))
 		}
 	}
-	return lines
+	return series
 }
 
-// point returns seconds since the first window and requests a second.
+// point returns the point of a window with n requests: seconds since the first window,
+// and requests per second.
 func (r *Report) point(ws []window, w window, n int) plotter.XY {
 	return plotter.XY{X: w.start.Sub(ws[0].start).Seconds(), Y: float64(n) / r.Window.Seconds()}
 }
 
-// draw returns a plot as SVG, with the lines in an order, or by name.
-func renderPlot(lines map[string]plotter.XYs, order []string) (string, error) {
+// renderPlot returns a line plot as SVG. A nil order orders the lines by name.
+func renderPlot(series map[string]plotter.XYs, order []string) (string, error) {
 	p := plot.New()
 	p.X.Label.Text = "seconds"
 	p.Y.Label.Text = "requests a second"
 	p.Legend.Top = true
 	if order == nil {
-		order = slices.Sorted(maps.Keys(lines))
+		order = slices.Sorted(maps.Keys(series))
 	}
 	for i, name := range order {
-		if len(lines[name]) == 0 {
+		if len(series[name]) == 0 {
 			continue
 		}
-		l, err := plotter.NewLine(lines[name])
+		l, err := plotter.NewLine(series[name])
 		if err != nil {
 			return "", errors.Annotate(err, fmt.Sprintf("line %q", name))
 		}
@@ -172,6 +173,6 @@
 	if _, err := c.WriteTo(&b); err != nil {
 		return "", errors.Annotate(err, "write plot")
 	}
-	_, svg, _ := bytes.Cut(b.Bytes(), []byte("<svg")) // without the XML header
+	_, svg, _ := bytes.Cut(b.Bytes(), []byte("<svg")) // drop the XML declaration
 	return "<svg" + string(svg), nil
 }
--- a/report/print.go
+++ b/report/print.go
@@ -15,14 +15,14 @@
 	"github.com/juju/errors"
 )
 
-// window is one window with its counts.
+// window holds the counts of one time window.
 type window struct {
 	start     time.Time
 	counts    Counts
-	notInTime map[string]int // requests that were not answered in time, by cause
+	notInTime map[string]int // number of requests not answered in time, by cause
 }
 
-// windows returns the windows in order.
+// windows returns the windows that have counts, ordered by time.
 func (r *Report) windows() []window {
 	byNumber := make(map[int64]*window)
 	for k, c := range r.counts {
@@ -32,8 +32,8 @@
 			byNumber[k.window] = w
 		}
 		w.counts.add(c)
-		if lost := c.Total() - c[InTime]; lost > 0 {
-			w.notInTime[k.Cause] += lost
+		if n := c.Total() - c[InTime]; n > 0 {
+			w.notInTime[k.Cause] += n
 		}
 	}
 	out := make([]window, 0, len(byNumber))
@@ -43,26 +43,26 @@
 	return out
 }
 
-// by sums the counts by one member of the group.
-func (r *Report) sumBy(member func(Group) string) map[string]Counts {
-	return r.sumWhere(member, func(Group) bool { return true })
+// sumBy sums the counts of all groups by a label of the group.
+func (r *Report) sumBy(label func(Group) string) map[string]Counts {
+	return r.sumWhere(label, func(Group) bool { return true })
 }
 
-// byWhere sums the counts of some groups by one member of the group.
-func (r *Report) sumWhere(member func(Group) string, some func(Group) bool) map[string]Counts {
+// sumWhere sums the counts of the included groups by a label of the group.
+func (r *Report) sumWhere(label func(Group) string, include func(Group) bool) map[string]Counts {
 	out := make(map[string]Counts)
 	for k, c := range r.counts {
-		if !some(k.Group) {
+		if !include(k.Group) {
 			continue
 		}
-		sum := out[member(k.Group)]
+		sum := out[label(k.Group)]
 		sum.add(c)
-		out[member(k.Group)] = sum
+		out[label(k.Group)] = sum
 	}
 	return out
 }
 
-// section is one table of sums.
+// section describes a table of sums by one label.
 type section struct {
 	title string
 	label func(Group) string
@@ -96,12 +96,12 @@
 	return errors.Trace(w.Flush())
 }
 
-// versions sums the counts of answers by service and version of its software.
+// sumByVersion sums the counts of answered requests by service and software version.
 func (r *Report) sumByVersion() map[string]Counts {
 	return r.sumWhere(func(g Group) string { return g.Service + " " + g.Software }, func(g Group) bool { return g.Software != "" })
 }
 
-// printVersions writes the sums by version of the software, where any is known.
+// printVersions writes the sums by software version, if any line states one.
 func (r *Report) printVersions(w io.Writer) {
 	sums := r.sumByVersion()
 	if len(sums) == 0 {
@@ -117,7 +117,7 @@
 	fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\n", name, c.Total(), c[InTime], c[Late], c[Refused], c[Failed])
 }
 
-// summary tells in one line what was read.
+// summary states in one line how much was read, and what could not be parsed.
 func (r *Report) summary() string {
 	s := fmt.Sprintf("%d lines, windows of %s, %d requests counted by lines that were left out", r.Lines, r.Window, r.Estimated)
 	if r.Malformed > 0 {
@@ -126,14 +126,14 @@
 	return s
 }
 
-// causes lists causes, the most frequent first.
-func formatCauses(lost map[string]int) string {
-	names := slices.SortedFunc(maps.Keys(lost), func(a, b string) int {
-		return cmp.Or(cmp.Compare(lost[b], lost[a]), cmp.Compare(a, b))
+// formatCauses lists causes with their counts, the most frequent first.
+func formatCauses(counts map[string]int) string {
+	names := slices.SortedFunc(maps.Keys(counts), func(a, b string) int {
+		return cmp.Or(cmp.Compare(counts[b], counts[a]), cmp.Compare(a, b))
 	})
 	out := make([]string, 0, len(names))
 	for _, name := range names {
-		out = append(out, fmt.Sprintf("%s %d", name, lost[name]))
+		out = append(out, fmt.Sprintf("%s %d", name, counts[name]))
 	}
 	return strings.Join(out, ", ")
 }
--- a/report/report.go
+++ b/report/report.go
@@ -15,40 +15,41 @@
 	"shalewick/request"
 )
 
-// Outcome is how a request ended.
+// Outcome states how a request ended.
 type Outcome uint8
 
 // The outcomes.
 const (
 	InTime  Outcome = iota // answered within the objective
-	Late                   // answered after it
-	Refused                // not run
-	Failed                 // no answer, and it may have run
+	Late                   // answered after the objective
+	Refused                // no response, and the request did not run
+	Failed                 // no response, and the request may have run
 	numOutcomes
 )
 
-// String returns the outcome's name.
+// String returns the name that the outcome has in tables.
 func (o Outcome) String() string {
 	return [numOutcomes]string{"in time", "late", "refused", "failed"}[o]
 }
 
-// Group is what requests are counted by.
+// Group holds the labels by which requests are counted.
 type Group struct {
 	Service, Class, Hall, Cause string
-	// Software is the version that answered; "": none did, or it is not known.
+	// Software is the software version of the backend server that answered; "" if none
+	// did or the line doesn't state it.
 	Software string
 }
 
-// key is a group in one window.
+// key identifies the counts of a group in one window.
 type key struct {
-	window int64 // number of windows since the Unix epoch
+	window int64 // number of the window, counted from the Unix epoch
 	Group
 }
 
-// Counts are numbers of requests by outcome.
+// Counts holds the number of requests of each outcome.
 type Counts [numOutcomes]int
 
-// Total returns the number of all requests.
+// Total returns the number of requests of all outcomes.
 func (c Counts) Total() int {
 	sum := 0
 	for _, n := range c {
@@ -63,42 +64,42 @@
 	}
 }
 
-// Bounds of a report.
+// Limits of a report.
 const (
-	// maxCounts is the number of counts from which windows become longer; each
-	// takes some 200 bytes.
+	// maxCounts is the number of counts above which the length of the windows is doubled.
+	// Each takes some 200 bytes.
 	maxCounts = 1 << 16
-	// maxLine bounds a line, in bytes.
+	// maxLineBytes limits the length of a line. Longer lines are skipped.
 	maxLineBytes = 1 << 20
-	// maxBad bounds the lines that are named as unreadable.
+	// maxMalformedLines limits MalformedLines.
 	maxMalformedLines = 5
 )
 
-// Report is the counts of one or more logs. Use New.
+// Report holds the counts of one or more logs. Create it with New.
 type Report struct {
-	// Window is the length of the windows.
+	// Window is the length of the time windows.
 	Window time.Duration
-	// Lines is the number of lines read, Bad that of those that are no log
-	// lines, and BadLines names the first of them.
+	// Lines is the number of lines read, Malformed the number of those that could
+	// not be parsed, and MalformedLines the log and line numbers of the first of them.
 	Lines, Malformed int
 	MalformedLines   []string
-	// Estimated is the number of requests whose lines were left out.
+	// Estimated is the number of requests whose lines the instances left out.
 	Estimated int
 
 	counts map[key]Counts
-	halls  map[string]string // by instance, as the line of its start tells
+	halls  map[string]string // by instance, from its started event
 	steps  steps
 }
 
-// New returns an empty report with windows of a length.
+// New returns an empty report with windows of the given length.
 func New(window time.Duration) *Report {
 	return &Report{Window: window, counts: make(map[key]Counts), halls: make(map[string]string)}
 }
 
-// Read counts the lines of one log. Lines that can't be read are counted and the
-// first ones named; the error is that of the reader.
-func (r *Report) Read(name string, from io.Reader) error {
-	lines := bufio.NewReaderSize(from, maxLineBytes)
+// Read adds the lines of one log. Lines that can't be parsed are counted in
+// Malformed. Errors are those of the reader.
+func (r *Report) Read(name string, in io.Reader) error {
+	lines := bufio.NewReaderSize(in, maxLineBytes)
 	for n := 1; ; n++ {
 		text, err := lines.ReadSlice('\n')
 		if len(text) > 0 {
@@ -117,7 +118,7 @@
 	}
 }
 
-// skipLine reads to the end of a line that is too long.
+// skipLine discards the rest of a line that is too long.
 func skipLine(lines *bufio.Reader) error {
 	for {
 		_, err := lines.ReadSlice('\n')
@@ -134,6 +135,7 @@
 	return err
 }
 
+// addText parses and adds line n of a log.
 func (r *Report) addText(name string, n int, text string) {
 	r.Lines++
 	l, ok := explain.ParseLine(text)
@@ -147,7 +149,8 @@
 	r.Add(&l)
 }
 
-// Add counts one line, if it tells of a request's end.
+// Add counts a line that states the end of a request, a step of a rollout, or the hall of
+// an instance. Other lines are ignored.
 func (r *Report) Add(l *explain.Line) {
 	if l.Event == "started" && l.Get("hall") != "" {
 		r.halls[l.Instance] = l.Get("hall")
@@ -161,8 +164,8 @@
 	if !ok {
 		return
 	}
-	left, _ := strconv.Atoi(l.Get("leftOut")) // zero unless lines were left out
-	r.Estimated += left
+	leftOut, _ := strconv.Atoi(l.Get("leftOut")) // zero unless lines were left out
+	r.Estimated += leftOut
 	hall := r.halls[l.Instance]
 	if hall == "" {
 		hall = l.Instance
@@ -172,14 +175,15 @@
 		Group:  Group{Service: l.Get("service"), Class: l.Get("class"), Hall: hall, Cause: explain.ShortCause(l), Software: l.Get("software")},
 	}
 	c := r.counts[k]
-	c[outcome] += 1 + left
+	c[outcome] += 1 + leftOut
 	r.counts[k] = c
 	for len(r.counts) > maxCounts {
 		r.doubleWindow()
 	}
 }
 
-// outcomeOf returns how the request ended of which a line tells the end.
+// outcomeOf returns the outcome of the request whose end a line states. It returns false for
+// other lines.
 func outcomeOf(l *explain.Line) (Outcome, bool) {
 	switch l.Event {
 	case "answered":
@@ -197,7 +201,7 @@
 	}
 }
 
-// widen makes the windows twice as long.
+// doubleWindow doubles the length of the windows and merges their counts.
 func (r *Report) doubleWindow() {
 	r.Window *= 2
 	old := r.counts
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -24,6 +24,7 @@
 time=2026-01-02T02:02:02.5Z event=refused class=commit code=22 cold=3 closed=1 id=5 instance=b ran=no service=t
 `
 
+// readLog returns a report on a log with the given text.
 func readLog(t *testing.T, text string) *Report {
 	t.Helper()
 	r := New(time.Second)
@@ -42,7 +43,7 @@
 	assert.Equal(t, services["t"], Counts{Refused: 1, Failed: 1})
 	halls := r.sumBy(func(g Group) string { return g.Hall })
 	assert.Equal(t, halls["h1"].Total(), 10)
-	assert.Equal(t, halls["b"].Total(), 2, "an instance whose start is not in the log")
+	assert.Equal(t, halls["b"].Total(), 2, "instance without a started event in the log")
 	var causes []string
 	for cause := range r.sumBy(func(g Group) string { return g.Cause }) {
 		causes = append(causes, cause)
@@ -61,8 +62,8 @@
 	assert.NilError(t, r.WriteHTML(&out))
 	page := out.String()
 	assert.Equal(t, strings.Count(page, "<svg"), 2)
-	for _, not := range []string{"<script", "src=", "href=", "@import", "<link"} {
-		assert.Assert(t, !strings.Contains(page, not), not)
+	for _, unwanted := range []string{"<script", "src=", "href=", "@import", "<link"} {
+		assert.Assert(t, !strings.Contains(page, unwanted), unwanted)
 	}
 	assert.Assert(t, strings.Contains(page, "&lt;script&gt;"))
 }
@@ -78,19 +79,19 @@
 	assert.Equal(t, r.sumBy(func(g Group) string { return g.Service })["s"].Total(), 10)
 }
 
-// TestMemoryIsBounded reads many windows and groups.
+// Many windows and groups must neither exceed maxCounts nor lose requests.
 func TestMemoryIsBounded(t *testing.T) {
 	r := New(time.Second)
-	begin := time.Date(2026, 1, 2, 0, 0, 0, 0, time.UTC)
+	start := time.Date(2026, 1, 2, 0, 0, 0, 0, time.UTC)
 	const lines = 400_000
 	for i := range lines {
 		l, ok := explain.ParseLine(fmt.Sprintf("time=%s event=refused code=20 instance=i%d ran=no service=s%d",
-			begin.Add(time.Duration(i/4)*time.Second).Format(time.RFC3339), i%7, i%5))
+			start.Add(time.Duration(i/4)*time.Second).Format(time.RFC3339), i%7, i%5))
 		assert.Assert(t, ok)
 		r.Add(&l)
 	}
 	assert.Assert(t, len(r.counts) <= maxCounts)
-	assert.Equal(t, r.sumBy(func(Group) string { return "" })[""].Total(), lines, "nothing is lost")
+	assert.Equal(t, r.sumBy(func(Group) string { return "" })[""].Total(), lines, "doubling the windows lost requests")
 	assert.Assert(t, r.Window > time.Second)
 	runtime.GC()
 	var m runtime.MemStats
--- a/report/rollout.go
+++ b/report/rollout.go
@@ -14,31 +14,30 @@
 	"shalewick/explain"
 )
 
-// maxSteps bounds the different steps of roll-outs that are told of.
+// maxSteps limits the number of distinct rollout steps in a report.
 const maxSteps = 500
 
-// stepFields are the fields that tell steps of an event apart.
+// stepFields are the fields by which steps of the same event are distinguished.
 var stepFields = []string{"phase", "what", "result", "target", "cause"}
 
-// step is what some instances wrote of a roll-out.
+// step identifies a step of a rollout. All instances that log it are counted together.
 type step struct {
 	service, event, text string
 }
 
-// told is when and how often a step was told of.
+// stepStats states when and how often a step was logged.
 type stepStats struct {
 	first, last time.Time
 	lines       int
 }
 
-// steps are the steps of all roll-outs. The same one is told of by many instances. The
-// zero value is empty.
+// steps holds the steps of all rollouts. The zero value is empty.
 type steps struct {
 	stats   map[step]stepStats
-	dropped int // lines of steps beyond the bound
+	dropped int // lines of steps beyond maxSteps
 }
 
-// isStep reports whether a line tells of a roll-out.
+// isRolloutStep reports whether a line states a step of a rollout.
 func isRolloutStep(l *explain.Line) bool {
 	return strings.HasPrefix(l.Event, "rollout-") || l.Event == "backends-held-back"
 }
@@ -51,7 +50,7 @@
 		}
 	}
 	key := step{service: l.Get("service"), event: l.Event, text: strings.Join(fields, " ")}
-	t, known := s.stats[key]
+	stats, known := s.stats[key]
 	if !known && len(s.stats) >= maxSteps {
 		s.dropped++
 		return
@@ -59,17 +58,17 @@
 	if s.stats == nil {
 		s.stats = make(map[step]stepStats)
 	}
-	if t.lines == 0 || l.Time.Before(t.first) {
-		t.first = l.Time
+	if stats.lines == 0 || l.Time.Before(stats.first) {
+		stats.first = l.Time
 	}
-	if l.Time.After(t.last) {
-		t.last = l.Time
+	if l.Time.After(stats.last) {
+		stats.last = l.Time
 	}
-	t.lines++
-	s.stats[key] = t
+	stats.lines++
+	s.stats[key] = stats
 }
 
-// order returns the steps by service and by when they were told of first.
+// sorted returns the steps ordered by service and by when they were first logged.
 func (s *steps) sorted() []step {
 	return slices.SortedFunc(maps.Keys(s.stats), func(a, b step) int {
 		return cmp.Or(
@@ -85,16 +84,16 @@
 		return
 	}
 	fmt.Fprintf(w, "\nroll-out of\tfirst\tlast\tlines\twhat\n")
-	for _, x := range s.sorted() {
-		t := s.stats[x]
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\n", cmp.Or(x.service, "-"), formatTime(t.first), formatTime(t.last), t.lines, x.description())
+	for _, step := range s.sorted() {
+		stats := s.stats[step]
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\n", cmp.Or(step.service, "-"), formatTime(stats.first), formatTime(stats.last), stats.lines, step.description())
 	}
 	if s.dropped > 0 {
 		fmt.Fprintf(w, "%d more lines\n", s.dropped)
 	}
 }
 
-// what tells of a step in one cell.
+// description returns the text of a step in a table.
 func (x step) description() string { return strings.TrimSpace(x.event + " " + x.text) }
 
 func formatTime(t time.Time) string { return t.Format("15:04:05.000") }
--- a/report/rollout_test.go
+++ b/report/rollout_test.go
@@ -20,21 +20,21 @@
 time=2026-01-02T02:02:03Z event=answered attempts=1 class=read id=2 instance=a late=true rank=0 service=s software=v2 target=true unseen=false
 `
 
-// TestStepsOfRolloutsAreTold checks that what many instances wrote of one step is one
-// line, in the order in which the steps came, and that answers are summed by version.
+// A step that several instances log is one row, rows are in the order of the steps, and
+// answered requests are summed by version.
 func TestRolloutStepsAreMerged(t *testing.T) {
 	r := readLog(t, rolloutLog)
 	var out strings.Builder
 	assert.NilError(t, r.Print(&out))
 	text := out.String()
-	at := 0
+	offset := 0
 	for _, want := range []string{
 		"answered by version", "s v1", "s v2", "roll-out of", "rollout-ordered target=v2",
 		"02:02:01.200  02:02:01.500  2      rollout-record phase=canary target=v2", "what=target-stopped", "phase=reverted",
 	} {
-		i := strings.Index(text[at:], want)
-		assert.Assert(t, i >= 0, "%q after %d in\n%s", want, at, text)
-		at += i
+		i := strings.Index(text[offset:], want)
+		assert.Assert(t, i >= 0, "%q after %d in\n%s", want, offset, text)
+		offset += i
 	}
 	var page strings.Builder
 	assert.NilError(t, r.WriteHTML(&page))
@@ -42,7 +42,7 @@
 	assert.Assert(t, strings.Contains(page.String(), "<td>s v2</td><td>1</td><td>0</td><td>1</td>"))
 }
 
-// TestReportWithoutRolloutsHasNoSection checks logs of before there were any.
+// Logs of builds without rollouts have no rollout tables in the report.
 func TestNoRolloutSectionWithoutRollouts(t *testing.T) {
 	var out strings.Builder
 	assert.NilError(t, readLog(t, testLog).Print(&out))
@@ -50,7 +50,7 @@
 	assert.Assert(t, !strings.Contains(out.String(), "by version"))
 }
 
-// TestStepsAreBounded reads more than are told of.
+// Steps beyond maxSteps are only counted.
 func TestRolloutStepsAreBounded(t *testing.T) {
 	var lines strings.Builder
 	for i := range maxSteps + 7 {
