--- a/load/crossing.go
+++ b/load/crossing.go
@@ -10,38 +10,39 @@
 	"shalewick/standin/backend"
 )
 
-// Crossing returns, from the backend servers' records, the most requests of a
-// service that came from one region and ran in another at once, and the most
-// that began in any one second. Only requests that began at since or later
-// count.
-func CrossRegionPeaks(records []backend.Record, since time.Time, service, from, to string, place func(backend string) (service, region string)) (atOnce, inSecond int) {
-	type edge struct {
-		at time.Time
-		by int
+// CrossRegionPeaks returns, from the records of backend servers, the maximum
+// number of a service's requests that came from one region and ran concurrently
+// in another, and the maximum number of them that started within one second.
+// Requests that started before since are ignored.
+func CrossRegionPeaks(records []backend.Record, since time.Time, service, from, to string, locate func(backend string) (service, region string)) (concurrent, perSecond int) {
+	type change struct {
+		at    time.Time
+		delta int
 	}
-	var edges []edge
+	var changes []change
 	var starts []time.Time
 	for _, r := range records {
-		s, region := place(r.Backend)
+		s, region := locate(r.Backend)
 		if s != service || r.Region != from || region != to || r.Start.Before(since) {
 			continue
 		}
-		edges = append(edges, edge{r.Start, 1}, edge{r.End, -1})
+		changes = append(changes, change{r.Start, 1}, change{r.End, -1})
 		starts = append(starts, r.Start)
 	}
-	slices.SortFunc(edges, func(a, b edge) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.by, b.by)) })
-	now := 0
-	for _, e := range edges {
-		now += e.by
-		atOnce = max(atOnce, now)
+	slices.SortFunc(changes, func(a, b change) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.delta, b.delta)) })
+	running := 0
+	for _, c := range changes {
+		running += c.delta
+		concurrent = max(concurrent, running)
 	}
 	slices.SortFunc(starts, time.Time.Compare)
 	first := 0
+	// starts[first] is the earliest start within the second that ends at t.
 	for i, t := range starts {
 		for t.Sub(starts[first]) >= time.Second {
 			first++
 		}
-		inSecond = max(inSecond, i-first+1)
+		perSecond = max(perSecond, i-first+1)
 	}
-	return atOnce, inSecond
+	return concurrent, perSecond
 }
--- a/load/doc.go
+++ b/load/doc.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package load is an open-loop load generator: requests are due at a fixed rate,
-whether or not earlier ones were answered, and their latency counts from when
-they were due. It checks each answer, and afterwards compares what the callers
-were told with what the backend server stand-ins recorded.
+Package load is an open-loop load generator: it sends requests at a fixed rate,
+regardless of responses to earlier ones, and measures latency from the time at
+which a request was due. It checks each response, and afterwards verifies the
+outcomes seen by callers against the records of the backend server stand-ins.
 */
 package load
--- a/load/load.go
+++ b/load/load.go
@@ -24,22 +24,22 @@
 	"shalewick/standin/backend"
 )
 
-// Kind is one kind of request in the mix.
+// Kind describes one kind of request in the mix.
 type Kind struct {
-	Name       string // of the line in the report
+	Name       string // shown in the report
 	Service    string
 	Method     string
 	Path       string
 	Weight     int
 	AtMostOnce bool
-	// Body and Answer are sizes in bytes.
+	// Sizes are in bytes.
 	BodySize     int
 	ResponseSize int
 	Timeout      time.Duration
 }
 
-// ParseKind reads a kind from "name=value" pairs divided by commas, with the
-// names of the fields in lower case.
+// ParseKind parses a kind from comma-separated "name=value" pairs with the names
+// name, service, method, path, weight, once, body, answer and timeout.
 func ParseKind(text string) (Kind, error) {
 	k := Kind{Method: http.MethodGet, Path: "/", Weight: 1, Timeout: caller.DefaultTimeout}
 	for pair := range strings.SplitSeq(text, ",") {
@@ -65,7 +65,7 @@
 		case "timeout":
 			k.Timeout, err = time.ParseDuration(value)
 		default:
-			err = errors.New("no such field")
+			err = errors.New("unknown field")
 		}
 		if err != nil {
 			return k, errors.Annotatef(err, "%q", pair)
@@ -78,43 +78,44 @@
 	return k, nil
 }
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	// Clients send in turn; each stands for many callers in one place.
+	// Clients are used in turn; each represents many callers at one location.
 	Clients  []*caller.Client
-	Rate     float64 // requests a second
+	Rate     float64 // requests per second
 	Duration time.Duration
 	Mix      []Kind
 }
 
-// MaxRequests bounds the requests of one run.
+// MaxRequests limits the number of requests in a run.
 const MaxRequests = 2_000_000
 
-// Outcome is how one request ended, as its caller saw it.
+// Outcome describes how a request ended for its caller.
 type Outcome struct {
-	Kind int
-	Tag  string
-	// Code is request.OK for an answer.
+	Kind int    // index into the mix
+	Tag  string // identifies the request in the records
+	// Code is request.OK if there was a response.
 	Code request.Code
 	Ran  request.Ran
-	// Wrong says what was wrong with an answer.
+	// Wrong describes what was wrong with the response; "" if nothing was.
 	Wrong   string
-	Due     time.Duration // after the start of the run
-	Latency time.Duration // from when it was due
+	Due     time.Duration // since the start of the run
+	Latency time.Duration // since Due
 }
 
-// Run sends the load and returns the outcomes. It ends by itself.
+// Run sends the requests and returns their outcomes once all have ended. It stops
+// sending when the context ends.
 func Run(ctx context.Context, o Options) ([]Outcome, error) {
 	n := int(o.Rate * o.Duration.Seconds())
 	if n <= 0 || n > MaxRequests {
 		return nil, errors.Errorf("rate and duration give %d requests; 1 to %d are possible", n, MaxRequests)
 	}
 	if len(o.Clients) == 0 || len(o.Mix) == 0 {
-		return nil, errors.New("there are no clients or no kinds of request")
+		return nil, errors.New("no clients or no kinds of request configured")
 	}
 	run := strconv.FormatUint(rand.Uint64(), 36)
 	outcomes := make([]Outcome, n)
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	start := time.Now()
 	sent := 0
 	for i := range n {
@@ -126,7 +127,7 @@
 		kind := pickKind(o.Mix)
 		tag := fmt.Sprintf("%s-%d;", run, i)
 		client := o.Clients[i%len(o.Clients)]
-		all.Go(func() {
+		wg.Go(func() {
 			out := send(ctx, client, &o.Mix[kind], tag)
 			out.Kind = kind
 			out.Due = due.Sub(start)
@@ -134,18 +135,19 @@
 			outcomes[i] = out
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	return outcomes[:sent], nil
 }
 
+// pickKind returns the index of a random kind, chosen by weight.
 func pickKind(mix []Kind) int {
 	sum := 0
 	for _, k := range mix {
 		sum += k.Weight
 	}
-	at := rand.IntN(max(1, sum))
+	n := rand.IntN(max(1, sum))
 	for i, k := range mix {
-		if at -= k.Weight; at < 0 {
+		if n -= k.Weight; n < 0 {
 			return i
 		}
 	}
@@ -160,11 +162,11 @@
 		Service: k.Service, Method: k.Method, Path: path, Body: body, AtMostOnce: k.AtMostOnce, Timeout: k.Timeout,
 		Header: http.Header{backend.HeaderTag: {tag}},
 	})
-	var refusal *caller.RequestError
-	if errors.As(err, &refusal) {
-		out.Code, out.Ran = refusal.Code, refusal.Ran
+	var reqErr *caller.RequestError
+	if errors.As(err, &reqErr) {
+		out.Code, out.Ran = reqErr.Code, reqErr.Ran
 		if out.Code == request.OK {
-			out.Code = codeWithoutResponse(refusal.Err)
+			out.Code = codeWithoutResponse(reqErr.Err)
 		}
 		return out
 	}
@@ -173,8 +175,8 @@
 	return out
 }
 
-// noAnswer returns the code of a request that no instance answered: the client's
-// own time ran out while it waited, or a connection failed.
+// codeWithoutResponse returns the code of a request to which no instance
+// responded: the client's own timeout passed, or a connection failed.
 func codeWithoutResponse(err error) request.Code {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return request.DeadlinePassed
@@ -182,51 +184,52 @@
 	return request.AnswerLost
 }
 
-// check compares an answer with what the stand-in must give to the request.
+// checkResponse compares a response with the one that the stand-in must send, and
+// returns a description of the first difference, or "".
 func checkResponse(res *caller.Response, tag string, body []byte, size int) string {
 	switch {
 	case res.Status != http.StatusOK:
 		return fmt.Sprintf("status %d", res.Status)
 	case len(res.Body) != max(size, len(tag)):
-		return fmt.Sprintf("%d bytes in place of %d", len(res.Body), max(size, len(tag)))
+		return fmt.Sprintf("%d bytes instead of %d", len(res.Body), max(size, len(tag)))
 	case !bytes.HasPrefix(res.Body, []byte(tag)):
-		return "the answer to another request"
+		return "response to another request"
 	case res.Header.Get(backend.HeaderSum) != strconv.FormatUint(xxhash.Sum64(body), 16):
-		return "another body"
+		return "checksum of another request body"
 	}
 	return ""
 }
 
-// Line is the report on one kind of request.
+// Line holds the results of one kind of request.
 type Line struct {
 	Name      string
 	Sent      int
 	Answered  int
 	Refused   map[request.Code]int // by code
-	Unknown   int                  // refusals that do not say whether it ran
+	Unknown   int                  // requests without a response that may have run
 	Latencies *hdrhistogram.Histogram
 }
 
 // Report is the result of a run.
 type Report struct {
 	Lines []Line
-	// Faults of the system; all should be zero.
-	Lost        int // answered, but never finished at a backend server
-	Doubled     int // may not be repeated, but ran twice
-	Mixed       int // a wrong or cut answer
-	FalseNotRun int // said not to have run, but ran
+	// Violations of the system's guarantees; all should be zero.
+	Lost        int // answered, but not completed by any backend server
+	Doubled     int // must run at most once, but ran more often
+	Mixed       int // wrong or truncated response
+	FalseNotRun int // reported as not run, but ran
 	Examples    []string
 }
 
-// Faults is the number of broken promises.
+// Faults returns the number of violated guarantees.
 func (r *Report) Faults() int { return r.Lost + r.Doubled + r.Mixed + r.FalseNotRun }
 
-// maxLatency is the top of the histograms, in microseconds.
+// maxLatencyMicros is the largest latency that the histograms record.
 const maxLatencyMicros = 10 * 60 * 1e6
 
-// Judge compares the outcomes with the backend servers' records.
+// Verify compares the outcomes with the records of the backend servers.
 func Verify(mix []Kind, outcomes []Outcome, records []backend.Record) *Report {
-	ran, done := make(map[string]int), make(map[string]int)
+	ran, done := make(map[string]int), make(map[string]int) // by tag
 	for _, rec := range records {
 		ran[rec.Tag]++
 		if rec.Done {
@@ -247,7 +250,7 @@
 		}
 		if o.Code == request.OK {
 			l.Answered++
-			_ = l.Latencies.RecordValue(o.Latency.Microseconds()) // out of range can not be
+			_ = l.Latencies.RecordValue(o.Latency.Microseconds()) // the latency is never out of range
 			if o.Wrong != "" {
 				r.addFault(&r.Mixed, "%+v", o)
 			}
--- a/load/print.go
+++ b/load/print.go
@@ -17,7 +17,7 @@
 	"shalewick/standin/backend"
 )
 
-// Print writes the report as a short table; latencies in milliseconds.
+// Print writes the report as a table with latencies in milliseconds.
 func (r *Report) Print(w io.Writer) {
 	fmt.Fprintf(w, "%-12s %8s %8s %8s %8s %8s %8s  %s\n", "kind", "sent", "answered", "unknown", "p50", "p99", "p99.9", "refused")
 	for _, l := range r.Lines {
@@ -35,10 +35,10 @@
 	}
 }
 
-// fetchTimeout bounds the reading of one stand-in's records.
+// fetchTimeout limits the time for fetching the records of one stand-in.
 const fetchTimeout = 30 * time.Second
 
-// FetchRecords reads the records of backend server stand-ins.
+// FetchRecords fetches the records of the backend server stand-ins at the addresses.
 func FetchRecords(addresses []string) ([]backend.Record, error) {
 	var out []backend.Record
 	c := http.Client{Timeout: fetchTimeout}
@@ -55,7 +55,7 @@
 			}
 			out = append(out, rec)
 		}
-		_ = res.Body.Close() // read to its end
+		_ = res.Body.Close() // the body was read to its end
 		if !errors.Is(err, io.EOF) {
 			return nil, errors.Annotatef(err, "records of %s", a)
 		}
--- a/report/html.go
+++ b/report/html.go
@@ -80,7 +80,7 @@
 	data := pageData{Summary: r.summary()}
 	ws := r.windows()
 	for _, x := range []struct {
-		title string
+		title  string
 		series map[string]plotter.XYs
 		order  []string
 	}{
@@ -91,7 +91,7 @@
 		if err != nil {
 			return errors.Annotate(err, x.title)
 		}
-		data.Plots = append(data.Plots, pagePlot{Title: x.title, SVG: template.HTML(svg)}) // safe: vgsvg escapes the text in it
+		data.Plots = append(data.Plots, pagePlot{Title: x.title, SVG: template.HTML(svg)}) // rendered here from numbers and escaped text
 	}
 	for _, s := range sections {
 		data.Tables = append(data.Tables, newTable(s.title, r.sumBy(s.label)))
