--- a/cmd/shalewick-edge/cgo.go
+++ b/cmd/shalewick-edge/cgo.go
@@ -2,7 +2,7 @@
 
 package main
 
-// The platform runs programs that are linked to the C library, which this
-// import makes the linker do.
+// The platform runs only programs that are linked to the C library. Importing C
+// makes the linker do so.
 
 import "C"
--- a/cmd/shalewick-edge/main.go
+++ b/cmd/shalewick-edge/main.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 
-// Command shalewick-edge runs an instance on the users' platform. It reads the
-// platform's settings file and passes it on to the library.
+// Command shalewick-edge runs an instance on the users' platform, configured by
+// the platform's settings file.
 package main
 
 import (
@@ -21,17 +21,18 @@
 	"shalewick/process/setting"
 )
 
-// Times of connections to the store.
+// Timeouts of connections to the store.
 const (
 	storeDialTimeout = time.Second
 	storeAckTimeout  = time.Second
 )
 
-// lookPause is the time between two looks at whether the settings file changed.
+// settingsPollInterval is the time between two checks whether the settings file
+// has changed.
 const settingsPollInterval = 2 * time.Second
 
 func main() {
-	// First of all, since a SIGHUP that is not asked for ends the process.
+	// Before anything else, since a SIGHUP that is not caught ends the process.
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	if err := newCommand(signals).Execute(); err != nil {
@@ -42,7 +43,7 @@
 
 func newCommand(signals <-chan os.Signal) *cobra.Command {
 	var path, level string
-	var collect int
+	var gcPercent int
 	var check bool
 	cmd := &cobra.Command{
 		Use:           "shalewick-edge",
@@ -57,21 +58,21 @@
 			if check {
 				return checkSettings(cmd, path, level)
 			}
-			debug.SetGCPercent(collect)
+			debug.SetGCPercent(gcPercent)
 			return run(path, level, signals)
 		},
 	}
 	f := cmd.Flags()
 	f.StringVar(&path, "boot", platform.DefaultSettings, "path of the platform's settings file")
-	f.StringVar(&level, "log-level", "info", "least level of log lines: debug, info, warn, error")
-	f.BoolVar(&check, "check", false, "check the settings, print what they say, and end")
-	f.IntVar(&collect, "collect", 50, "growth of the heap in percent after which garbage is collected")
+	f.StringVar(&level, "log-level", "info", "minimum level of log lines: debug, info, warn, error")
+	f.BoolVar(&check, "check", false, "check the settings, print them, and exit")
+	f.IntVar(&gcPercent, "collect", 50, "growth of the heap, in percent, that triggers a garbage collection")
 	setting.Describe(f)
 	return cmd
 }
 
-// checkSettings prints the product's settings that the file stands for, or
-// returns an error that names the field that is wrong.
+// checkSettings prints the instance's settings that result from the file, or
+// returns an error that names the invalid field.
 func checkSettings(cmd *cobra.Command, path, level string) error {
 	s, err := platform.ReadSettings(path)
 	if err != nil {
@@ -107,11 +108,11 @@
 	return nil
 }
 
-// awaitEnd waits for the signal to end, and takes up changed settings
-// meanwhile, which may come with a signal or without.
+// waitForStop returns on SIGTERM or SIGINT. Until then it reloads the settings on
+// SIGHUP and whenever the file has changed.
 func waitForStop(live *platform.Live, e *edge.Edge, signals <-chan os.Signal) {
-	look := time.NewTicker(settingsPollInterval)
-	defer look.Stop()
+	poll := time.NewTicker(settingsPollInterval)
+	defer poll.Stop()
 	for {
 		select {
 		case s := <-signals:
@@ -119,7 +120,7 @@
 				return
 			}
 			e.Reloaded(live.Reload())
-		case <-look.C:
+		case <-poll.C:
 			if live.Changed() {
 				e.Reloaded(live.Reload())
 			}
--- a/cmd/shalewick-edge/main_test.go
+++ b/cmd/shalewick-edge/main_test.go
@@ -18,6 +18,7 @@
  "portRange": [7540, 7555], "bounds": ["graceS=6", "drainS=2.5"], "platform": {"address": "10.200.1.7:8541"}
 }`
 
+// runCommand runs the command with a settings file and returns its output.
 func runCommand(t *testing.T, settings string, args ...string) (string, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "boot.json")
--- a/cmd/shalewick/check.go
+++ b/cmd/shalewick/check.go
@@ -11,12 +11,12 @@
 	"shalewick/version"
 )
 
-// checkCommand checks documents by the rules of the resource API, as if they
-// were the first change of an empty configuration. It calls nobody.
+// checkCommand validates documents by the rules of the resource API, as the first
+// change to an empty configuration. It works offline.
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a whole configuration in a file, - for standard input, without applying it",
+		Short: "Validate a whole configuration in a file, - for standard input, without applying it",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			docs, err := readFile(cmd, args[0])
--- a/cmd/shalewick/demo.go
+++ b/cmd/shalewick/demo.go
@@ -13,14 +13,14 @@
 	rollout "shalewick/platform/demo"
 )
 
-// logFolder is who may read the folder of the instances' logs.
+// logDirMode is the mode of the directory of the instances' logs.
 const logDirMode = 0o755
 
 func demoCommand() *cobra.Command {
 	o := rollout.Options{}
 	cmd := &cobra.Command{
 		Use:   "demo",
-		Short: "Show the whole system at work in this process, on stand-ins",
+		Short: "Demonstrate the whole system in this process, with stand-ins",
 		Example: `  shalewick demo
   shalewick demo --rollout late --onset 4s --fails 0.4 --rate 400 --duration 12s --fault owner-killed --seed 7`,
 		Args: cobra.NoArgs,
@@ -29,21 +29,21 @@
 				return demoRollout(cmd, o)
 			}
 			if cmd.Flags().NFlag() > 0 {
-				return errors.New("--rollout: must be set, as the other flags are about a roll-out")
+				return errors.New("--rollout: must be set, since the other flags apply to rollouts only")
 			}
 			return demo.Run(cmd.Context(), cmd.OutOrStdout())
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar((*string)(&o.Kind), "rollout", "", "show a roll-out instead, to a version that is: good, fails, slow, late, loaded, route")
-	f.StringVar((*string)(&o.Fault), "fault", string(rollout.NoFault), "what fails meanwhile: none, owner-killed, store-away, store-slow, cut, all-killed, late-servers, replaced")
-	f.DurationVar(&o.Onset, "onset", 4*time.Second, "time from the order until a late version turns bad")
-	f.Float64Var(&o.Fails, "fails", 0.4, "share of a bad version's answers that fail")
-	f.Float64Var(&o.Slower, "slower", 4, "how many times as long a slow version takes")
-	f.Float64Var(&o.Rate, "rate", 400, "requests a second")
-	f.DurationVar(&o.Within, "duration", 12*time.Second, "time that the order gives")
-	f.Uint64Var(&o.Seed, "seed", 1, "seed of the requests, the failures and the moment of the fault")
-	f.StringVar(&o.Logs, "logs", "", "folder for the logs of the instances; without it they are not kept")
+	f.StringVar((*string)(&o.Kind), "rollout", "", "demonstrate a rollout instead, to a version that is: good, fails, slow, late, loaded, route")
+	f.StringVar((*string)(&o.Fault), "fault", string(rollout.NoFault), "fault injected during the rollout: none, owner-killed, store-away, store-slow, cut, all-killed, late-servers, replaced")
+	f.DurationVar(&o.Onset, "onset", 4*time.Second, "time from the order until a late version starts to fail")
+	f.Float64Var(&o.Fails, "fails", 0.4, "fraction of a bad version's responses that fail")
+	f.Float64Var(&o.Slower, "slower", 4, "factor by which a slow version is slower")
+	f.Float64Var(&o.Rate, "rate", 400, "requests per second")
+	f.DurationVar(&o.Within, "duration", 12*time.Second, "time limit of the order")
+	f.Uint64Var(&o.Seed, "seed", 1, "seed of the requests, the failures and the time of the fault")
+	f.StringVar(&o.Logs, "logs", "", "directory for the logs of the instances; they are discarded if it is not set")
 	return cmd
 }
 
--- a/cmd/shalewick/load.go
+++ b/cmd/shalewick/load.go
@@ -18,7 +18,7 @@
 	var entries, records, addresses, kinds []string
 	cmd := &cobra.Command{
 		Use:   "load",
-		Short: "Send requests at a rate and report latencies, refusals and anything lost, doubled or mixed up",
+		Short: "Send requests at a fixed rate and report latencies, rejections, and lost, doubled or mixed-up requests",
 		Example: `  shalewick load --entries 127.0.0.1:8000 --rate 200 --duration 10s \
     --kind service=catalogue,path=/lots,weight=80,answer=4096 \
     --kind service=ledger,method=POST,path=/bids,weight=20,once=true,body=200`,
@@ -43,16 +43,17 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringSliceVar(&entries, "entries", nil, "addresses of some instances to start from")
-	f.StringSliceVar(&records, "records", nil, "addresses of the backend server stand-ins, to compare with their records")
-	f.StringSliceVar(&addresses, "clients", []string{"10.0.0.7"}, "addresses of the clients that the load stands for")
+	f.StringSliceVar(&entries, "entries", nil, "addresses of some instances, used for the first lookup")
+	f.StringSliceVar(&records, "records", nil, "addresses of the backend server stand-ins whose records are compared with the responses")
+	f.StringSliceVar(&addresses, "clients", []string{"10.0.0.7"}, "addresses of the simulated clients")
 	f.StringArrayVar(&kinds, "kind", nil, "a kind of request: name, service, method, path, weight, once, body, answer, timeout as name=value pairs")
-	f.Float64Var(&o.Rate, "rate", 100, "requests a second")
-	f.DurationVar(&o.Duration, "duration", 10*time.Second, "length of the run")
+	f.Float64Var(&o.Rate, "rate", 100, "requests per second")
+	f.DurationVar(&o.Duration, "duration", 10*time.Second, "duration of the run")
 	return cmd
 }
 
-// runLoad sends the load, prints the report and fails if a promise was broken.
+// runLoad sends the requests, prints the report, and returns an error if a guarantee
+// was violated.
 func runLoad(cmd *cobra.Command, o load.Options, records []string) error {
 	outcomes, err := load.Run(cmd.Context(), o)
 	if err != nil {
@@ -62,14 +63,14 @@
 	if err != nil {
 		return err
 	}
-	rep := load.Verify(o.Mix, outcomes, recs)
+	report := load.Verify(o.Mix, outcomes, recs)
 	if len(records) == 0 {
-		rep.Lost = 0 // without records there is nothing to compare with
-		rep.Examples = nil
+		report.Lost = 0 // without records, every answered request counts as lost
+		report.Examples = nil
 	}
-	rep.Print(cmd.OutOrStdout())
-	if rep.Faults() > 0 {
-		return fmt.Errorf("%d faults", rep.Faults())
+	report.Print(cmd.OutOrStdout())
+	if report.Faults() > 0 {
+		return fmt.Errorf("%d faults", report.Faults())
 	}
 	return nil
 }
--- a/cmd/shalewick/main.go
+++ b/cmd/shalewick/main.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 
-// Command shalewick runs an instance of the traffic steering system, and is
-// the operators' command line. It only passes settings to the library.
+// Command shalewick runs an instance of the traffic steering system, and provides the
+// operators' commands.
 package main
 
 import (
@@ -29,7 +29,7 @@
 func newRootCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:           "shalewick",
-		Short:         "Global traffic steering: regions and backend servers for each request",
+		Short:         "Global traffic steering: chooses a region and a backend server for each request",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		PersistentPreRunE: func(cmd *cobra.Command, _ []string) error {
