--- a/cmd/shalewick/operator.go
+++ b/cmd/shalewick/operator.go
@@ -23,20 +23,20 @@
 	"shalewick/version"
 )
 
-// access is how an operators' command reaches the admin API.
+// adminAccess holds the flags for calls to the admin API.
 type adminAccess struct {
 	addresses []string
 	token     string
 	authority string
 }
 
-// accessFlags adds the flags that every operators' command has.
+// addAdminFlags adds the flags that all operators' commands have.
 func addAdminFlags(cmd *cobra.Command) *adminAccess {
 	var a adminAccess
 	f := cmd.Flags()
 	f.StringSliceVar(&a.addresses, "admin", []string{"127.0.0.1:8002"}, "admin addresses of instances, tried in turn")
-	f.StringVar(&a.token, "token", "", "token of the workspace; better given by the environment")
-	f.StringVar(&a.authority, "authority", "", "PEM file of the instances' authority; with it calls go over TLS")
+	f.StringVar(&a.token, "token", "", "token of the workspace; preferably set through the environment")
+	f.StringVar(&a.authority, "authority", "", "PEM file of the instances' certificate authority; if set, calls use TLS")
 	return &a
 }
 
@@ -53,7 +53,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, errors.Errorf("--authority: no certificate in %s", a.authority)
+		return nil, errors.Errorf("--authority: no certificates in %s", a.authority)
 	}
 	c.TLS = true
 	c.HTTP.Transport = &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS13}}
@@ -69,7 +69,7 @@
 func applyCommand() *cobra.Command {
 	var file string
 	cmd := &cobra.Command{Use: "apply -f FILE", Short: "Write resources from YAML or JSON documents", Args: cobra.NoArgs}
-	reach := addAdminFlags(cmd)
+	access := addAdminFlags(cmd)
 	cmd.Flags().StringVarP(&file, "file", "f", "", "file to read, - for standard input")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		if file == "" {
@@ -83,7 +83,7 @@
 		if err != nil {
 			return err
 		}
-		c, err := reach.client()
+		c, err := access.client()
 		if err != nil {
 			return err
 		}
@@ -99,15 +99,15 @@
 	return os.ReadFile(file)
 }
 
-// changeTimeout bounds a change whose answers are lost.
+// changeTimeout limits the time for a change, including retries after lost responses.
 const changeTimeout = time.Minute
 
 func applyAndPrint(cmd *cobra.Command, c *operator.Client, rs []version.Resource) error {
 	ctx, cancel := context.WithTimeout(cmd.Context(), changeTimeout)
 	defer cancel()
 	for _, r := range rs {
-		for _, word := range r.Deprecated {
-			fmt.Fprintf(cmd.ErrOrStderr(), "warning: %s: %s is deprecated, write backend\n", r.Key, word)
+		for _, name := range r.Deprecated {
+			fmt.Fprintf(cmd.ErrOrStderr(), "warning: %s: %s is deprecated, use backend\n", r.Key, name)
 		}
 	}
 	applied, err := c.Apply(ctx, rs)
@@ -118,20 +118,20 @@
 	return err
 }
 
-// parseKey reads "kind/name" or "kind name".
+// parseKey parses "kind/name" or "kind name".
 func parseKey(args []string) (version.Key, error) {
 	kind, name, ok := strings.Cut(strings.Join(args, "/"), "/")
 	if !ok || kind == "" || name == "" {
-		return version.Key{}, errors.New("name a resource as KIND/NAME")
+		return version.Key{}, errors.New("a resource must be given as KIND/NAME")
 	}
 	return version.Key{Kind: version.ParseKind(kind), Name: name}, nil
 }
 
 func getCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "get [KIND[/NAME]]", Short: "Print resources as YAML documents", Args: cobra.MaximumNArgs(1)}
-	reach := addAdminFlags(cmd)
+	access := addAdminFlags(cmd)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		c, err := reach.client()
+		c, err := access.client()
 		if err != nil {
 			return err
 		}
@@ -170,25 +170,25 @@
 
 func deleteCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "delete KIND/NAME", Short: "Remove a resource", Args: cobra.ExactArgs(1)}
-	reach := addAdminFlags(cmd)
-	at := cmd.Flags().Int64("version", 0, "version that the deletion is made against; 0: the present one")
+	access := addAdminFlags(cmd)
+	expected := cmd.Flags().Int64("version", 0, "version that the resource must have; 0: the current one")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		k, err := parseKey(args)
 		if err != nil {
 			return err
 		}
-		c, err := reach.client()
+		c, err := access.client()
 		if err != nil {
 			return err
 		}
-		if *at == 0 {
+		if *expected == 0 {
 			r, err := c.Get(cmd.Context(), k)
 			if err != nil {
 				return err
 			}
-			*at = r.Version
+			*expected = r.Version
 		}
-		applied, err := c.Delete(cmd.Context(), k, *at)
+		applied, err := c.Delete(cmd.Context(), k, *expected)
 		if err != nil {
 			return err
 		}
@@ -199,12 +199,12 @@
 }
 
 func watchCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "watch", Short: "Print changes as they are taken up, a JSON line each", Args: cobra.NoArgs}
-	reach := addAdminFlags(cmd)
-	from := cmd.Flags().Int64("from", 0, "print changes above this version")
+	cmd := &cobra.Command{Use: "watch", Short: "Print changes as they are applied, as one JSON line each", Args: cobra.NoArgs}
+	access := addAdminFlags(cmd)
+	from := cmd.Flags().Int64("from", 0, "print changes after this version")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		enc := json.NewEncoder(cmd.OutOrStdout())
-		c, err := reach.client()
+		c, err := access.client()
 		if err != nil {
 			return err
 		}
@@ -219,24 +219,24 @@
 
 func statusCommand() *cobra.Command {
 	var wait bool
-	var at int64
+	var target int64
 	var timeout time.Duration
 	cmd := &cobra.Command{Use: "status", Short: "Show what is in force at each instance", Args: cobra.NoArgs}
-	reach := addAdminFlags(cmd)
-	cmd.Flags().BoolVar(&wait, "wait", false, "return once the version is in force everywhere, or say who is missing")
-	cmd.Flags().Int64Var(&at, "version", 0, "version to wait for; 0: the present one")
+	access := addAdminFlags(cmd)
+	cmd.Flags().BoolVar(&wait, "wait", false, "wait until the version is in force everywhere, or report which instances lack it")
+	cmd.Flags().Int64Var(&target, "version", 0, "version to wait for; 0: the current one")
 	cmd.Flags().DurationVar(&timeout, "timeout", 13*time.Second, "how long to wait")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
-		c, err := reach.client()
+		c, err := access.client()
 		if err != nil {
 			return err
 		}
 		st, err := c.Status(cmd.Context())
 		if err == nil && wait {
-			if at == 0 {
-				at = st.Version
+			if target == 0 {
+				target = st.Version
 			}
-			st, err = c.WaitInForce(cmd.Context(), at, timeout)
+			st, err = c.WaitInForce(cmd.Context(), target, timeout)
 		}
 		rs, listErr := c.List(cmd.Context(), "")
 		if listErr != nil {
@@ -251,26 +251,26 @@
 func drainCommand() *cobra.Command {
 	var undo bool
 	cmd := &cobra.Command{
-		Use: "drain backend/NAME|hall/NAME|region/NAME", Short: "Take a place out of use, or with --undo into use", Args: cobra.ExactArgs(1),
+		Use: "drain backend/NAME|hall/NAME|region/NAME", Short: "Drain a backend server, hall or region, or end the drain with --undo", Args: cobra.ExactArgs(1),
 	}
-	reach := addAdminFlags(cmd)
+	access := addAdminFlags(cmd)
 	cmd.Flags().BoolVar(&undo, "undo", false, "end the drain")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		k, err := parseKey(args)
 		if err != nil {
 			return err
 		}
-		c, err := reach.client()
+		c, err := access.client()
 		if err != nil {
 			return err
 		}
 		r := version.Resource{Key: version.Key{Kind: version.KindDrain, Name: string(k.Kind) + "-" + k.Name}, Drain: &version.Drain{}}
 		if undo {
-			present, err := c.Get(cmd.Context(), r.Key)
+			existing, err := c.Get(cmd.Context(), r.Key)
 			if err != nil {
 				return err
 			}
-			_, err = c.Delete(cmd.Context(), r.Key, present.Version)
+			_, err = c.Delete(cmd.Context(), r.Key, existing.Version)
 			return err
 		}
 		switch k.Kind {
@@ -281,7 +281,7 @@
 		case version.KindRegion:
 			r.Drain.Region = k.Name
 		default:
-			return errors.Errorf("a %s can not be drained", k.Kind)
+			return errors.Errorf("a %s cannot be drained", k.Kind)
 		}
 		return applyAndPrint(cmd, c, []version.Resource{r})
 	}
@@ -292,31 +292,31 @@
 	var s version.Shift
 	var ramp time.Duration
 	cmd := &cobra.Command{Use: "shift", Short: "Move a share of a service's requests from one region to another", Args: cobra.NoArgs}
-	reach := addAdminFlags(cmd)
+	access := addAdminFlags(cmd)
 	f := cmd.Flags()
 	f.StringVar(&s.Service, "service", "", "service")
 	f.StringVar(&s.From, "from", "", "region to move requests from")
 	f.StringVar(&s.To, "to", "", "region to move them to")
-	f.Float64Var(&s.Share, "share", 0, "share of the requests, 0 to 1")
-	f.IntVar(&s.Cap, "cap", 0, "most shifted requests at once")
-	f.IntVar(&s.Rate, "rate", 0, "most shifted requests a second; 0: no bound")
-	f.DurationVar(&ramp, "ramp", 0, "time over which the share rises from 0")
+	f.Float64Var(&s.Share, "share", 0, "fraction of the requests, 0 to 1")
+	f.IntVar(&s.Cap, "cap", 0, "maximum number of concurrent shifted requests")
+	f.IntVar(&s.Rate, "rate", 0, "maximum number of shifted requests per second; 0: no limit")
+	f.DurationVar(&ramp, "ramp", 0, "time over which the share increases from 0")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		if s.Service == "" || s.From == "" || s.To == "" {
 			return errors.New("--service, --from and --to: must be set")
 		}
 		s.Ramp = version.Duration(ramp)
-		c, err := reach.client()
+		c, err := access.client()
 		if err != nil {
 			return err
 		}
 		r := version.Resource{Key: version.Key{Kind: version.KindShift, Name: s.Service + "-" + s.From}, Shift: &s}
-		present, err := c.Get(cmd.Context(), r.Key)
+		existing, err := c.Get(cmd.Context(), r.Key)
 		var refused *operator.RefusedError
 		if err != nil && !(errors.As(err, &refused) && refused.Code == request.NotFound) {
 			return err
 		}
-		r.Version = present.Version
+		r.Version = existing.Version
 		return applyAndPrint(cmd, c, []version.Resource{r})
 	}
 	return cmd
--- a/cmd/shalewick/page_test.go
+++ b/cmd/shalewick/page_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestCommandsOfThePagesAreKnown checks that each command line of the pages names
-// a command with flags that there are.
+// Each command line in the operators' pages must name an existing command with valid
+// flags and arguments.
 func TestDocumentedCommandsParse(t *testing.T) {
 	found := 0
 	for _, path := range []string{"../../docs/OPERATIONS.md", "../../README.md"} {
--- a/cmd/shalewick/report.go
+++ b/cmd/shalewick/report.go
@@ -15,7 +15,7 @@
 	"shalewick/report"
 )
 
-// defaultWindow is the length of the report's windows.
+// defaultWindow is the default length of a report's time windows.
 const defaultWindow = time.Second
 
 func reportCommand() *cobra.Command {
@@ -23,10 +23,10 @@
 	var html string
 	cmd := &cobra.Command{
 		Use:   "report FILE...",
-		Short: "Count from the logs of processes what became of requests, and why",
-		Long: "Count from the logs of processes, for each window of time, service, class, hall and cause,\n" +
+		Short: "Count the outcomes of requests and their causes from the logs of instances",
+		Long: "Count from the logs of instances, for each time window, service, class, hall and cause,\n" +
 			"how many requests were answered in time or late, refused, or failed.\n" +
-			"A FILE may be a folder, whose files are all read, or - for standard input.",
+			"A FILE may be a directory, all files of which are read, or - for standard input.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if window <= 0 {
@@ -44,12 +44,12 @@
 			return r.Print(cmd.OutOrStdout())
 		},
 	}
-	cmd.Flags().DurationVar(&window, "window", defaultWindow, "length of the windows of time")
-	cmd.Flags().StringVar(&html, "html", "", "write a page with plots to this file in place of tables")
+	cmd.Flags().DurationVar(&window, "window", defaultWindow, "length of the time windows")
+	cmd.Flags().StringVar(&html, "html", "", "write an HTML page with plots to this file instead of printing tables")
 	return cmd
 }
 
-// readLogs reads a log, all logs of a folder, or standard input.
+// readLogs reads a log file, all files below a directory, or standard input.
 func readLogs(r *report.Report, path string, in io.Reader) error {
 	if path == "-" {
 		return r.Read("standard input", in)
@@ -65,7 +65,7 @@
 		if err != nil {
 			return errors.Trace(err)
 		}
-		defer f.Close() // it was read
+		defer f.Close() // opened for reading only
 		return r.Read(name, f)
 	})
 }
@@ -76,7 +76,7 @@
 		return errors.Trace(err)
 	}
 	if err := r.WriteHTML(f); err != nil {
-		_ = f.Close() // the first error tells more
+		_ = f.Close() // err is the more informative error
 		return err
 	}
 	return errors.Trace(f.Close())
--- a/cmd/shalewick/rollout.go
+++ b/cmd/shalewick/rollout.go
@@ -16,8 +16,8 @@
 	"shalewick/version"
 )
 
-// rolloutGrace is how long beyond its time the end of a roll-out is waited for: requests
-// that are under way at the version before are not cut off.
+// rolloutWaitMargin is how long --wait waits beyond the time limit of a rollout, since
+// requests in progress at the previous version may finish first.
 const rolloutWaitMargin = time.Minute
 
 func rolloutCommand() *cobra.Command {
@@ -25,20 +25,20 @@
 	var within time.Duration
 	var wait bool
 	cmd := &cobra.Command{
-		Use: "rollout SERVICE", Short: "Move a service to another version of its software, or show where that stands", Args: cobra.ExactArgs(1),
-		Long: "With --target, orders a roll-out: the version is tried with a few requests and then gets all, or\n" +
-			"none. Without, shows where the newest one stands. --wait prints each step until it has ended,\n" +
-			"and fails if it was reverted.",
+		Use: "rollout SERVICE", Short: "Roll out another software version of a service, or show the status of a rollout", Args: cobra.ExactArgs(1),
+		Long: "With --target, orders a rollout: the version first gets a few requests, and then all or none.\n" +
+			"Without --target, shows the status of the latest rollout. --wait prints each step until the\n" +
+			"rollout has ended, and fails if it was reverted.",
 	}
-	reach := addAdminFlags(cmd)
-	cmd.Flags().StringVar(&target, "target", "", "version of the software that is to serve")
-	cmd.Flags().DurationVar(&within, "within", 0, "time that there is for it")
-	cmd.Flags().BoolVar(&wait, "wait", false, "return once it has ended")
+	access := addAdminFlags(cmd)
+	cmd.Flags().StringVar(&target, "target", "", "software version to roll out")
+	cmd.Flags().DurationVar(&within, "within", 0, "time limit of the rollout")
+	cmd.Flags().BoolVar(&wait, "wait", false, "wait until the rollout has ended")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		if target == "" && within != 0 || target != "" && within <= 0 {
-			return errors.New("--target and --within: both must be set, or none")
+			return errors.New("--target and --within: must be set together")
 		}
-		c, err := reach.client()
+		c, err := access.client()
 		if err != nil {
 			return err
 		}
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// followRollout prints each step of a roll-out until its end. One that was ordered just
-// now is waited for as long as it may take.
+// followRollout prints each step of a rollout until it ends. Within limits the wait for a
+// rollout that was just ordered; with zero there is no limit.
 func followRollout(cmd *cobra.Command, c *operator.Client, service string, order int64, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(cmd.Context(), within+rolloutWaitMargin)
 	defer cancel()
--- a/cmd/shalewick/rollout_test.go
+++ b/cmd/shalewick/rollout_test.go
@@ -20,12 +20,13 @@
 	"shalewick/version"
 )
 
-// instance is the admin API of an instance that ends each roll-out in a phase.
+// fakeInstance serves an admin API at which every rollout is in a fixed phase.
 type fakeInstance struct {
 	phase   rollout.Phase
 	applied []version.Resource
 }
 
+// start serves the API and returns its address.
 func (x *fakeInstance) start(t *testing.T) string {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -34,7 +35,7 @@
 	})
 	mux.HandleFunc("POST /v1/apply", func(w http.ResponseWriter, r *http.Request) {
 		var body bytes.Buffer
-		_, _ = body.ReadFrom(r.Body) // what is missing fails the check below
+		_, _ = body.ReadFrom(r.Body) // a truncated body fails to parse
 		rs, err := version.Parse(body.Bytes())
 		assert.Check(t, err)
 		x.applied = append(x.applied, rs...)
@@ -58,27 +59,27 @@
 	return out.String(), err
 }
 
-// TestRolloutCommand orders, shows and follows roll-outs.
+// Rollouts are ordered, shown and followed; invalid flags order none.
 func TestRolloutCommand(t *testing.T) {
 	x := &fakeInstance{phase: rollout.Completed}
-	at := x.start(t)
-	out, err := runCommand("rollout", "s", "--target", "v2", "--within", "30s", "--admin", at)
+	address := x.start(t)
+	out, err := runCommand("rollout", "s", "--target", "v2", "--within", "30s", "--admin", address)
 	assert.NilError(t, err)
 	assert.Equal(t, out, "order=7\n")
 	assert.Equal(t, fmt.Sprint(x.applied[0].Key, *x.applied[0].Rollout), "rollout/s {s v2 30000000000}")
-	out, err = runCommand("rollout", "s", "--admin", at)
+	out, err = runCommand("rollout", "s", "--admin", address)
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(out, "state     completed"), out)
-	out, err = runCommand("rollout", "s", "--target", "v2", "--within", "30s", "--wait", "--admin", at)
+	out, err = runCommand("rollout", "s", "--target", "v2", "--within", "30s", "--wait", "--admin", address)
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(out, "state     completed"), out)
 	x.phase = rollout.Reverted
-	_, err = runCommand("rollout", "s", "--wait", "--admin", at)
+	_, err = runCommand("rollout", "s", "--wait", "--admin", address)
 	assert.Error(t, err, "roll-out of s to v2 was reverted: it fails more often")
-	_, err = runCommand("rollout", "none", "--admin", at)
+	_, err = runCommand("rollout", "none", "--admin", address)
 	assert.ErrorContains(t, err, "62 NOT_FOUND")
 	for _, args := range [][]string{{"--target", "v2"}, {"--within", "30s"}, {"--target", "v2", "--within", "-1s"}} {
-		_, err = runCommand(append([]string{"rollout", "s", "--admin", at}, args...)...)
+		_, err = runCommand(append([]string{"rollout", "s", "--admin", address}, args...)...)
 		assert.ErrorContains(t, err, "--target and --within")
 	}
 	assert.Equal(t, len(x.applied), 2)
--- a/cmd/shalewick/standin.go
+++ b/cmd/shalewick/standin.go
@@ -23,7 +23,7 @@
 func standinCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "standin",
-		Short: "Run a stand-in of what surrounds the system, for tests",
+		Short: "Run stand-ins of the platform or of backend servers, for tests",
 	}
 	cmd.AddCommand(standinPlatformCommand(), standinBackendCommand())
 	return cmd
@@ -33,7 +33,7 @@
 	var listen string
 	cmd := &cobra.Command{
 		Use:   "platform",
-		Short: "Run a stand-in of the platform: tables, objects, list of instances",
+		Short: "Run a stand-in of the platform: tables, objects and the list of instances",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := setting.CheckAddress("listen", listen); err != nil {
@@ -54,7 +54,7 @@
 	var queue bool
 	cmd := &cobra.Command{
 		Use:   "backend",
-		Short: "Run stand-ins of backend servers on adjoining ports",
+		Short: "Run stand-ins of backend servers on consecutive ports",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			first, err := netip.ParseAddrPort(listen)
@@ -62,7 +62,7 @@
 				return setting.CheckAddress("listen", listen)
 			}
 			if count < 1 || slots < 1 || work < 0 {
-				return errors.New("--count and --slots must be at least 1, --work not negative")
+				return errors.New("--count and --slots must be at least 1, --work must not be negative")
 			}
 			var out io.Writer
 			if journal != "" {
@@ -83,29 +83,29 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&listen, "listen", "127.0.0.1:9000", "address of the first to listen on")
-	f.StringVar(&name, "name", "backend-", "beginning of their names in records")
-	f.BoolVar(&queue, "queue", false, "let requests beyond the slots wait, and shed when too many wait")
-	f.StringVar(&journal, "journal", "", "file to append records to, which outlives a kill")
-	f.IntVar(&count, "count", 1, "how many")
-	f.IntVar(&slots, "slots", 4, "requests that each serves at once")
-	f.DurationVar(&work, "work", 5*time.Millisecond, "mean time of work for a request")
+	f.StringVar(&listen, "listen", "127.0.0.1:9000", "address that the first one listens on")
+	f.StringVar(&name, "name", "backend-", "prefix of their names in records")
+	f.BoolVar(&queue, "queue", false, "queue requests beyond the slots, and shed those beyond the queue")
+	f.StringVar(&journal, "journal", "", "file to append records to; it survives a kill of the process")
+	f.IntVar(&count, "count", 1, "number of stand-ins")
+	f.IntVar(&slots, "slots", 4, "number of requests that each serves concurrently")
+	f.DurationVar(&work, "work", 5*time.Millisecond, "mean service time of a request")
 	return cmd
 }
 
-// serve serves the handlers until the context ends.
+// serve serves each handler at its address until the context ends or a server fails.
 func serve(ctx context.Context, addresses []string, handlers []http.Handler) error {
-	failed := make(chan error, len(addresses))
+	errs := make(chan error, len(addresses))
 	for i, a := range addresses {
 		l, err := net.Listen("tcp", a)
 		if err != nil {
 			return errors.Annotatef(err, "listen on %s", a)
 		}
 		s := &http.Server{Handler: handlers[i], ReadHeaderTimeout: 10 * time.Second}
-		go func() { failed <- s.Serve(l) }()
+		go func() { errs <- s.Serve(l) }()
 	}
 	select {
-	case err := <-failed:
+	case err := <-errs:
 		return err
 	case <-ctx.Done():
 		return nil
