--- a/caller/caller.go
+++ b/caller/caller.go
@@ -68,7 +68,7 @@
 	HTTP    *http.Client
 
 	lookupSlot    chan struct{} // semaphore that admits one lookup at a time
-	earlyTimeouts retry.Budget  // attempts that were cancelled before the request's deadline
+	earlyTimeouts retry.Budget  // budget of attempts cancelled before the deadline of their request
 	mu            sync.Mutex
 	entries       []string
 	entriesExpire time.Time
