--- a/caller/caller.go
+++ b/caller/caller.go
@@ -21,37 +21,37 @@
 	"shalewick/retry"
 )
 
-// Request is one request.
+// Request describes a request to a service.
 type Request struct {
 	Service string
 	Method  string
-	Path    string // with the query
+	Path    string // including the query
 	Header  http.Header
 	Body    []byte
-	// Once marks a request that may not be repeated.
-	Once bool
-	// Timeout bounds the whole of it; zero means DefaultTimeout.
+	// AtMostOnce marks a request that must not be run more than once.
+	AtMostOnce bool
+	// Timeout limits the request including all retries; zero means DefaultTimeout.
 	Timeout time.Duration
 }
 
-// DefaultTimeout is the timeout of a request that names none.
+// DefaultTimeout applies to requests without a Timeout.
 const DefaultTimeout = 10 * time.Second
 
-// Response is a whole answer of a backend server.
+// Response is the complete response of a backend server.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Refusal is the end of a request that got no whole answer.
-type Refusal struct {
+// RequestError is returned for a request without a complete response.
+type RequestError struct {
 	request.Result
-	Err error // the last failure, if it was not a result
+	Err error // last failure, unless an instance returned a Result
 }
 
-// Error describes the refusal.
-func (r *Refusal) Error() string {
+// Error describes the last failure, and whether the request ran.
+func (r *RequestError) Error() string {
 	if r.Err != nil {
 		return fmt.Sprintf("ran: %s: %v", r.Ran, r.Err)
 	}
@@ -60,58 +60,59 @@
 
 // Client sends requests. It is safe for concurrent use.
 type Client struct {
-	// Known are addresses of instances to start from.
-	Known []string
-	// Address is the client's own, for the look-up; "" lets the instance see.
+	// Seeds are the addresses of the instances used for the first lookup.
+	Seeds []string
+	// Address is the client's own address, sent with lookups; if it is "", the
+	// instance uses the remote address of the connection.
 	Address string
-	// HTTP carries the calls.
-	HTTP *http.Client
+	HTTP    *http.Client
 
-	lookups chan struct{} // holds one look-up at a time
-	early   retry.Budget  // calls that were given up before the request's time
-	mu      sync.Mutex
-	entries []string
-	until   time.Time
-	avoid   map[string]time.Time
-	tickets map[string][]ticket
+	lookupSlot    chan struct{} // semaphore that admits one lookup at a time
+	earlyTimeouts retry.Budget  // budget of attempts cancelled before the deadline of their request
+	mu            sync.Mutex
+	entries       []string
+	entriesExpire time.Time
+	avoidUntil    map[string]time.Time
+	tickets       map[string][]ticket
 }
 
 type ticket struct {
-	text  string
-	taken time.Time
+	text      string
+	fetchedAt time.Time
 }
 
-// New returns a client that starts from known instances.
-func New(known []string) *Client {
+// New returns a client that finds instances through the seeds.
+func New(seeds []string) *Client {
 	t := &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}
-	return &Client{Known: known, lookups: make(chan struct{}, 1), HTTP: &http.Client{Transport: t}}
+	return &Client{Seeds: seeds, lookupSlot: make(chan struct{}, 1), HTTP: &http.Client{Transport: t}}
 }
 
 const (
-	lookupTimeout = 400 * time.Millisecond
-	avoidTime     = time.Second
-	ticketBatch   = 16
-	ticketKeep    = time.Minute
-	maxLookup     = 64 << 10
-	pause         = 50 * time.Millisecond
-	// tryParts is the part of a request's time after which another instance
-	// is asked, and tryBody the largest body, in bytes, that is sent again.
-	tryParts = 4
-	tryBody  = 64 << 10
+	lookupTimeout  = 400 * time.Millisecond
+	avoidDuration  = time.Second
+	ticketBatch    = 16
+	ticketMaxAge   = time.Minute
+	maxLookupBytes = 64 << 10
+	retryInterval  = 50 * time.Millisecond
+	// An attempt gets the remaining time of its request divided by
+	// attemptDivisor, unless the body is larger than maxRetryBody, in bytes.
+	attemptDivisor = 4
+	maxRetryBody   = 64 << 10
 )
 
-// sending is the course of one request.
-type sending struct {
-	c      *Client
-	req    *Request
-	ticket string
-	at     string      // the instance that the ticket is of
-	ran    request.Ran // what is known so far
-	breaks int
-	last   Refusal
+// requestState is the state of one request across its attempts.
+type requestState struct {
+	c            *Client
+	req          *Request
+	ticket       string
+	ticketIssuer string      // the instance that issued the ticket
+	ran          request.Ran // whether an earlier attempt may have run
+	failures     int
+	lastErr      RequestError
 }
 
-// Do sends a request until it has an answer, a final refusal, or no time left.
+// Do sends a request, and retries it until it gets a response, a final
+// rejection, or runs out of time.
 func (c *Client) Do(ctx context.Context, req *Request) (*Response, error) {
 	timeout := req.Timeout
 	if timeout == 0 {
@@ -119,116 +120,119 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	c.early.Deposit()
-	s := &sending{c: c, req: req, ran: request.RanNo}
+	c.earlyTimeouts.Deposit()
+	s := &requestState{c: c, req: req, ran: request.RanNo}
 	for ctx.Err() == nil {
-		res, retry, final := s.try(ctx)
+		res, delay, final := s.attempt(ctx)
 		if res != nil {
 			return res, nil
 		}
-		if final || !sleepWithin(ctx, retry) {
+		if final || !sleepBeforeDeadline(ctx, delay) {
 			break
 		}
 	}
-	s.last.Ran = s.ran
-	return nil, &s.last
+	s.lastErr.Ran = s.ran
+	return nil, &s.lastErr
 }
 
-// sleepWithin waits, unless the context would end before.
-func sleepWithin(ctx context.Context, d time.Duration) bool {
-	if limit, ok := ctx.Deadline(); ok && time.Until(limit) < d {
+// sleepBeforeDeadline waits for d. It returns false at once if the context's
+// deadline comes earlier.
+func sleepBeforeDeadline(ctx context.Context, d time.Duration) bool {
+	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) < d {
 		return false
 	}
 	return clock.Sleep(ctx, d)
 }
 
-// try sends once. Without an answer it says when to try again, or that the
-// refusal is final.
-func (s *sending) try(ctx context.Context) (res *Response, retry time.Duration, final bool) {
-	entry := s.at
-	if entry == "" || s.c.avoided(entry) {
+// attempt sends the request once. Without a response it returns the delay
+// before the next attempt, or that the rejection is final.
+func (s *requestState) attempt(ctx context.Context) (res *Response, delay time.Duration, final bool) {
+	entry := s.ticketIssuer
+	if entry == "" || s.c.isAvoided(entry) {
 		var err error
-		if entry, err = s.c.pick(ctx); err != nil {
-			s.last.Err = err
-			return nil, pause, false
+		if entry, err = s.c.pickInstance(ctx); err != nil {
+			s.lastErr.Err = err
+			return nil, retryInterval, false
 		}
 	}
-	if s.req.Once && s.ticket == "" {
+	if s.req.AtMostOnce && s.ticket == "" {
 		t, err := s.c.takeTicket(ctx, entry)
 		if err != nil {
-			s.c.failed(entry)
-			s.last.Err = err
-			return nil, pause, false
+			s.c.markFailed(entry)
+			s.lastErr.Err = err
+			return nil, retryInterval, false
 		}
-		s.ticket, s.at = t, entry
+		s.ticket, s.ticketIssuer = t, entry
 	}
-	tryCtx, cancel := s.tryContext(ctx)
+	attemptCtx, cancel := s.attemptContext(ctx)
 	defer cancel()
-	res, result, err := s.c.send(tryCtx, entry, s.req, s.ticket)
+	res, result, err := s.c.send(attemptCtx, entry, s.req, s.ticket)
 	if err != nil {
-		if tryCtx.Err() != nil && ctx.Err() == nil {
-			s.c.early.TryWithdraw()
+		if attemptCtx.Err() != nil && ctx.Err() == nil {
+			s.c.earlyTimeouts.TryWithdraw()
 		}
-		s.broken(entry, err)
-		return nil, s.pause(), false
+		s.recordFailure(entry, err)
+		return nil, s.retryDelay(), false
 	}
 	if result == nil {
 		return res, 0, false
 	}
-	return s.refused(entry, result)
+	return s.handleResult(entry, result)
 }
 
-// tryContext bounds one call, so that an instance that is silent does not use
-// up all the time. A large body may need the time that it takes; and when many
-// calls were given up early, all instances are slow, and asking more of them
-// would make it worse.
-func (s *sending) tryContext(ctx context.Context) (context.Context, context.CancelFunc) {
-	limit, ok := ctx.Deadline()
-	if !ok || len(s.req.Body) > tryBody || !s.c.early.Available() {
+// attemptContext limits one attempt, so that an unresponsive instance does not
+// use up the whole time of the request. Large bodies are exempt, since sending
+// them may take long. So are all requests once many attempts have timed out
+// early: then all instances are slow, and retries would add to the overload.
+func (s *requestState) attemptContext(ctx context.Context) (context.Context, context.CancelFunc) {
+	deadline, ok := ctx.Deadline()
+	if !ok || len(s.req.Body) > maxRetryBody || !s.c.earlyTimeouts.Available() {
 		return ctx, func() {}
 	}
-	return context.WithTimeout(ctx, max(time.Until(limit)/tryParts, lookupTimeout))
+	return context.WithTimeout(ctx, max(time.Until(deadline)/attemptDivisor, lookupTimeout))
 }
 
-// broken takes note of a call that brought nothing. With a ticket the outcome
-// can be asked for by way of another instance; without one the request is
-// repeatable and is sent again.
-func (s *sending) broken(entry string, err error) {
-	s.c.failed(entry)
-	s.last = Refusal{Err: err}
+// recordFailure records an attempt without any result. With a ticket, the next
+// attempt queries the outcome through another instance; without one, the
+// request is repeatable and is sent again.
+func (s *requestState) recordFailure(entry string, err error) {
+	s.c.markFailed(entry)
+	s.lastErr = RequestError{Err: err}
 	s.ran = request.RanUnknown
-	s.breaks++
+	s.failures++
 }
 
-// pause is the time before the next try after a broken call: none the first
-// time, since another instance is asked.
-func (s *sending) pause() time.Duration {
-	if s.breaks <= 1 {
+// retryDelay returns the delay before the next attempt after a failure: zero
+// after the first one, since the next attempt uses another instance.
+func (s *requestState) retryDelay() time.Duration {
+	if s.failures <= 1 {
 		return 0
 	}
-	return pause
+	return retryInterval
 }
 
-// refused takes note of a result.
-func (s *sending) refused(entry string, r *request.Result) (*Response, time.Duration, bool) {
-	s.last = Refusal{Result: *r}
+// handleResult records a result, and returns when to retry and whether the
+// result is final.
+func (s *requestState) handleResult(entry string, r *request.Result) (*Response, time.Duration, bool) {
+	s.lastErr = RequestError{Result: *r}
 	if r.Code == request.Leaving {
-		s.c.failed(entry)
+		s.c.markFailed(entry)
 	}
 	if r.Ran != request.RanNo {
 		s.ran = request.RanUnknown
 		return nil, r.Retry, r.Retry == 0 || s.ticket == ""
 	}
-	// Not run: the ticket is used up, the next try takes another. But if an
-	// earlier call with it may have run, this is not known of that one.
+	// Not run: the ticket is used up, and the next attempt takes another. This
+	// holds for earlier attempts with the same ticket too. Without a ticket, an
+	// earlier attempt may still have run.
 	if s.ticket != "" {
 		s.ran = request.RanNo
-		s.ticket, s.at = "", ""
+		s.ticket, s.ticketIssuer = "", ""
 	}
 	return nil, r.Retry, r.Retry == 0
 }
 
-// send makes one call. Exactly one of the three is set.
+// send makes one attempt. Exactly one of the three return values is set.
 func (c *Client) send(ctx context.Context, entry string, req *Request, ticket string) (*Response, *request.Result, error) {
 	hr, err := http.NewRequestWithContext(ctx, req.Method, "http://"+entry+req.Path, bytes.NewReader(req.Body))
 	if err != nil {
@@ -240,8 +244,8 @@
 	id := strconv.FormatUint(rand.Uint64(), 36)
 	hr.Header.Set(request.HeaderID, id)
 	hr.Header.Set(request.HeaderService, req.Service)
-	if limit, ok := ctx.Deadline(); ok {
-		hr.Header.Set(request.HeaderDeadline, strconv.FormatInt(max(1, time.Until(limit).Milliseconds()), 10))
+	if deadline, ok := ctx.Deadline(); ok {
+		hr.Header.Set(request.HeaderDeadline, strconv.FormatInt(max(1, time.Until(deadline).Milliseconds()), 10))
 	}
 	if ticket != "" {
 		hr.Header.Set(request.HeaderTicket, ticket)
@@ -254,13 +258,13 @@
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
 	if err != nil {
-		return nil, nil, errors.Annotatef(err, "answer of %s", entry)
+		return nil, nil, errors.Annotatef(err, "read response of %s", entry)
 	}
 	if res.Header.Get(request.HeaderID) != id {
-		return nil, nil, errors.Errorf("answer of %s is to another request", entry)
+		return nil, nil, errors.Errorf("%s sent the response to another request", entry)
 	}
 	if res.Header.Get(front.HeaderEntry) != "" {
-		c.forget()
+		c.expireLookup()
 	}
 	if r, ok := request.FromHeader(res.Header); ok {
 		return nil, &r, nil
--- a/report/report.go
+++ b/report/report.go
@@ -15,40 +15,41 @@
 	"shalewick/request"
 )
 
-// Outcome is how a request ended.
+// Outcome states how a request ended.
 type Outcome uint8
 
 // The outcomes.
 const (
 	InTime  Outcome = iota // answered within the objective
-	Late                   // answered after it
-	Refused                // not run
-	Failed                 // no answer, and it may have run
-	outcomes
+	Late                   // answered after the objective
+	Refused                // no response, and the request did not run
+	Failed                 // no response, and the request may have run
+	numOutcomes
 )
 
-// String returns the outcome's name.
+// String returns the name that the outcome has in tables.
 func (o Outcome) String() string {
-	return [outcomes]string{"in time", "late", "refused", "failed"}[o]
+	return [numOutcomes]string{"in time", "late", "refused", "failed"}[o]
 }
 
-// Group is what requests are counted by.
+// Group holds the labels by which requests are counted.
 type Group struct {
 	Service, Class, Hall, Cause string
-	// Software is the version that answered; "": none did, or it is not known.
+	// Software is the software version of the backend server that answered; "" if none
+	// did or the line doesn't state it.
 	Software string
 }
 
-// key is a group in one window.
+// key identifies the counts of a group in one window.
 type key struct {
-	window int64 // number of windows since the Unix epoch
+	window int64 // number of the window, counted from the Unix epoch
 	Group
 }
 
-// Counts are numbers of requests by outcome.
-type Counts [outcomes]int
+// Counts holds the number of requests of each outcome.
+type Counts [numOutcomes]int
 
-// Total returns the number of all requests.
+// Total returns the number of requests of all outcomes.
 func (c Counts) Total() int {
 	sum := 0
 	for _, n := range c {
@@ -63,53 +64,53 @@
 	}
 }
 
-// Bounds of a report.
+// Limits of a report.
 const (
-	// maxCounts is the number of counts from which windows become longer; each
-	// takes some 200 bytes.
+	// maxCounts is the number of counts above which the length of the windows is doubled.
+	// Each takes some 200 bytes.
 	maxCounts = 1 << 16
-	// maxLine bounds a line, in bytes.
-	maxLine = 1 << 20
-	// maxBad bounds the lines that are named as unreadable.
-	maxBad = 5
+	// maxLineBytes limits the length of a line. Longer lines are skipped.
+	maxLineBytes = 1 << 20
+	// maxMalformedLines limits MalformedLines.
+	maxMalformedLines = 5
 )
 
-// Report is the counts of one or more logs. Use New.
+// Report holds the counts of one or more logs. Create it with New.
 type Report struct {
-	// Window is the length of the windows.
+	// Window is the length of the time windows.
 	Window time.Duration
-	// Lines is the number of lines read, Bad that of those that are no log
-	// lines, and BadLines names the first of them.
-	Lines, Bad int
-	BadLines   []string
-	// Estimated is the number of requests whose lines were left out.
+	// Lines is the number of lines read, Malformed the number of those that could
+	// not be parsed, and MalformedLines the log and line numbers of the first of them.
+	Lines, Malformed int
+	MalformedLines   []string
+	// Estimated is the number of requests whose lines the instances left out.
 	Estimated int
 
 	counts map[key]Counts
-	halls  map[string]string // by instance, as the line of its start tells
+	halls  map[string]string // by instance, from its started event
 	steps  steps
 }
 
-// New returns an empty report with windows of a length.
+// New returns an empty report with windows of the given length.
 func New(window time.Duration) *Report {
 	return &Report{Window: window, counts: make(map[key]Counts), halls: make(map[string]string)}
 }
 
-// Read counts the lines of one log. Lines that can't be read are counted and the
-// first ones named; the error is that of the reader.
-func (r *Report) Read(name string, from io.Reader) error {
-	lines := bufio.NewReaderSize(from, maxLine)
+// Read adds the lines of one log. Lines that can't be parsed are counted in
+// Malformed. Errors are those of the reader.
+func (r *Report) Read(name string, in io.Reader) error {
+	lines := bufio.NewReaderSize(in, maxLineBytes)
 	for n := 1; ; n++ {
 		text, err := lines.ReadSlice('\n')
 		if len(text) > 0 {
-			r.line(name, n, strings.TrimSuffix(string(text), "\n"))
+			r.addText(name, n, strings.TrimSuffix(string(text), "\n"))
 		}
 		switch {
 		case errors.Is(err, io.EOF):
 			return nil
 		case errors.Is(err, bufio.ErrBufferFull):
 			if err = skipLine(lines); err != nil {
-				return ignoreEnd(errors.Annotate(err, name))
+				return ignoreEOF(errors.Annotate(err, name))
 			}
 		case err != nil:
 			return errors.Annotate(err, name)
@@ -117,7 +118,7 @@
 	}
 }
 
-// skipLine reads to the end of a line that is too long.
+// skipLine discards the rest of a line that is too long.
 func skipLine(lines *bufio.Reader) error {
 	for {
 		_, err := lines.ReadSlice('\n')
@@ -127,33 +128,35 @@
 	}
 }
 
-func ignoreEnd(err error) error {
+func ignoreEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return nil
 	}
 	return err
 }
 
-func (r *Report) line(name string, n int, text string) {
+// addText parses and adds line n of a log.
+func (r *Report) addText(name string, n int, text string) {
 	r.Lines++
 	l, ok := explain.ParseLine(text)
 	if !ok {
-		r.Bad++
-		if len(r.BadLines) < maxBad {
-			r.BadLines = append(r.BadLines, name+":"+strconv.Itoa(n))
+		r.Malformed++
+		if len(r.MalformedLines) < maxMalformedLines {
+			r.MalformedLines = append(r.MalformedLines, name+":"+strconv.Itoa(n))
 		}
 		return
 	}
 	r.Add(&l)
 }
 
-// Add counts one line, if it tells of a request's end.
+// Add counts a line that states the end of a request, a step of a rollout, or the hall of
+// an instance. Other lines are ignored.
 func (r *Report) Add(l *explain.Line) {
 	if l.Event == "started" && l.Get("hall") != "" {
 		r.halls[l.Instance] = l.Get("hall")
 		return
 	}
-	if isStep(l) {
+	if isRolloutStep(l) {
 		r.steps.add(l)
 		return
 	}
@@ -161,25 +164,26 @@
 	if !ok {
 		return
 	}
-	left, _ := strconv.Atoi(l.Get("leftOut")) // zero unless lines were left out
-	r.Estimated += left
+	leftOut, _ := strconv.Atoi(l.Get("leftOut")) // zero unless lines were left out
+	r.Estimated += leftOut
 	hall := r.halls[l.Instance]
 	if hall == "" {
 		hall = l.Instance
 	}
 	k := key{
 		window: l.Time.UnixNano() / int64(r.Window),
-		Group:  Group{Service: l.Get("service"), Class: l.Get("class"), Hall: hall, Cause: explain.Kind(l), Software: l.Get("software")},
+		Group:  Group{Service: l.Get("service"), Class: l.Get("class"), Hall: hall, Cause: explain.ShortCause(l), Software: l.Get("software")},
 	}
 	c := r.counts[k]
-	c[outcome] += 1 + left
+	c[outcome] += 1 + leftOut
 	r.counts[k] = c
 	for len(r.counts) > maxCounts {
-		r.widen()
+		r.doubleWindow()
 	}
 }
 
-// outcomeOf returns how the request ended of which a line tells the end.
+// outcomeOf returns the outcome of the request whose end a line states. It returns false for
+// other lines.
 func outcomeOf(l *explain.Line) (Outcome, bool) {
 	switch l.Event {
 	case "answered":
@@ -197,8 +201,8 @@
 	}
 }
 
-// widen makes the windows twice as long.
-func (r *Report) widen() {
+// doubleWindow doubles the length of the windows and merges their counts.
+func (r *Report) doubleWindow() {
 	r.Window *= 2
 	old := r.counts
 	r.counts = make(map[key]Counts, len(old)/2)
