--- a/cmd/shalewick/demo.go
+++ b/cmd/shalewick/demo.go
@@ -38,12 +38,12 @@
 	f.StringVar((*string)(&o.Kind), "rollout", "", "demonstrate a rollout instead, to a version that is: good, fails, slow, late, loaded, route")
 	f.StringVar((*string)(&o.Fault), "fault", string(rollout.NoFault), "fault injected during the rollout: none, owner-killed, store-away, store-slow, cut, all-killed, late-servers, replaced")
 	f.DurationVar(&o.Onset, "onset", 4*time.Second, "time from the order until a late version starts to fail")
-	f.Float64Var(&o.Fails, "fails", 0.4, "fraction of a bad version's responses that fail")
-	f.Float64Var(&o.Slower, "slower", 4, "factor by which a slow version is slower")
+	f.Float64Var(&o.FailureRate, "fails", 0.4, "fraction of a bad version's responses that fail")
+	f.Float64Var(&o.Slowdown, "slower", 4, "factor by which a slow version is slower")
 	f.Float64Var(&o.Rate, "rate", 400, "requests per second")
-	f.DurationVar(&o.Within, "duration", 12*time.Second, "time limit of the order")
+	f.DurationVar(&o.Duration, "duration", 12*time.Second, "time limit of the order")
 	f.Uint64Var(&o.Seed, "seed", 1, "seed of the requests, the failures and the time of the fault")
-	f.StringVar(&o.Logs, "logs", "", "directory for the logs of the instances; they are discarded if it is not set")
+	f.StringVar(&o.LogDir, "logs", "", "directory for the logs of the instances; they are discarded if it is not set")
 	return cmd
 }
 
@@ -51,8 +51,8 @@
 	if err := o.Check(); err != nil {
 		return err
 	}
-	if o.Logs != "" {
-		if err := os.MkdirAll(o.Logs, logDirMode); err != nil {
+	if o.LogDir != "" {
+		if err := os.MkdirAll(o.LogDir, logDirMode); err != nil {
 			return errors.Annotate(err, "--logs")
 		}
 	}
