--- a/process/balance/backend.go
+++ b/process/balance/backend.go
@@ -17,7 +17,7 @@
 	start            startKey
 	notices          *noticeState // nil: it sent none
 	inFlight         int
-	sending          int  // part of inFlight: processed, but a large answer is still being transferred
+	sending          int  // part of inFlight: processed, but a large response is still being transferred
 	softwareInFlight *int // requests at all backend servers of the same software version
 	drained          bool
 	cold             time.Duration // as declared by the backend server
@@ -27,7 +27,7 @@
 	// suspendedUntil, and then one at a time until one is answered.
 	failures       int
 	share          share
-	lostInARow     int  // consecutive lost answers
+	lostInARow     int  // consecutive lost responses
 	refusedInARow  int  // consecutive refusals although slots were free
 	probed         bool // a connection was opened since it was suspended
 	probing        bool // a connection is being opened
--- a/process/balance/backoff.go
+++ b/process/balance/backoff.go
@@ -27,7 +27,7 @@
 // backoff is the time during which a backend server gets no requests because it rejected some. The
 // zero value is no backoff.
 type backoff struct {
-	until time.Duration // as requested by an answer to this instance (Retry-After)
+	until time.Duration // as requested by a response to this instance (Retry-After)
 	// unconfirmed is set from that answer until the backend server has accepted a request.
 	// lastTrial is when the last request was sent to test it.
 	unconfirmed bool
--- a/process/balance/backoff_test.go
+++ b/process/balance/backoff_test.go
@@ -70,7 +70,7 @@
 	k.Done(Refused, nil)
 }
 
-// TestAnswerToOlderRequestEndsNoBackoff checks that the answer to a request that was sent before
+// TestAnswerToOlderRequestEndsNoBackoff checks that the response to a request that was sent before
 // the backoff does not end it, and that a request that was chosen but not sent yet is withheld.
 func TestAnswerToOlderRequestEndsNoBackoff(t *testing.T) {
 	p := fixtureWith("u", "v")
@@ -154,7 +154,7 @@
 }
 
 // TestGossipedBackoffMakesLastResort checks that a backoff learned by gossip refuses no request,
-// ends by itself and with an answer to this instance, and is not passed on.
+// ends by itself and with a response to this instance, and is not passed on.
 func TestGossipedBackoffMakesLastResort(t *testing.T) {
 	a, b, _ := twoInstances("u", "v")
 	a.requestBackoff(t, "u", 1990*time.Millisecond)
@@ -184,7 +184,7 @@
 	assert.Equal(t, len(a.Observations(noSizeLimit)), 0, "too little time is left")
 }
 
-// TestNoRequestDuringBackoff draws answers, backoffs, gossip, rows, restarts and clock jumps in
+// TestNoRequestDuringBackoff draws responses, backoffs, gossip, rows, restarts and clock jumps in
 // any order. No request may be chosen or sent while an incarnation of a backend server is backing
 // off. Once the backoff is over and no other request is in flight, a retryable request must be
 // sent to it.
--- a/process/balance/balance_test.go
+++ b/process/balance/balance_test.go
@@ -140,7 +140,7 @@
 	assert.Assert(t, refusal.RetryAfter >= p.Policy.MinRetryAfter)
 }
 
-// TestUnknownBackendUsesServiceEstimate checks that after a start the first answers of some
+// TestUnknownBackendUsesServiceEstimate checks that after a start the first responses of some
 // backend servers set the assumed processing time of the others.
 func TestUnknownBackendUsesServiceEstimate(t *testing.T) {
 	p := newFixture(1)
--- a/process/balance/choose.go
+++ b/process/balance/choose.go
@@ -115,7 +115,7 @@
 	return s
 }
 
-// targetIn returns the software version that a roll-out of the query's service introduces, or ""
+// targetIn returns the software version that a rollout of the query's service introduces, or ""
 // if none is in progress.
 func (q *Query) targetIn(r *version.Routing) string {
 	s := q.service(r)
@@ -125,19 +125,19 @@
 	return r.Services[s.Target].Software
 }
 
-// noRollout reports whether the query is for a target although no roll-out of its service is in
+// noRollout reports whether the query is for a target although no rollout of its service is in
 // progress.
 func (q *Query) noRollout(r *version.Routing) bool {
 	return q.Target != "" && q.service(r) != nil && q.targetIn(r) == ""
 }
 
-// targetPart returns the part for the target of a roll-out of a part's service, or nil if there is
-// none any more or it has another target now. A request that arrived before the roll-out may have
+// targetPart returns the part for the target of a rollout of a part's service, or nil if there is
+// none any more or it has another target now. A request that arrived before the rollout may have
 // waited so long for its body that it has to go to the target; the weights are not known then.
 func targetPart(r *version.Routing, p *version.RoutePart, s *version.RoutedService, software string) *version.RoutePart {
 	if s.Target == version.None {
 		if s.Software == software {
-			// The roll-out was completed since the attempt began, or the roll-outs do not know of
+			// The rollout was completed since the attempt began, or the rollouts do not know of
 			// it yet. Refusing would fail every request of that moment.
 			return p
 		}
@@ -211,6 +211,6 @@
 	return &Pick{
 		Name: v.Name, Address: v.Address, Software: v.Software, Incarnation: v.Incarnation, Region: t.routing.Regions[v.Region], Pool: u.pool,
 		Rank: c.rank, Unseen: c.unseen, Cold: now < u.coldUntil, Wait: c.wait, ExpectedTime: t.expectedTime(c, now),
-		table: t, backend: u, object: object, startHash: v.IncarnationHash, started: now,
+		table: t, backend: u, object: object, incarnationHash: v.IncarnationHash, started: now,
 	}
 }
--- a/process/balance/departure.go
+++ b/process/balance/departure.go
@@ -37,8 +37,8 @@
 	return lastResort
 }
 
-// recordAnswer records a notice in an answer to this instance, and reports whether it is new.
-func (d *departure) recordAnswer(now time.Duration) bool {
+// recordResponse records a notice in a response to this instance, and reports whether it is new.
+func (d *departure) recordResponse(now time.Duration) bool {
 	if d.own {
 		return false
 	}
@@ -64,7 +64,7 @@
 // reconcileRow compares the notice with a row. A row that once said that the backend server is
 // leaving and no longer does is newer than the notice. A row that has not said so yet is older
 // than the notice, however new its other fields are: the server updates the row continually, but
-// writes to the store that it is leaving only once its answers say so.
+// writes to the store that it is leaving only once its responses say so.
 func (d *departure) reconcileRow(leaving bool) {
 	switch {
 	case d.since == 0:
--- a/process/balance/doc.go
+++ b/process/balance/doc.go
@@ -19,7 +19,7 @@
 
 The load of a backend server is estimated (estimate.go) from its own load reports,
 which lose weight with age, from this instance's requests in flight there, and from
-the duration of answers. One that has not answered yet is assumed to be like the
+the duration of responses. One that has not answered yet is assumed to be like the
 others of its service.
 
 # Shares
@@ -37,13 +37,13 @@
 
 # Failures
 
-A backend server that can't be reached, or that loses two consecutive answers, is
+A backend server that can't be reached, or that loses two consecutive responses, is
 suspended for a time that doubles (outcome.go). Then a connection is opened to it
 (reach.go), and a single request tries it.
 
 # Notices
 
-A backend server announces in its answers that it is leaving, or for how long it wants
+A backend server announces in its responses that it is leaving, or for how long it wants
 no requests (notice.go). A notice holds for the present incarnation and all requests of
 this instance, whatever the row says: the backend server gets nothing more, or only
 requests that no other can accept (departure.go, backoff.go).
--- a/process/balance/estimate.go
+++ b/process/balance/estimate.go
@@ -12,7 +12,7 @@
 }
 
 // ownLoad is the number of this instance's requests that are running or queued at the backend
-// server. Answers that are still being transferred do not count: they occupy no slot, and slow
+// server. Responses that are still being transferred do not count: they occupy no slot, and slow
 // readers would otherwise make the server look full.
 func (u *backend) ownLoad() int { return u.inFlight - u.sending }
 
@@ -79,7 +79,7 @@
 	s.work += time.Duration(gain * float64(work-s.work))
 }
 
-// updateWork includes the duration of an answer in the moving average. It is divided by the
+// updateWork includes the duration of a response in the moving average. It is divided by the
 // slowdown that the host had, so that the average is that of a host at its usual speed.
 func (u *backend) updateWork(duration time.Duration, slowdown float64) {
 	duration = time.Duration(float64(duration) / slowdown)
--- a/process/balance/fixture_test.go
+++ b/process/balance/fixture_test.go
@@ -88,8 +88,8 @@
 // stateOf returns the state of a backend server.
 func (p *fixture) stateOf(name string) *backend { return p.state(p.routing.FindBackend(name)) }
 
-// startHashOf returns the hash that identifies the present incarnation of a backend server.
-func (p *fixture) startHashOf(name string) uint64 {
+// incarnationHashOf returns the hash that identifies the present incarnation of a backend server.
+func (p *fixture) incarnationHashOf(name string) uint64 {
 	for i := range p.routing.Backends {
 		if p.routing.Backends[i].Name == name {
 			return p.routing.Backends[i].IncarnationHash
--- a/process/balance/home.go
+++ b/process/balance/home.go
@@ -13,7 +13,7 @@
 // instance may use.
 const maxTargetHomes = 1 << 14
 
-// targetHomes caches the homes of objects among the backend servers of roll-out targets, until the
+// targetHomes caches the homes of objects among the backend servers of rollout targets, until the
 // routing changes. The zero value is empty.
 type targetHomes struct {
 	byKey map[homeKey]int32 // index of the backend server, or None
@@ -35,10 +35,10 @@
 	h.byKey[key] = index
 }
 
-// TargetHome returns the hash of the backend server of a roll-out's target that is the home of the
+// TargetHome returns the hash of the backend server of a rollout's target that is the home of the
 // query's object: the first in the near order of those that may get requests now. A query without
 // an object, or of a route that is not sticky, may go to any of them and gets a random one each
-// time, so that services without objects can have roll-outs, too. ok is false if there is none.
+// time, so that services without objects can have rollouts, too. ok is false if there is none.
 // Unlike the choice of Pick, the home does not depend on load, so that it is stable.
 func (t *Table) TargetHome(q *Query) (hash uint64, ok bool) {
 	t.mu.Lock()
--- a/process/balance/home_test.go
+++ b/process/balance/home_test.go
@@ -28,9 +28,9 @@
 		k, _ := p.Pick(p.target(object + 1))
 		k.Done(Abandoned, nil)
 		for range 2 { // computed, then cached
-			assert.Equal(t, p.home(t, object+1), k.startHash)
+			assert.Equal(t, p.home(t, object+1), k.incarnationHash)
 		}
-		homes[k.startHash] = true
+		homes[k.incarnationHash] = true
 	}
 	assert.Equal(t, len(homes), 4, "the target's servers in this region")
 }
@@ -42,7 +42,7 @@
 	p.admit("v1", "v2")
 	first := p.home(t, 7)
 	k, _ := p.Pick(p.target(7))
-	assert.Equal(t, k.startHash, first)
+	assert.Equal(t, k.incarnationHash, first)
 	k.Done(Unreachable, nil)
 	second := p.home(t, 7)
 	assert.Assert(t, second != first)
@@ -54,13 +54,13 @@
 	p.put(version.Resource{Key: version.Key{Kind: version.KindDrain, Name: "d"}, Drain: &version.Drain{Backend: k.Name}})
 	p.install()
 	k, _ = p.Pick(p.target(7))
-	assert.Assert(t, k.startHash != first)
-	assert.Equal(t, p.home(t, 7), k.startHash)
+	assert.Assert(t, k.incarnationHash != first)
+	assert.Equal(t, p.home(t, 7), k.incarnationHash)
 	p.config.Resources[version.Key{Kind: version.KindRoute, Name: "r"}].Route.Homes = []string{"r2"}
 	p.install()
 	k, _ = p.Pick(p.target(7))
 	assert.Equal(t, k.Region, "r2")
-	assert.Equal(t, p.home(t, 7), k.startHash)
+	assert.Equal(t, p.home(t, 7), k.incarnationHash)
 }
 
 // TestQueriesWithoutHome checks the queries that have no home.
--- a/process/balance/limit.go
+++ b/process/balance/limit.go
@@ -12,12 +12,12 @@
 // RateLimitBackend returns the incarnation of the backend server as the rate limiter identifies
 // it.
 func (p *Pick) RateLimitBackend() ratelimit.Backend {
-	return ratelimit.Backend{Start: p.startHash, Name: p.Name, Region: p.Region}
+	return ratelimit.Backend{IncarnationHash: p.incarnationHash, Name: p.Name, Region: p.Region}
 }
 
 // rateLimitBackend returns the incarnation of a backend server as the rate limiter identifies it.
 func (t *Table) rateLimitBackend(v *version.RoutedBackend) ratelimit.Backend {
-	return ratelimit.Backend{Start: v.IncarnationHash, Name: v.Name, Region: t.routing.Regions[v.Region]}
+	return ratelimit.Backend{IncarnationHash: v.IncarnationHash, Name: v.Name, Region: t.routing.Regions[v.Region]}
 }
 
 // overLimit reports whether a backend server's rate limit excludes it for the request.
--- a/process/balance/load_test.go
+++ b/process/balance/load_test.go
@@ -52,31 +52,31 @@
 	return b.free[slot]
 }
 
-// answer is an answer that is due at a time.
-type answer struct {
+// pendingResponse is a response that is due at a time.
+type pendingResponse struct {
 	at      time.Duration
 	pick    *Pick
 	backend *modelBackend
 }
 
-type answers []answer
+type responseHeap []pendingResponse
 
-func (a answers) Len() int           { return len(a) }
-func (a answers) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a answers) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *answers) Push(x any)        { *a = append(*a, x.(answer)) }
-func (a *answers) Pop() any {
+func (a responseHeap) Len() int           { return len(a) }
+func (a responseHeap) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a responseHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *responseHeap) Push(x any)        { *a = append(*a, x.(pendingResponse)) }
+func (a *responseHeap) Pop() any {
 	old := *a
 	x := old[len(old)-1]
 	*a = old[:len(old)-1]
 	return x
 }
 
-// model holds the instances, the backend servers and the answers that are due.
+// model holds the instances, the backend servers and the responses that are due.
 type model struct {
 	regions  []*fixture
 	backends map[string]*modelBackend
-	pending  answers
+	pending  responseHeap
 	now      time.Duration
 	random   *rand.Rand
 }
@@ -104,10 +104,10 @@
 	return m
 }
 
-// advance delivers the answers that are due and moves the clock to a time.
+// advance delivers the responses that are due and moves the clock to a time.
 func (m *model) advance(to time.Duration) {
 	for len(m.pending) > 0 && m.pending[0].at <= to {
-		a := heap.Pop(&m.pending).(answer)
+		a := heap.Pop(&m.pending).(pendingResponse)
 		m.now = a.at
 		a.backend.out--
 		slots := len(a.backend.free)
@@ -170,7 +170,7 @@
 	if at-m.now > objective {
 		o.late++
 	}
-	heap.Push(&m.pending, answer{at: at, pick: pick, backend: b})
+	heap.Push(&m.pending, pendingResponse{at: at, pick: pick, backend: b})
 }
 
 // refusedShare returns the share of requests that were refused, starting with a window.
--- a/process/balance/notice.go
+++ b/process/balance/notice.go
@@ -62,7 +62,7 @@
 	return u == nil || u.usable(now) && u.eligibility(now, t.LeavingGrace) == eligible
 }
 
-// ApplyNotice applies the notice in the header of an answer. It must be called before the answer
+// ApplyNotice applies the notice in the header of a response. It must be called before the response
 // is passed on, and before Done.
 func (p *Pick) ApplyNotice(n request.Notice) {
 	if n == (request.Notice{}) {
@@ -73,7 +73,7 @@
 	defer t.mu.Unlock()
 	now := t.Now()
 	known := t.noticesOf(p.backend, now)
-	isNew := n.Leaving && known.leaving.recordAnswer(now)
+	isNew := n.Leaving && known.leaving.recordResponse(now)
 	if n.RetryAfter > 0 {
 		p.backoffRequested = true
 		isNew = known.backoff.extend(n.RetryAfter, now) || isNew
@@ -85,7 +85,7 @@
 
 // Allowed reports whether the backend server may still get the request. It is checked right before
 // the first byte is sent: since the choice the process may have been stalled, or opening a
-// connection may have taken long, and another answer may have brought a notice.
+// connection may have taken long, and another response may have brought a notice.
 func (p *Pick) Allowed() bool {
 	t := p.table
 	t.mu.Lock()
--- a/process/balance/notice_test.go
+++ b/process/balance/notice_test.go
@@ -25,7 +25,7 @@
 	p.install()
 }
 
-// notify lets a backend server send a notice in an answer.
+// notify lets a backend server send a notice in a response.
 func (p *fixture) notify(t *testing.T, name string, n request.Notice) {
 	t.Helper()
 	k := p.pickOf(t, name)
@@ -179,7 +179,7 @@
 	for i := range p.states {
 		u := p.state(int32(i))
 		if i%2 == 0 {
-			p.noticesOf(u, p.now).leaving.recordAnswer(p.now)
+			p.noticesOf(u, p.now).leaving.recordResponse(p.now)
 			continue
 		}
 		if i%5 == 0 {
@@ -204,7 +204,7 @@
 	assert.Equal(t, len(leaving), backends/2)
 }
 
-// TestNoRequestAfterLeavingGrace draws answers, rows, gossip, restarts and clock jumps (as after a
+// TestNoRequestAfterLeavingGrace draws responses, rows, gossip, restarts and clock jumps (as after a
 // suspension of the machine) in any order. LeavingGrace after an incarnation of a backend server
 // notified this instance that it is leaving, no request may be chosen for it or sent to it, until
 // a row that said so as well cancels the notice.
--- a/process/balance/observe.go
+++ b/process/balance/observe.go
@@ -25,7 +25,7 @@
 	// backend server, one for the age, one for the load.
 	observationBytes = 6
 	// Values of the load byte with a special meaning. loadUnreachable: the backend server could
-	// not be reached or lost consecutive answers. loadLeaving: it announced that it is leaving.
+	// not be reached or lost consecutive responses. loadLeaving: it announced that it is leaving.
 	// loadBackoff: it requested a backoff, and the age byte holds the remaining time. loadLimited:
 	// it names a rate limit. Loads are at most maxLoad.
 	loadUnreachable = 0xff
@@ -48,8 +48,8 @@
 	load byte          // requests running or queued, or loadUnreachable
 }
 
-// observeAnswer records an answer to this instance, with its load report if it has one.
-func (u *backend) observeAnswer(r *Report, now time.Duration) {
+// observeResponse records a response to this instance, with its load report if it has one.
+func (u *backend) observeResponse(r *Report, now time.Duration) {
 	u.observed = observation{at: now}
 	if r != nil {
 		u.observed.load = byte(min(r.Running+r.Waiting, maxLoad))
--- a/process/balance/observe_test.go
+++ b/process/balance/observe_test.go
@@ -72,7 +72,7 @@
 // pickOf chooses a backend server by a suitable object.
 func (p *fixture) pickOf(t *testing.T, name string) *Pick { return p.pick(t, p.firstAt(t, name)) }
 
-// TestOwnAnswerOverridesOlderGossip checks that observations that are older than an answer to this
+// TestOwnAnswerOverridesOlderGossip checks that observations that are older than a response to this
 // instance, or too old, are ignored.
 func TestOwnAnswerOverridesOlderGossip(t *testing.T) {
 	a, b, _ := twoInstances("u", "v", "w", "x")
--- a/process/balance/outcome.go
+++ b/process/balance/outcome.go
@@ -9,20 +9,20 @@
 
 // The outcomes.
 const (
-	// Answered: the backend server returned a complete answer.
+	// Answered: the backend server returned a complete response.
 	Answered Outcome = iota
 	// Refused: the backend server did not run the request.
 	Refused
 	// Unreachable: no connection could be opened, or the existing one is broken.
 	Unreachable
-	// Lost: the request was sent, and no complete or valid answer arrived.
+	// Lost: the request was sent, and no complete or valid response arrived.
 	Lost
 	// Abandoned: the request ended for a reason unrelated to the backend server.
 	Abandoned
 )
 
 // Hold makes the request count as in flight after Done, until Release, while the backend server is
-// still transferring the rest of an answer. It occupies a connection, but no slot.
+// still transferring the rest of a response. It occupies a connection, but no slot.
 func (p *Pick) Hold() {
 	p.table.mu.Lock()
 	defer p.table.mu.Unlock()
@@ -51,7 +51,7 @@
 		*u.softwareInFlight--
 	}
 	if p.backoffRequested {
-		t.recordBackoffAnswer(p, now)
+		t.recordBackoffResponse(p, now)
 		return
 	}
 	if u.notices != nil && (o == Answered || o == Refused) {
@@ -69,9 +69,9 @@
 	case Answered:
 		p.recordRecovery()
 		u.answeredAt = now
-		u.observeAnswer(report, now)
+		u.observeResponse(report, now)
 		u.updateWork(now-p.started, report.slowdownOr(u.slowdown.expected(now, t.Policy.SlowdownDecay)))
-		t.seen.record(p.object, p.startHash, now)
+		t.seen.record(p.object, p.incarnationHash, now)
 	case Refused:
 		u.answeredAt = now
 		p.recordRecovery()
@@ -79,7 +79,7 @@
 			report = &Report{Running: 1 << 6}
 			u.recordReport(*report, now)
 		}
-		u.observeAnswer(report, now)
+		u.observeResponse(report, now)
 	case Unreachable:
 		t.suspend(p, now)
 	case Lost:
@@ -112,10 +112,10 @@
 	}
 }
 
-// recordBackoffAnswer records an answer that requested a backoff. Neither its load report nor its
+// recordBackoffResponse records a response that requested a backoff. Neither its load report nor its
 // duration is used: a backend server that rejects everything is idle and quick, and would attract
 // more requests than any other (0.47 of all instead of 0.27 when six of twenty did so).
-func (t *Table) recordBackoffAnswer(p *Pick, now time.Duration) {
+func (t *Table) recordBackoffResponse(p *Pick, now time.Duration) {
 	p.backend.answeredAt = now
 	p.recordRecovery()
 }
@@ -146,8 +146,8 @@
 	}
 }
 
-// Gone records that the backend server is no longer at its address.
-func (p *Pick) Gone() {
+// RecordMisdirected records that the backend server is no longer at its address.
+func (p *Pick) RecordMisdirected() {
 	p.table.mu.Lock()
 	defer p.table.mu.Unlock()
 	p.backend.failures = max(p.backend.failures, 3)
--- a/process/balance/policy.go
+++ b/process/balance/policy.go
@@ -20,7 +20,7 @@
 	// SeenTTL is how long a backend server is assumed to remember an object.
 	SeenTTL time.Duration
 
-	// LostThreshold is the number of consecutive lost answers after which a backend server is
+	// LostThreshold is the number of consecutive lost responses after which a backend server is
 	// suspended. One that can't be reached is suspended at once.
 	LostThreshold int
 	// RefusedThreshold is the number of consecutive refusals by a backend server that reports free
@@ -35,17 +35,17 @@
 	// SlowdownDecay is the time in which a reported slowdown decays to 1/e: the speed of a host
 	// changes many times a second.
 	SlowdownDecay time.Duration
-	// DecreaseGain and IncreaseGain are the weights of a new answer in the typical processing time
-	// if it was faster or slower than typical. They differ since the duration of an answer may
+	// DecreaseGain and IncreaseGain are the weights of a new response in the typical processing time
+	// if it was faster or slower than typical. They differ since the duration of a response may
 	// include queueing, or work on an object that the backend server had not seen.
 	DecreaseGain, IncreaseGain float64
 	// ServiceGain is the weight of a backend server's typical processing time in that of its
-	// service, for each answer.
+	// service, for each response.
 	ServiceGain float64
 	// MaxWorkShare is the largest share of a route's objective that processing is assumed to take
 	// in the wait limit: operators set objectives that typical processing meets.
 	MaxWorkShare float64
-	// InitialWork is the processing time that is assumed before any answer, between those of seen
+	// InitialWork is the processing time that is assumed before any response, between those of seen
 	// and unseen objects of existing services.
 	InitialWork time.Duration
 
--- a/process/balance/refusal_test.go
+++ b/process/balance/refusal_test.go
@@ -66,7 +66,7 @@
 }
 
 // TestIdleBackendThatRefusesIsLastResort checks that a backend server that refused gets requests
-// that no other can accept, and is chosen normally again after its next answer.
+// that no other can accept, and is chosen normally again after its next response.
 func TestIdleBackendThatRefusesIsLastResort(t *testing.T) {
 	p := fixtureWith("u", "v")
 	for range 2 {
--- a/process/balance/report_test.go
+++ b/process/balance/report_test.go
@@ -99,7 +99,7 @@
 }
 
 // TestHostSlowdownDoesNotAffectTypicalWork checks that a server whose host is slow for half of the
-// time is not taken for a slow server: the duration of answers is divided by the slowdown at that
+// time is not taken for a slow server: the duration of responses is divided by the slowdown at that
 // time.
 func TestHostSlowdownDoesNotAffectTypicalWork(t *testing.T) {
 	work := func(slowdown func(i int) float64) time.Duration {
--- a/process/balance/restart_test.go
+++ b/process/balance/restart_test.go
@@ -39,7 +39,7 @@
 	p, inFlight := fixtureInUse(t)
 	before := p.stateOf("u")
 	object := inFlight.object
-	assert.Assert(t, p.seen.has(object, p.startHashOf("u"), p.Now(), p.Policy.SeenTTL))
+	assert.Assert(t, p.seen.has(object, p.incarnationHashOf("u"), p.Now(), p.Policy.SeenTTL))
 	p.now += time.Millisecond
 	p.pickOf(t, "u").Done(Unreachable, nil)
 	assert.Assert(t, before.failures > 0)
@@ -50,7 +50,7 @@
 	assert.Equal(t, now.failures, 0)
 	assert.Equal(t, now.inFlight, 0)
 	assert.Assert(t, now.coldUntil > p.Now())
-	assert.Assert(t, !p.seen.has(object, p.startHashOf("u"), p.Now(), p.Policy.SeenTTL))
+	assert.Assert(t, !p.seen.has(object, p.incarnationHashOf("u"), p.Now(), p.Policy.SeenTTL))
 
 	inFlight.Done(Unreachable, nil) // a request to the former incarnation ends
 	assert.Equal(t, now.failures, 0)
--- a/process/balance/sending_test.go
+++ b/process/balance/sending_test.go
@@ -10,9 +10,9 @@
 )
 
 // TestHeldAnswersOccupyNoSlot guards against callers being refused with QUEUE_FULL while others
-// read large answers slowly: each answer in transfer counted as a request that occupies a slot, so
+// read large responses slowly: each response in transfer counted as a request that occupies a slot, so
 // that idle backend servers seemed to have queues of seconds. At one of three instances 577 of 582
-// quick callers were refused beside 2,000 that read one byte a second; none were once such answers
+// quick callers were refused beside 2,000 that read one byte a second; none were once such responses
 // counted as processed.
 func TestHeldAnswersOccupyNoSlot(t *testing.T) {
 	const answers = 50
--- a/process/balance/shared_test.go
+++ b/process/balance/shared_test.go
@@ -110,7 +110,7 @@
 }
 
 // updateMembership sets the instance's index and count. It does not know the others until it has
-// read their rows and waited a little longer (cluster.Members.Place), when it has received
+// read their rows and waited a little longer (cluster.Members.Position), when it has received
 // messages of all that read theirs meanwhile. It learns of a later start when that instance has
 // read the rows, and of a stop a second late.
 func (x *member) updateMembership(all []*member, self int, now time.Duration) {
--- a/process/balance/software.go
+++ b/process/balance/software.go
@@ -26,7 +26,7 @@
 }
 
 // pruneServices drops the state of services and software versions that a routing no longer has, so
-// that memory is bounded however many versions are rolled out. The state of a roll-out's target
+// that memory is bounded however many versions are rolled out. The state of a rollout's target
 // survives its promotion, because the key is the same. The caller holds the lock.
 func (t *Table) pruneServices(r *version.Routing) {
 	keep := make(map[softwareKey]bool, len(r.Services))
@@ -80,8 +80,8 @@
 }
 
 // InFlight returns the number of this instance's requests at backend servers of a service, except
-// those of a roll-out's target. Requests at backend servers that have left the routing count until
-// they end, as do answers that are held (Pick.Hold).
+// those of a rollout's target. Requests at backend servers that have left the routing count until
+// they end, as do responses that are held (Pick.Hold).
 func (t *Table) InFlight(service string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,7 +95,7 @@
 	return sum
 }
 
-// target returns the software version that a roll-out of a service introduces. active is false if
+// target returns the software version that a rollout of a service introduces. active is false if
 // there is none. The caller holds the lock.
 func (t *Table) target(service string) (software string, active bool) {
 	if t.routing == nil {
--- a/process/balance/software_test.go
+++ b/process/balance/software_test.go
@@ -42,14 +42,14 @@
 	return p.targetOf(object, p.config.Software["s"].Target)
 }
 
-// targetOf returns a query for a version that a roll-out introduces.
+// targetOf returns a query for a version that a rollout introduces.
 func (p *fixture) targetOf(object uint64, software string) *Query {
 	q := p.query(object)
 	q.Target = software
 	return q
 }
 
-// TestChosenBackendHasAnAdmittedVersion simulates roll-outs of two services with backend servers
+// TestChosenBackendHasAnAdmittedVersion simulates rollouts of two services with backend servers
 // that come and go, and queries made with the current or an earlier routing. Any backend server
 // that is chosen runs the version in force or, for a query for the target, the target.
 func TestChosenBackendHasAnAdmittedVersion(t *testing.T) {
@@ -116,7 +116,7 @@
 					if !bound && q.Target != "" {
 						r.Fatalf("%s got a request for a target without a roll-out", k.Name)
 					}
-					if hasHome && object != 0 && q.Target != "" && q.Target == allowed.Target && k.Rank == 0 && k.startHash != home {
+					if hasHome && object != 0 && q.Target != "" && q.Target == allowed.Target && k.Rank == 0 && k.incarnationHash != home {
 						r.Fatalf("the first choice %s is not the home", k.Name)
 					}
 					k.Done(Answered, nil)
@@ -168,7 +168,7 @@
 	}
 }
 
-// TestAbsentTargetIsRefused checks that a query for the target is refused if no roll-out is in
+// TestAbsentTargetIsRefused checks that a query for the target is refused if no rollout is in
 // progress any more, or the target has no backend servers.
 func TestAbsentTargetIsRefused(t *testing.T) {
 	p := twoVersions(3, 1)
@@ -203,7 +203,7 @@
 	assert.Assert(t, k == nil, "it has no backend servers")
 }
 
-// TestQueryForReplacedTargetIsRefused checks that a query for the target of a roll-out that was
+// TestQueryForReplacedTargetIsRefused checks that a query for the target of a rollout that was
 // replaced does not go to the new target.
 func TestQueryForReplacedTargetIsRefused(t *testing.T) {
 	p := twoVersions(3, 1)
--- a/process/balance/suspend_test.go
+++ b/process/balance/suspend_test.go
@@ -29,7 +29,7 @@
 }
 
 // TestSingleLostAnswerDoesNotSuspend checks that a backend server keeps its objects if one of its
-// answers is lost, and is suspended if the next one is lost as well.
+// responses is lost, and is suspended if the next one is lost as well.
 func TestSingleLostAnswerDoesNotSuspend(t *testing.T) {
 	p := newFixture(1)
 	p.backend("a", 0, nil)
--- a/process/balance/table.go
+++ b/process/balance/table.go
@@ -215,8 +215,8 @@
 	Route *version.RouteView
 	// Part is the index of the route's part, as returned by Split.
 	Part int
-	// Target is the software version that a roll-out introduces and the request goes to; "": the
-	// version in force. Nothing is chosen once the roll-out was reverted or replaced.
+	// Target is the software version that a rollout introduces and the request goes to; "": the
+	// version in force. Nothing is chosen once the rollout was reverted or replaced.
 	Target string
 	// Priority is the priority of the request, 0 the most urgent.
 	Priority int
@@ -252,16 +252,16 @@
 	// LastResort is set if the backend server wants no more requests, and no other could accept
 	// this one.
 	LastResort bool
-	// Wait is the estimated queueing time, ExpectedTime the estimated time to the answer.
+	// Wait is the estimated queueing time, ExpectedTime the estimated time to the response.
 	Wait, ExpectedTime time.Duration
 
-	table     *Table
-	backend   *backend
-	object    uint64 // zero: none
-	startHash uint64 // of the backend server's incarnation
-	started   time.Duration
-	held      bool // Hold was called
-	// backoffRequested is set if the answer requested a backoff.
+	table           *Table
+	backend         *backend
+	object          uint64 // zero: none
+	incarnationHash uint64 // of the backend server's incarnation
+	started         time.Duration
+	held            bool // Hold was called
+	// backoffRequested is set if the response requested a backoff.
 	backoffRequested bool
 }
 
@@ -270,7 +270,7 @@
 	Code request.Code
 	// RetryAfter is the time after which the request should be tried again.
 	RetryAfter time.Duration
-	// NoRollout is set if a query for a target was refused because no roll-out of the service is
+	// NoRollout is set if a query for a target was refused because no rollout of the service is
 	// in progress, so that only the version in force may get requests.
 	NoRollout   bool
 	Explanation Explanation
--- a/process/edge/configuration.go
+++ b/process/edge/configuration.go
@@ -23,7 +23,7 @@
 )
 
 // watchTables compiles the tables whenever they change: at once after a change by the operator or a
-// step of a roll-out, and after a short delay when only backend servers have changed.
+// step of a rollout, and after a short delay when only backend servers have changed.
 func (e *Edge) watchTables(ctx context.Context) {
 	operator := e.follower.Tables[e.deployment.OperatorTable]
 	backends := e.follower.Tables[e.deployment.BackendTable]
@@ -106,7 +106,7 @@
 	if old == nil && (e.mustAwaitRecords(orders, records) || e.mustAwaitQuarantine()) {
 		return
 	}
-	e.applyLetThrough(c)
+	e.applyReleased(c)
 	if spare {
 		e.spare.addForwardTargets(c) // the instances that requests are forwarded to choose the software version
 	} else {
@@ -115,7 +115,7 @@
 	r := version.CompileRouting(c, old)
 	services := rolloutServices(r, c.Software, orders, records)
 	// The table is installed first: a request that arrives in between may be for the target of a
-	// roll-out that has ended by the table, and gets the version that is now in force. In the
+	// rollout that has ended by the table, and gets the version that is now in force. In the
 	// reverse order it would go to the version that the table still has.
 	e.table.Install(r)
 	e.rollouts.Install(services)
--- a/process/edge/discovery.go
+++ b/process/edge/discovery.go
@@ -80,13 +80,13 @@
 }
 
 func (e *Edge) readInstanceRows(ctx context.Context) error {
-	rows, more, err := e.deployment.Store.ReadSome(ctx, e.deployment.InstanceTable, "", smallFleet)
+	rows, more, err := e.deployment.Store.ReadPage(ctx, e.deployment.InstanceTable, "", smallFleet)
 	if err != nil {
 		return err
 	}
 	if more {
 		e.followsInstances.Store(true)
-		adjacent, _, err := e.deployment.Store.ReadSome(ctx, e.deployment.InstanceTable, e.settings.Instance, smallFleet)
+		adjacent, _, err := e.deployment.Store.ReadPage(ctx, e.deployment.InstanceTable, e.settings.Instance, smallFleet)
 		if err != nil {
 			return err
 		}
--- a/process/edge/discovery_test.go
+++ b/process/edge/discovery_test.go
@@ -24,7 +24,7 @@
 	calls, rowsRead int
 }
 
-func (s *rowStore) ReadSome(_ context.Context, _, from string, most int) ([]state.Row, bool, error) {
+func (s *rowStore) ReadPage(_ context.Context, _, from string, most int) ([]state.Row, bool, error) {
 	at, _ := slices.BinarySearchFunc(s.rows, from, func(r state.Row, key string) int {
 		if r.Key < key {
 			return -1
--- a/process/edge/doc.go
+++ b/process/edge/doc.go
@@ -9,8 +9,8 @@
 Nothing that the process keeps outlasts it. The store only needs a row with its
 addresses.
 
-Each compilation passes the state in the tables to the roll-outs of services
-(rollout; software.go, rollout.go); the instance that owns a roll-out writes its
+Each compilation passes the state in the tables to the rollouts of services
+(rollout; software.go, rollout.go); the instance that owns a rollout writes its
 steps (step.go).
 
 A planned stop: the instance is no longer ready and no longer listed for clients, and
--- a/process/edge/edge.go
+++ b/process/edge/edge.go
@@ -60,7 +60,7 @@
 	settings        Settings
 	deployment      Deployment
 	log             zerolog.Logger
-	logLimit        *logging.RateLimiter
+	logLimiter      *logging.RateLimiter
 	startTime       time.Time
 	startedAt       time.Duration // start time by the clock of the deployment
 	members         *cluster.Members
@@ -73,7 +73,7 @@
 	limits          *ratelimit.Limiter
 	rollouts        *rollout.Controller
 	rolloutState    rolloutState
-	schedulingDelay clock.SchedulingDelay // measured while a roll-out is active
+	schedulingDelay clock.SchedulingDelay // measured while a rollout is active
 	quarantine      *quarantine.Quarantine
 	// The entries that are known to be in the store, and whether a list is being fetched from
 	// another instance.
@@ -115,7 +115,7 @@
 	level, _ := zerolog.ParseLevel(s.LogLevel) // validated by Check
 	limit := logging.NewRateLimiter(time.Now)
 	e := &Edge{
-		settings: s, deployment: d, startTime: time.Now(), metrics: metric.NewSet(), logLimit: limit, rowLost: make(chan struct{}, 1),
+		settings: s, deployment: d, startTime: time.Now(), metrics: metric.NewSet(), logLimiter: limit, rowLost: make(chan struct{}, 1),
 		log: logging.New(logTo).Level(level).Hook(limit).With().Str("instance", s.Instance).Logger(),
 	}
 	if e.deployment.Clock == nil {
@@ -267,7 +267,7 @@
 	e.metrics.Gauge("requests_running").Update(e.proxy.InFlight())
 	e.metrics.Gauge("requests_quarantined").Update(int64(e.quarantine.Count()))
 	e.metrics.Gauge("rollouts_running").Update(e.rolloutState.running.Load())
-	e.metrics.Gauge("log_lines_left_out").Update(e.logLimit.Suppressed())
+	e.metrics.Gauge("log_lines_left_out").Update(e.logLimiter.Suppressed())
 	e.metrics.Gauge("store_epoch").Update(e.deployment.Store.Epoch())
 	e.metrics.Gauge("configuration_age_ms").Update(e.follower.Age().Milliseconds())
 }
--- a/process/edge/epoch.go
+++ b/process/edge/epoch.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// recordsOutdated reports whether the records of roll-outs are known from an earlier epoch of the
+// recordsOutdated reports whether the records of rollouts are known from an earlier epoch of the
 // store, so that the store may lack some of them.
 func (e *Edge) recordsOutdated() bool {
 	v, known := e.records().Version()
--- a/process/edge/eventlog.go
+++ b/process/edge/eventlog.go
@@ -93,7 +93,7 @@
 const watchMembersInterval = time.Second
 
 // watchMembers logs which instances were lost and found until the context ends, and ticks the
-// roll-outs while none is active.
+// rollouts while none is active.
 func (e *Edge) watchMembers(ctx context.Context) {
 	var known []cluster.Member
 	relay := false
--- a/process/edge/probe.go
+++ b/process/edge/probe.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// unresponsiveAfter is how long an instance that is relevant to a roll-out may send nothing
+	// unresponsiveAfter is how long an instance that is relevant to a rollout may send nothing
 	// until it is probed: owners respond to reports twice a second.
 	unresponsiveAfter = 1200 * time.Millisecond
 	// probeInterval is the pause between two rounds of probes.
@@ -21,7 +21,7 @@
 	maxProbes = 8
 )
 
-// probeUnresponsive probes unresponsive instances that are relevant to roll-outs while one is
+// probeUnresponsive probes unresponsive instances that are relevant to rollouts while one is
 // running. Otherwise instances of other regions count as live until a call to them fails, and those
 // of this region for some seconds.
 func (e *Edge) probeUnresponsive(ctx context.Context) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// relevantToRollouts returns a predicate for the instances that are relevant to roll-outs: the
-// owners, which receive the reports, or all instances if this one is an owner and a roll-out moves
+// relevantToRollouts returns a predicate for the instances that are relevant to rollouts: the
+// owners, which receive the reports, or all instances if this one is an owner and a rollout moves
 // all requests to its target: that phase ends once no live instance has requests in flight.
 func (e *Edge) relevantToRollouts() func(cluster.Member) bool {
 	owners := make(map[string]bool)
--- a/process/edge/quarantine.go
+++ b/process/edge/quarantine.go
@@ -231,5 +231,5 @@
 	_ = json.NewEncoder(w).Encode(out) // an error means that the reader has disconnected
 }
 
-// applyLetThrough installs the list of requests that operators let through.
-func (e *Edge) applyLetThrough(c *version.Config) { e.quarantine.LetThrough(c.ReleasedFingerprints) }
+// applyReleased installs the list of requests that operators have released.
+func (e *Edge) applyReleased(c *version.Config) { e.quarantine.SetReleased(c.ReleasedFingerprints) }
--- a/process/edge/ratelimit.go
+++ b/process/edge/ratelimit.go
@@ -35,7 +35,7 @@
 
 // tickLimits reports ended requests to the owners of rate limits until the context ends.
 func (e *Edge) tickLimits(ctx context.Context) {
-	for clock.SleepAligned(ctx, ratelimit.TickTime) {
+	for clock.SleepAligned(ctx, ratelimit.TickInterval) {
 		e.limits.Tick()
 	}
 }
--- a/process/edge/record.go
+++ b/process/edge/record.go
@@ -12,7 +12,7 @@
 	"shalewick/process/state"
 )
 
-// knownRecord is the record of a service's latest roll-out, as read from its row. The zero value
+// knownRecord is the record of a service's latest rollout, as read from its row. The zero value
 // stands for no record.
 type knownRecord struct {
 	record      *rollout.Record
@@ -20,15 +20,15 @@
 	lostByStore bool // the store has lost it, or has an older version
 }
 
-// running reports whether the roll-out has not ended.
+// running reports whether the rollout has not ended.
 func (k knownRecord) running() bool { return k.record != nil && !k.record.Phase.Ended() }
 
-// endsOrder reports whether the record says how the roll-out of an order ended.
+// endsOrder reports whether the record says how the rollout of an order ended.
 func (k knownRecord) endsOrder(o *rollout.Order) bool {
 	return k.record != nil && k.record.Phase.Ended() && k.record.For(o)
 }
 
-// records returns the table of roll-out records.
+// records returns the table of rollout records.
 func (e *Edge) records() *state.Table { return e.follower.Tables[e.deployment.RecordTable] }
 
 // knownRecords returns the records in the table by service, and the problems of unreadable rows.
--- a/process/edge/rollout.go
+++ b/process/edge/rollout.go
@@ -16,15 +16,15 @@
 	"shalewick/version"
 )
 
-// rolloutState is what an instance knows about roll-outs besides the tables.
+// rolloutState is what an instance knows about rollouts besides the tables.
 type rolloutState struct {
 	// followRecords is set while the table of records has to be followed, and running is the
-	// number of roll-outs that require it.
+	// number of rollouts that require it.
 	followRecords atomic.Bool
 	running       atomic.Int64
 	// promoting is set while one of them moves all requests to its target.
 	promoting atomic.Bool
-	// active is open while there are services with orders or with roll-outs that have not ended;
+	// active is open while there are services with orders or with rollouts that have not ended;
 	// services holds their names.
 	active   gate
 	services atomic.Pointer[[]string]
@@ -38,7 +38,7 @@
 	recordsDeadline time.Duration
 }
 
-// newRollouts returns the roll-outs of services, which the instances carry out together.
+// newRollouts returns the rollouts of services, which the instances carry out together.
 func (e *Edge) newRollouts() *rollout.Controller {
 	e.rolloutState.loggedHeldBack = make(map[string]string)
 	return &rollout.Controller{
@@ -58,7 +58,7 @@
 	e.quota.Receive(from, message)
 }
 
-// rolloutOwner returns the owner of a service's roll-out.
+// rolloutOwner returns the owner of a service's rollout.
 func (e *Edge) rolloutOwner(service string) rollout.Owner {
 	m := e.members.OwnerAtStore(xxhash.Sum64String(service))
 	if m.Name == e.settings.Instance {
@@ -82,8 +82,8 @@
 	return out
 }
 
-// wantsTable reports whether a table has to be followed: the records of roll-outs only while a
-// roll-out that was ordered or is known has not ended, the instances only in a large fleet, and the
+// wantsTable reports whether a table has to be followed: the records of rollouts only while a
+// rollout that was ordered or is known has not ended, the instances only in a large fleet, and the
 // backend servers only if this instance is not spare.
 func (e *Edge) wantsTable(name string) bool {
 	switch name {
@@ -97,7 +97,7 @@
 	return true
 }
 
-// ordersAndRecords returns the operators' orders and the records of roll-outs, by service.
+// ordersAndRecords returns the operators' orders and the records of rollouts, by service.
 func (e *Edge) ordersAndRecords(c *version.Config) (map[string]*rollout.Order, map[string]knownRecord) {
 	records, problems := knownRecords(e.records())
 	for _, p := range problems {
@@ -106,7 +106,7 @@
 	return ordersOf(c), records
 }
 
-// maxRecordsWait bounds how long a starting instance waits for the records of roll-outs before it
+// maxRecordsWait bounds how long a starting instance waits for the records of rollouts before it
 // serves without them: other instances provide them within a few round trips, and a relay reads
 // them within a second.
 const maxRecordsWait = 1500 * time.Millisecond
@@ -145,7 +145,7 @@
 	e.logHeldBack(c)
 }
 
-// updateRolloutState stores and logs the state of the roll-outs. The caller holds compileMu.
+// updateRolloutState stores and logs the state of the rollouts. The caller holds compileMu.
 func (e *Edge) updateRolloutState(services []rollout.Service, orders map[string]*rollout.Order, records map[string]knownRecord) {
 	e.logOrderChanges(orders)
 	e.logRecordChanges(records)
@@ -162,7 +162,7 @@
 	e.rolloutState.active.set(len(services) > 0)
 }
 
-// activeServices returns the services that have an order or a roll-out that has not ended.
+// activeServices returns the services that have an order or a rollout that has not ended.
 func (e *Edge) activeServices() []string {
 	if names := e.rolloutState.services.Load(); names != nil {
 		return *names
@@ -171,7 +171,7 @@
 }
 
 // rolloutServices returns the state in the tables of the services that have an order or the record
-// of a roll-out that has not ended.
+// of a rollout that has not ended.
 func rolloutServices(r *version.Routing, software map[string]version.Software, orders map[string]*rollout.Order, records map[string]knownRecord) []rollout.Service {
 	var out []rollout.Service
 	for _, name := range activeServiceNames(orders, records) {
@@ -186,7 +186,7 @@
 	return out
 }
 
-// activeServiceNames returns the services that have an order, or the record of a roll-out that has
+// activeServiceNames returns the services that have an order, or the record of a rollout that has
 // not ended or that has to be written again.
 func activeServiceNames(orders map[string]*rollout.Order, records map[string]knownRecord) []string {
 	names := slices.Collect(maps.Keys(orders))
@@ -199,7 +199,7 @@
 	return names
 }
 
-// anyPromoting reports whether a roll-out moves all requests to its target.
+// anyPromoting reports whether a rollout moves all requests to its target.
 func anyPromoting(records map[string]knownRecord) bool {
 	for _, k := range records {
 		if k.record.Phase == rollout.Promote {
@@ -209,7 +209,7 @@
 	return false
 }
 
-// countWithoutOrder returns the number of roll-outs that have not ended although their order is
+// countWithoutOrder returns the number of rollouts that have not ended although their order is
 // gone.
 func countWithoutOrder(orders map[string]*rollout.Order, records map[string]knownRecord) int {
 	return len(activeServiceNames(orders, records)) - len(orders)
@@ -233,9 +233,9 @@
 	return slots, homes
 }
 
-// tickRollouts exchanges messages with the owners of roll-outs until the context ends, and measures
-// the scheduling delay of this process. While no roll-out is active, watchMembers does the ticks:
-// which instances were live shortly before a roll-out matters to it.
+// tickRollouts exchanges messages with the owners of rollouts until the context ends, and measures
+// the scheduling delay of this process. While no rollout is active, watchMembers does the ticks:
+// which instances were live shortly before a rollout matters to it.
 func (e *Edge) tickRollouts(ctx context.Context) {
 	for e.rolloutState.active.wait(ctx) {
 		e.schedulingDelay.BeginWait(e.now() + rollout.TickInterval)
--- a/process/edge/rollout_test.go
+++ b/process/edge/rollout_test.go
@@ -71,7 +71,7 @@
 	assert.Equal(t, sumCounts(a.heldBack(version.Software{InForce: "v1"})), 3)
 }
 
-// TestRolloutServices checks the state that the roll-outs get: that of services with an order or a
+// TestRolloutServices checks the state that the rollouts get: that of services with an order or a
 // running record, and the slots of backend servers that are open to requests.
 func TestRolloutServices(t *testing.T) {
 	c := testConfig([2]string{"s", "v1"}, [2]string{"s", "v2"}, [2]string{"s", "v2"}, [2]string{"s", "v1"}, [2]string{"t", "v1"}, [2]string{"u", "v1"})
--- a/process/edge/rolloutlog.go
+++ b/process/edge/rolloutlog.go
@@ -13,7 +13,7 @@
 	"shalewick/process/state"
 )
 
-// This file logs changes of roll-outs.
+// This file logs changes of rollouts.
 
 // logOrderChanges logs the orders that are new, and those that are gone.
 func (e *Edge) logOrderChanges(orders map[string]*rollout.Order) {
@@ -61,7 +61,7 @@
 		AnErr("error", err).Msg("rollout-step")
 }
 
-// logRolloutEvent logs an event of a roll-out: a stop, an expired lease or a verdict.
+// logRolloutEvent logs an event of a rollout: a stop, an expired lease or a verdict.
 func (e *Edge) logRolloutEvent(x rollout.Event) {
 	e.log.Info().Str("service", x.Service).Str("what", x.What).Str("cause", x.Cause).
 		Int64("targetRequests", x.Target.Requests).Int64("targetFailed", x.Target.Failed).Int64("targetSlow", x.Target.Slow).
--- a/process/edge/rolloutview.go
+++ b/process/edge/rolloutview.go
@@ -9,7 +9,7 @@
 	"shalewick/version"
 )
 
-// rolloutStatus returns the status of a service's roll-out for operators.
+// rolloutStatus returns the status of a service's rollout for operators.
 func (e *Edge) rolloutStatus(service string) (rolloutview.Status, bool) {
 	e.compileMu.Lock()
 	defer e.compileMu.Unlock()
--- a/process/edge/settings.go
+++ b/process/edge/settings.go
@@ -106,15 +106,15 @@
 // Store is the store of tables.
 type Store interface {
 	state.Store
-	// ReadSome returns up to most rows of a table, ordered by key and beginning with the key from,
+	// ReadPage returns up to limit rows of a table, ordered by key and beginning with the key from,
 	// and whether there are more.
-	ReadSome(ctx context.Context, table, from string, most int) (rows []state.Row, more bool, err error)
+	ReadPage(ctx context.Context, table, from string, limit int) (rows []state.Row, more bool, err error)
 	// Put writes a row unconditionally.
 	Put(ctx context.Context, table, key string, value []byte) error
 	// Delete removes a row.
 	Delete(ctx context.Context, table, key string) error
 	// Write writes rows, all or none, if the expected rows have the expected versions, and returns
-	// the new version of the rows. The error is state.Conflict if they have other versions; after
+	// the new version of the rows. The error is state.ErrConflict if they have other versions; after
 	// any other error the write may have been carried out, or may still be.
 	Write(ctx context.Context, expected []state.Precondition, put []state.Put) (version int64, err error)
 	// Clock returns the store's monotonic clock, which is the same for all instances. Ok is false
@@ -136,11 +136,11 @@
 	// Clock replaces clock.Now if it is set: tests suspend one of several machines with it.
 	Clock func() time.Duration
 	// Names of the tables written by operators, by backend servers and by the instances: their
-	// own rows, and the records of roll-outs.
+	// own rows, and the records of rollouts.
 	OperatorTable, BackendTable, InstanceTable, RecordTable string
 	// DocumentKey is the key of the operator's document in OperatorTable.
 	DocumentKey string
-	// RolloutStatus returns the row that shows operators the state of a roll-out.
+	// RolloutStatus returns the row that shows operators the state of a rollout.
 	RolloutStatus func(r rollout.Record) (state.Put, error)
 	// QuarantineTable is the table of requests that crash backend servers, and QuarantineStatus
 	// returns the row that shows operators one of them.
@@ -156,5 +156,5 @@
 	// ReadDirectoryQuery reads the query of a directory request.
 	ReadDirectoryQuery func(url.Values) DirectoryQuery
 	// WriteAddresses writes the response to a directory request.
-	WriteAddresses func(w http.ResponseWriter, addresses []string, life time.Duration)
+	WriteAddresses func(w http.ResponseWriter, addresses []string, ttl time.Duration)
 }
--- a/process/edge/spare_test.go
+++ b/process/edge/spare_test.go
@@ -67,7 +67,7 @@
 }
 
 // TestSpareInstanceActivates checks that a spare instance follows the backend servers once callers
-// send keys, a roll-out begins or few large instances are free, and for a while after that.
+// send keys, a rollout begins or few large instances are free, and for a while after that.
 func TestSpareInstanceActivates(t *testing.T) {
 	const instances = 330
 	busy := func(e *Edge, busy bool) {
--- a/process/edge/step.go
+++ b/process/edge/step.go
@@ -25,7 +25,7 @@
 	failuresToHandOver = 3
 )
 
-// stepWriter writes the steps of the roll-outs that this instance owns. It is not safe for
+// stepWriter writes the steps of the rollouts that this instance owns. It is not safe for
 // concurrent use.
 type stepWriter struct {
 	edge     *Edge
@@ -33,7 +33,7 @@
 	failures int                  // consecutive failed calls of the store
 }
 
-// ownership is this instance's ownership of a service's roll-out.
+// ownership is this instance's ownership of a service's rollout.
 type ownership struct {
 	recordsRead bool // the records were read since it began
 	// decideFrom is when this instance may begin to decide.
@@ -77,7 +77,7 @@
 	}
 }
 
-// ownedRollouts returns the services whose roll-outs this instance owns.
+// ownedRollouts returns the services whose rollouts this instance owns.
 func (e *Edge) ownedRollouts() []string {
 	var out []string
 	for _, name := range e.activeServices() {
@@ -106,7 +106,7 @@
 }
 
 // informed reports whether there was enough time to receive from other instances what they know of
-// the roll-outs that are running.
+// the rollouts that are running.
 func (w *stepWriter) informed() bool {
 	records, _ := knownRecords(w.edge.records()) // unreadable records are logged by ordersAndRecords
 	now := w.edge.now()
--- a/process/proxy/attempt.go
+++ b/process/proxy/attempt.go
@@ -22,7 +22,7 @@
 // buffered and the rest is still to be read from the exchange.
 type response struct {
 	pick       *balance.Pick
-	fromTarget bool // the backend server runs the target version of a roll-out
+	fromTarget bool // the backend server runs the target version of a rollout
 	notice     request.Notice
 	rateLimit  float64 // the rate limit that the backend server reports, in requests a second; zero if it reports none
 	res        *http.Response
@@ -44,14 +44,14 @@
 	// mayHaveRun is set once a byte was sent to a backend server that did not reply that it has not
 	// run the request.
 	mayHaveRun bool
-	// rolloutAttempt represents the current attempt to the roll-outs.
+	// rolloutAttempt represents the current attempt to the rollouts.
 	rolloutAttempt rolloutAttempt
 	attempted      bool // at least one attempt has begun
 	// permitFrom is the time from which the permit of the current attempt is valid; zero if it has
 	// none. SentAt is the earliest time at which the attempt was sent. Both are readings of the
 	// proxy's clock.
 	permitFrom, sentAt time.Duration
-	// targetDeclined is set if the target of a roll-out could not take the request.
+	// targetDeclined is set if the target of a rollout could not take the request.
 	targetDeclined bool
 }
 
@@ -195,7 +195,7 @@
 	pick.Done(balance.Answered, t.loadReport(header, pick))
 	t.reportResponse(resp, took)
 	if t.p.Quarantine != nil {
-		t.p.Quarantine.RecordAnswer(t.c.fingerprint)
+		t.p.Quarantine.RecordResponse(t.c.fingerprint)
 	}
 	if t.p.OnResponse != nil {
 		t.p.OnResponse(pick.Name, header, time.Since(sent))
@@ -243,7 +243,7 @@
 	t.logLine(pick).Int("status", ex.Response.StatusCode).Bool("leaving", notice.Leaving).Dur("retryAfter", notice.RetryAfter).Float64("limit", limit).
 		Str("load", ex.Response.Header.Get(t.p.Names.Load)).Msg("backend-refused")
 	if misdirected {
-		pick.Gone()
+		pick.RecordMisdirected()
 		pick.Pool.CloseIdle()
 	}
 	return t.result(request.BackendRefused, minRetryAfter)
--- a/process/proxy/limit.go
+++ b/process/proxy/limit.go
@@ -33,7 +33,7 @@
 // permit if that is rate-limited.
 func (t *transaction) acquirePermit(ctx context.Context, pick *balance.Pick) bool {
 	t.permitFrom = 0
-	if t.p.Limits == nil || !t.p.Limits.Limited(pick.RateLimitBackend().Start) {
+	if t.p.Limits == nil || !t.p.Limits.Limited(pick.RateLimitBackend().IncarnationHash) {
 		return true
 	}
 	if t.query.SkipLimited {
@@ -47,13 +47,13 @@
 // permitValid reports whether the request may be sent to the backend server now. Its rate limit may
 // have been reported after the pick.
 func (t *transaction) permitValid(pick *balance.Pick) bool {
-	return t.p.Limits == nil || t.p.Limits.Valid(pick.RateLimitBackend().Start, t.permitFrom)
+	return t.p.Limits == nil || t.p.Limits.Valid(pick.RateLimitBackend().IncarnationHash, t.permitFrom)
 }
 
 // returnPermit returns the permit of an attempt that sent nothing.
 func (t *transaction) returnPermit(pick *balance.Pick) {
 	if t.p.Limits != nil {
-		t.p.Limits.Return(pick.RateLimitBackend().Start, t.permitFrom)
+		t.p.Limits.Return(pick.RateLimitBackend().IncarnationHash, t.permitFrom)
 	}
 }
 
@@ -73,7 +73,7 @@
 		t.p.Metrics.RateLimit(t.c.service)
 	}
 	if t.p.Limits != nil {
-		t.p.Limits.RecordAnswer(pick.RateLimitBackend(), limit, t.sentAt)
+		t.p.Limits.RecordResponse(pick.RateLimitBackend(), limit, t.sentAt)
 	}
 	return limit
 }
--- a/process/proxy/limit_test.go
+++ b/process/proxy/limit_test.go
@@ -104,7 +104,7 @@
 	assert.Assert(t, pick != nil)
 	tx := &transaction{p: f.proxy, c: &call{}}
 	assert.Assert(t, tx.acquirePermit(t.Context(), pick) && tx.permitValid(pick))
-	limiter.RecordAnswer(pick.RateLimitBackend(), 0.001, f.proxy.Now())
+	limiter.RecordResponse(pick.RateLimitBackend(), 0.001, f.proxy.Now())
 	assert.Assert(t, !tx.permitValid(pick))
 }
 
--- a/process/proxy/proxy.go
+++ b/process/proxy/proxy.go
@@ -39,7 +39,7 @@
 	// Limits, if set, enforces the rate limits that backend servers report. Table uses the same
 	// limiter.
 	Limits *ratelimit.Limiter
-	// Rollouts, if set, decides which requests go to the target of a roll-out.
+	// Rollouts, if set, decides which requests go to the target of a rollout.
 	Rollouts *rollout.Controller
 	// Crashes, if set, receives reports of requests that were lost at backend servers.
 	Crashes *crash.Detector
--- a/process/proxy/rollout.go
+++ b/process/proxy/rollout.go
@@ -13,17 +13,17 @@
 	"shalewick/process/rollout"
 )
 
-// rolloutAttempt represents an attempt to the roll-outs. It is a *rollout.Attempt or noRollout.
+// rolloutAttempt represents an attempt to the rollouts. It is a *rollout.Attempt or noRollout.
 type rolloutAttempt interface {
 	Target() string
 	Decline(over bool) bool
 	Done(o rollout.Outcome)
 }
 
-// beginRolloutFunc begins an attempt as rollout.Rollouts.Begin does.
+// beginRolloutFunc begins an attempt as rollout.Controller.Begin does.
 type beginRolloutFunc func(service, route string, first bool, home func() (hash uint64, ok bool)) rolloutAttempt
 
-// noRollout is an attempt at a service that has no roll-out.
+// noRollout is an attempt at a service that has no rollout.
 type noRollout struct{}
 
 func (noRollout) Target() string       { return "" }
@@ -92,12 +92,12 @@
 // isServerError reports whether the response is a server error (5xx).
 func (r *response) isServerError() bool { return r.res.StatusCode >= http.StatusInternalServerError }
 
-// reportResponse reports a response to the roll-outs.
+// reportResponse reports a response to the rollouts.
 func (t *transaction) reportResponse(resp *response, took time.Duration) {
 	t.reportOutcome(resp.pick, rollout.Outcome{Failed: resp.isServerError(), Latency: took, Unseen: resp.pick.Unseen, Cold: resp.pick.Cold})
 }
 
-// reportOutcome reports the outcome of an attempt to the roll-outs, and counts it for the software
+// reportOutcome reports the outcome of an attempt to the rollouts, and counts it for the software
 // version of the backend server.
 func (t *transaction) reportOutcome(pick *balance.Pick, o rollout.Outcome) {
 	t.rolloutAttempt.Done(o)
--- a/process/proxy/rollout_fixture_test.go
+++ b/process/proxy/rollout_fixture_test.go
@@ -17,7 +17,7 @@
 	"shalewick/version"
 )
 
-// recorder replaces the roll-outs: it routes attempts to the target as configured, and records
+// recorder replaces the rollouts: it routes attempts to the target as configured, and records
 // their outcomes.
 type recorder struct {
 	routesToTarget bool   // first attempts go to the target
--- a/process/proxy/rollout_test.go
+++ b/process/proxy/rollout_test.go
@@ -23,7 +23,7 @@
 )
 
 // TestFirstAttemptUsesTarget checks that the first attempt goes to the target, and what is reported
-// to the roll-outs.
+// to the rollouts.
 func TestFirstAttemptUsesTarget(t *testing.T) {
 	x := newRolloutFixture(t)
 	x.new.First = 30 * time.Millisecond
@@ -51,7 +51,7 @@
 }
 
 // TestRequestWithoutObjectMayUseTarget sends a request that names no object. Services whose
-// requests name none have roll-outs, too.
+// requests name none have rollouts, too.
 func TestRequestWithoutObjectMayUseTarget(t *testing.T) {
 	x := newRolloutFixture(t)
 	rec := httptest.NewRecorder()
@@ -114,15 +114,15 @@
 }
 
 // TestEndOfRolloutRefusesNoRequests guards against requests that are refused with NO_BACKEND as a
-// roll-out is completed or reverted. An instance applies the record of the last step in two steps:
-// first to the table of backend servers, then to the roll-outs. A request in between gets a route
-// of the new table, which has no target, and an attempt of the old roll-out, which must not use the
+// rollout is completed or reverted. An instance applies the record of the last step in two steps:
+// first to the table of backend servers, then to the rollouts. A request in between gets a route
+// of the new table, which has no target, and an attempt of the old rollout, which must not use the
 // other version. On busy machines this refused one or two of some thousands of requests in the
 // millisecond between the steps, at the instance that wrote the record.
 func TestEndOfRolloutRefusesNoRequests(t *testing.T) {
 	for name, inForce := range map[string]string{"completed": "v2", "reverted": "v1"} {
 		x := newRolloutFixture(t)
-		x.previousClosed = true // the roll-outs have not applied the record yet
+		x.previousClosed = true // the rollouts have not applied the record yet
 		x.setVersions(inForce, "")
 		x.assertServed(x.send("b", "/bids/1", "an offer"), "b")
 		lines := x.log.lines("answered")
@@ -140,7 +140,7 @@
 }
 
 // TestOutcomeOfEachFault checks which outcome is reported for each kind of fault of the target,
-// with a request that is not repeatable, and that the caller gets the same as without a roll-out.
+// with a request that is not repeatable, and that the caller gets the same as without a rollout.
 func TestOutcomeOfEachFault(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -310,7 +310,7 @@
 	}
 }
 
-// TestRolloutShareBoundsTargetRequests uses the real roll-outs of a single instance, with a clock
+// TestRolloutShareBoundsTargetRequests uses the real rollouts of a single instance, with a clock
 // that advances with each request, and checks that the target receives some requests, but no more
 // than its share.
 func TestRolloutShareBoundsTargetRequests(t *testing.T) {
@@ -343,7 +343,7 @@
 	assert.Equal(t, x.table.InFlight("s"), 0)
 }
 
-// BenchmarkNoRollout measures the cost of the roll-out code for a request while no roll-out is in
+// BenchmarkNoRollout measures the cost of the rollout code for a request while no rollout is in
 // progress: the begin and the end of the attempt, and the counts by version.
 func BenchmarkNoRollout(b *testing.B) {
 	f := newFixture(b, 1)
--- a/process/quarantine/answercache.go
+++ b/process/quarantine/answercache.go
@@ -9,27 +9,27 @@
 	"shalewick/request"
 )
 
-// answerCache remembers which requests were answered recently. A request replaces an older one
+// responseCache remembers which requests were answered recently. A request replaces an older one
 // with the same low bits of the fingerprint. The zero value is ready to use.
-type answerCache struct {
+type responseCache struct {
 	mu    sync.Mutex
-	slots [answerSlots]struct {
+	slots [responseSlots]struct {
 		request request.Fingerprint
 		at      time.Duration
 	}
 }
 
-func (a *answerCache) record(f request.Fingerprint, now time.Duration) {
+func (a *responseCache) record(f request.Fingerprint, now time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s := &a.slots[f%answerSlots]
+	s := &a.slots[f%responseSlots]
 	s.request, s.at = f, now
 }
 
 // last returns when a request was last answered. Ok is false if that is not known.
-func (a *answerCache) last(f request.Fingerprint) (at time.Duration, ok bool) {
+func (a *responseCache) last(f request.Fingerprint) (at time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	s := &a.slots[f%answerSlots]
+	s := &a.slots[f%responseSlots]
 	return s.at, s.request == f && f != 0
 }
--- a/process/quarantine/doc.go
+++ b/process/quarantine/doc.go
@@ -5,7 +5,7 @@
 refuses them.
 
 	q.RecordCrash(c)         // a backend server crashed; c has the requests in flight there
-	q.RecordAnswer(print)    // a request was answered completely
+	q.RecordResponse(print)  // a request was answered completely
 	q.Refuses(print)         // reports whether a request is in quarantine
 
 Instances report crashes to the owner of the service (report.go). The owner keeps them in a
--- a/process/quarantine/exchange.go
+++ b/process/quarantine/exchange.go
@@ -83,7 +83,7 @@
 	now := q.Now()
 	isNew := q.merge(u.Entry, from)
 	q.mu.Unlock()
-	answeredAt, answered := q.answers.last(u.Entry.Request)
+	answeredAt, answered := q.responses.last(u.Entry.Request)
 	if !isNew || !u.Entry.Quarantined() || !answered || answeredAt <= now-duration(u.FirstMs) {
 		return nil
 	}
--- a/process/quarantine/fleet_test.go
+++ b/process/quarantine/fleet_test.go
@@ -185,7 +185,7 @@
 			if f.random.Float64() < repeatFraction {
 				r = f.lastSuspects[i]
 			} else {
-				f.randomLive().RecordAnswer(f.lastSuspects[i])
+				f.randomLive().RecordResponse(f.lastSuspects[i])
 			}
 		}
 		x := f.randomLive()
@@ -346,7 +346,7 @@
 			f.step()
 		}
 	}
-	f.instances[9].RecordAnswer(7)
+	f.instances[9].RecordResponse(7)
 	for range 100 {
 		f.step()
 	}
@@ -404,12 +404,12 @@
 	f.attack(7, 3*time.Second, 100*time.Millisecond, modelNotice)
 	x := f.instances[2]
 	assert.Assert(t, x.Refuses(7))
-	letThrough := map[request.Fingerprint]bool{7: true}
+	released := map[request.Fingerprint]bool{7: true}
 	for _, x := range f.instances {
-		x.LetThrough(letThrough)
+		x.SetReleased(released)
 	}
 	f.attack(7, 2*time.Second, 100*time.Millisecond, modelNotice)
 	assert.Assert(t, !x.Refuses(7))
-	x.LetThrough(nil)
+	x.SetReleased(nil)
 	assert.Assert(t, x.Refuses(7))
 }
--- a/process/quarantine/ledger_test.go
+++ b/process/quarantine/ledger_test.go
@@ -89,7 +89,7 @@
 	assert.Equal(t, len(culpritsOf(l)), 0)
 }
 
-// TestAnsweredRequestIsNoSuspect checks that crashes before an answer do not count, and those
+// TestAnsweredRequestIsNoSuspect checks that crashes before a response do not count, and those
 // after it do.
 func TestAnsweredRequestIsNoSuspect(t *testing.T) {
 	l := newCrashLedger([]request.Fingerprint{1}, []request.Fingerprint{1}, []request.Fingerprint{1})
--- a/process/quarantine/policy.go
+++ b/process/quarantine/policy.go
@@ -64,7 +64,7 @@
 	// crashLifetime is how long a crash counts: long enough for a request that is sent every few
 	// minutes.
 	crashLifetime = time.Hour
-	// answerSlots is the size of the answer cache, which has one slot for each value of the low
-	// bits of the fingerprint. At 250 answers per second it goes back 16 s, and takes 64 kB.
-	answerSlots = 4096
+	// responseSlots is the size of the response cache, which has one slot for each value of the low
+	// bits of the fingerprint. At 250 responses per second it goes back 16 s, and takes 64 kB.
+	responseSlots = 4096
 )
--- a/process/quarantine/quarantine.go
+++ b/process/quarantine/quarantine.go
@@ -28,17 +28,17 @@
 	// TimeOfDay sets Entry.At.
 	TimeOfDay func() time.Time
 
-	refused atomic.Pointer[map[request.Fingerprint]bool] // nil if empty
-	synced  chan struct{}                                // closed once the instance has the entries that others had when it started
-	wake    chan struct{}
-	answers answerCache
-
-	mu         sync.Mutex
-	list       *list
-	letThrough map[request.Fingerprint]bool // by operators
-	ledgers    map[string]*ledger           // by service
-	reports    []*pendingReport
-	seq        uint32
+	refused   atomic.Pointer[map[request.Fingerprint]bool] // nil if empty
+	synced    chan struct{}                                // closed once the instance has the entries that others had when it started
+	wake      chan struct{}
+	responses responseCache
+
+	mu       sync.Mutex
+	list     *list
+	released map[request.Fingerprint]bool // by operators
+	ledgers  map[string]*ledger           // by service
+	reports  []*pendingReport
+	seq      uint32
 }
 
 // New returns an empty quarantine.
@@ -54,8 +54,8 @@
 	return m != nil && (*m)[f]
 }
 
-// RecordAnswer records that a backend server answered a request.
-func (q *Quarantine) RecordAnswer(f request.Fingerprint) { q.answers.record(f, q.Now()) }
+// RecordResponse records that a backend server answered a request.
+func (q *Quarantine) RecordResponse(f request.Fingerprint) { q.responses.record(f, q.Now()) }
 
 // RecordCrash reports a crash of a backend server and the requests of this instance that
 // were in flight there.
@@ -109,12 +109,12 @@
 func (q *Quarantine) quarantineCulprits(now time.Duration) (out []message) {
 	for service, l := range q.ledgers {
 		for _, x := range l.culprits(now) {
-			if at, ok := q.answers.last(x.Request); ok && at > x.firstCrash {
+			if at, ok := q.responses.last(x.Request); ok && at > x.firstCrash {
 				l.removeSuspect(x.Request, at)
 				continue
 			}
 			l.attribute(x.Request)
-			if q.letThrough[x.Request] {
+			if q.released[x.Request] {
 				continue // operators have decided already
 			}
 			e := q.list.entries[x.Request]
@@ -162,7 +162,7 @@
 func (q *Quarantine) updateRefused() {
 	refused := make(map[request.Fingerprint]bool)
 	for f, e := range q.list.entries {
-		if e.Quarantined() && !q.letThrough[f] {
+		if e.Quarantined() && !q.released[f] {
 			refused[f] = true
 		}
 	}
@@ -173,24 +173,24 @@
 	q.refused.Store(&refused)
 }
 
-// LetThrough sets the requests that operators let through although they are in quarantine.
-func (q *Quarantine) LetThrough(letThrough map[request.Fingerprint]bool) {
+// SetReleased sets the requests that operators have released although they are in quarantine.
+func (q *Quarantine) SetReleased(released map[request.Fingerprint]bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.logLetThrough(letThrough)
-	q.letThrough = letThrough
+	q.logReleased(released)
+	q.released = released
 	q.updateRefused()
 }
 
-// logLetThrough logs the changes of operators. The caller must hold q.mu.
-func (q *Quarantine) logLetThrough(letThrough map[request.Fingerprint]bool) {
-	for f := range letThrough {
-		if !q.letThrough[f] {
+// logReleased logs the changes of operators. The caller must hold q.mu.
+func (q *Quarantine) logReleased(released map[request.Fingerprint]bool) {
+	for f := range released {
+		if !q.released[f] {
 			q.Log.Warn().Str("request", f.String()).Msg("request-let-through")
 		}
 	}
-	for f := range q.letThrough {
-		if !letThrough[f] {
+	for f := range q.released {
+		if !released[f] {
 			q.Log.Warn().Str("request", f.String()).Msg("request-not-let-through")
 		}
 	}
--- a/process/quarantine/wire.go
+++ b/process/quarantine/wire.go
@@ -14,7 +14,7 @@
 	"shalewick/request"
 )
 
-// The first byte of a message is its kind. 1 and 2 belong to package quota, 3 and 4 to roll-outs.
+// The first byte of a message is its kind. 1 and 2 belong to package quota, 3 and 4 to rollouts.
 const (
 	kindReport       = 5
 	kindConfirmation = 6
--- a/process/quarantine/wire_test.go
+++ b/process/quarantine/wire_test.go
@@ -87,10 +87,10 @@
 	}
 }
 
-// BenchmarkAnswered measures the cost per answer.
+// BenchmarkAnswered measures the cost per response.
 func BenchmarkAnswered(b *testing.B) {
 	q := newSingle()
 	for b.Loop() {
-		q.RecordAnswer(12345)
+		q.RecordResponse(12345)
 	}
 }
--- a/process/ratelimit/bucket.go
+++ b/process/ratelimit/bucket.go
@@ -24,7 +24,7 @@
 	// urgentReserveTime is how long after the denial of an urgent request less urgent ones leave
 	// one permit in the bucket.
 	urgentReserveTime = time.Second
-	// maxRepeats is the number of answers to a requester that are kept for repeated requests.
+	// maxRepeats is the number of responses to a requester that are kept for repeated requests.
 	maxRepeats = 8
 )
 
@@ -42,7 +42,7 @@
 // requester is an instance that requests permits.
 type requester struct {
 	lastRequest time.Duration
-	answers     [maxRepeats]answer
+	responses   [maxRepeats]permitResponse
 	next        int
 }
 
@@ -65,7 +65,7 @@
 	r := b.requester(instance)
 	r.lastRequest = now
 	if limit == unknownLimit {
-		return true, 0 // the limit is not known yet: the answer to the request will name it
+		return true, 0 // the limit is not known yet: the response to the request will name it
 	}
 	rate := b.rate(limit, share, now)
 	depth := minDepth + limit*depthTime.Seconds()
@@ -109,18 +109,18 @@
 	return r
 }
 
-// previousAnswer returns the answer that a permit request got before.
-func (r *requester) previousAnswer(seq uint32) (answer, bool) {
-	for _, x := range r.answers {
-		if x.seq == seq && x.start != 0 {
+// previousResponse returns the response that a permit request got before.
+func (r *requester) previousResponse(seq uint32) (permitResponse, bool) {
+	for _, x := range r.responses {
+		if x.seq == seq && x.incarnationHash != 0 {
 			return x, true
 		}
 	}
-	return answer{}, false
+	return permitResponse{}, false
 }
 
-// store keeps an answer for a repeated permit request.
-func (r *requester) store(x answer) {
-	r.answers[r.next] = x
+// store keeps a response for a repeated permit request.
+func (r *requester) store(x permitResponse) {
+	r.responses[r.next] = x
 	r.next = (r.next + 1) % maxRepeats
 }
--- a/process/ratelimit/exchange.go
+++ b/process/ratelimit/exchange.go
@@ -7,8 +7,8 @@
 	if len(text) == 0 || text[0] < kindRequest || text[0] > kindReport {
 		return false
 	}
-	if text[0] == kindAnswer {
-		l.handleAnswer(text)
+	if text[0] == kindResponse {
+		l.handleResponse(text)
 		return true
 	}
 	if out := l.handleRequest(from, text); out != nil {
@@ -17,21 +17,21 @@
 	return true
 }
 
-// handleRequest returns the answer to a permit request or report, or nil if there is none.
+// handleRequest returns the response to a permit request or report, or nil if there is none.
 func (l *Limiter) handleRequest(from string, text []byte) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Now()
 	x, err := decodeRequest(text, now)
-	if err != nil || x.start == 0 {
+	if err != nil || x.incarnationHash == 0 {
 		return nil // it was sent by an instance of another software version
 	}
-	k := l.backends[x.start]
+	k := l.backends[x.incarnationHash]
 	if k == nil {
 		if !x.observed.limited(now) {
 			k = &backend{} // nothing is known of it, and nothing needs to be kept
 		} else {
-			k = l.add(x.start)
+			k = l.add(x.incarnationHash)
 		}
 	}
 	k.lastUsed = now
@@ -39,12 +39,12 @@
 	if text[0] == kindReport {
 		return nil
 	}
-	out := answer{seq: x.seq, start: x.start, status: notOwner, wait: ownerRetryDelay, observed: k.observed}
-	if o := l.Owner(x.region, x.start); o.Name == "" || o.Address != "" {
+	out := permitResponse{seq: x.seq, incarnationHash: x.incarnationHash, status: notOwner, wait: ownerRetryDelay, observed: k.observed}
+	if o := l.Owner(x.region, x.incarnationHash); o.Name == "" || o.Address != "" {
 		return out.encode(now)
 	}
 	if k.bucket != nil {
-		if previous, ok := k.bucket.requester(from).previousAnswer(x.seq); ok {
+		if previous, ok := k.bucket.requester(from).previousResponse(x.seq); ok {
 			return previous.encode(now)
 		}
 	}
@@ -55,17 +55,17 @@
 	return out.encode(now)
 }
 
-// handleAnswer handles the answer to a permit request. If no request waits for it any more, a
+// handleResponse handles the response to a permit request. If no request waits for it any more, a
 // permit is kept for another one.
-func (l *Limiter) handleAnswer(text []byte) {
+func (l *Limiter) handleResponse(text []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Now()
-	x, err := decodeAnswer(text, now)
+	x, err := decodeResponse(text, now)
 	if err != nil {
 		return
 	}
-	k := l.backends[x.start]
+	k := l.backends[x.incarnationHash]
 	if k == nil {
 		return
 	}
@@ -86,7 +86,7 @@
 }
 
 // Tick reports limits that have ended to their owners, and drops state that is no longer needed.
-// It must be called every TickTime.
+// It must be called every TickInterval.
 func (l *Limiter) Tick() {
 	if !l.active.Load() {
 		return
@@ -106,7 +106,7 @@
 		if k.reportsLeft > 0 {
 			k.reportsLeft--
 			if o := l.Owner(k.Region, start); o.Address != "" {
-				x := permitRequest{start: start, observed: k.observed, region: k.Region}
+				x := permitRequest{incarnationHash: start, observed: k.observed, region: k.Region}
 				out = append(out, message{o.Address, x.encode(kindReport, now)})
 			}
 		}
--- a/process/ratelimit/fleet_test.go
+++ b/process/ratelimit/fleet_test.go
@@ -139,21 +139,21 @@
 	assert.Assert(t, got[0] >= 180 && got[1] <= 20, "%v of 200", got)
 }
 
-// TestOutdatedAnswerDoesNotEndLimit guards against ending a limit by answers that were in transit
+// TestOutdatedAnswerDoesNotEndLimit guards against ending a limit by responses that were in transit
 // when it started.
 func TestOutdatedAnswerDoesNotEndLimit(t *testing.T) {
 	now := time.Hour
 	l := &Limiter{Now: func() time.Duration { return now }}
-	b := Backend{Start: 1, Name: "b"}
+	b := Backend{IncarnationHash: 1, Name: "b"}
 	sent := now
 	now += time.Second
-	l.RecordAnswer(b, 3, sent)
+	l.RecordResponse(b, 3, sent)
 	now += time.Millisecond
-	l.RecordAnswer(b, 0, sent)
+	l.RecordResponse(b, 0, sent)
 	assert.Assert(t, l.Limited(1))
 	sent = now
 	now += time.Second
-	l.RecordAnswer(b, 0, sent)
+	l.RecordResponse(b, 0, sent)
 	assert.Assert(t, !l.Limited(1))
 }
 
@@ -166,10 +166,10 @@
 		Now: func() time.Duration { return now }, Instances: func() int { return 2 }, Send: func(string, []byte) {},
 		Owner: func(string, uint64) Owner { return Owner{Name: "self"} },
 	}
-	l.ApplyLimited(Backend{Start: 1, Name: "b"}, now)
+	l.ApplyLimited(Backend{IncarnationHash: 1, Name: "b"}, now)
 	for seq := range uint32(10) {
-		x := permitRequest{seq: seq + 1, start: 1, observed: observedLimit{limit: 0.5, from: now - 2*time.Second, to: now - time.Second}}
-		got, err := decodeAnswer(l.handleRequest("x", x.encode(kindRequest, now)), now)
+		x := permitRequest{seq: seq + 1, incarnationHash: 1, observed: observedLimit{limit: 0.5, from: now - 2*time.Second, to: now - time.Second}}
+		got, err := decodeResponse(l.handleRequest("x", x.encode(kindRequest, now)), now)
 		assert.NilError(t, err)
 		assert.Equal(t, got.status, denied)
 	}
@@ -179,7 +179,7 @@
 // backend server that named it.
 func TestRestartedBackendIsNotLimited(t *testing.T) {
 	l := &Limiter{Now: func() time.Duration { return time.Hour }}
-	l.RecordAnswer(Backend{Start: 1, Name: "b"}, 3, time.Minute)
+	l.RecordResponse(Backend{IncarnationHash: 1, Name: "b"}, 3, time.Minute)
 	assert.Assert(t, l.Limited(1))
 	assert.Assert(t, !l.Limited(2))
 }
@@ -192,8 +192,8 @@
 		Now: func() time.Duration { return now }, Instances: func() int { return 1 },
 		Owner: func(string, uint64) Owner { return Owner{Name: "self"} },
 	}
-	b := Backend{Start: 1, Name: "b"}
-	l.RecordAnswer(b, 1, now-time.Second)
+	b := Backend{IncarnationHash: 1, Name: "b"}
+	l.RecordResponse(b, 1, now-time.Second)
 	_, ok := l.Acquire(t.Context(), b, 0) // creates the bucket
 	assert.Assert(t, !ok)
 	now += 3 * time.Second
@@ -209,9 +209,9 @@
 
 // FuzzReceive guards against invalid messages.
 func FuzzReceive(f *testing.F) {
-	f.Add(permitRequest{seq: 1, start: 2, observed: observedLimit{limit: 3, from: time.Minute, to: time.Hour}, region: "north"}.encode(kindRequest, time.Hour))
-	f.Add(permitRequest{seq: 1, start: 2}.encode(kindReport, time.Hour))
-	f.Add(answer{seq: 1, start: 2, status: granted}.encode(time.Hour))
+	f.Add(permitRequest{seq: 1, incarnationHash: 2, observed: observedLimit{limit: 3, from: time.Minute, to: time.Hour}, region: "north"}.encode(kindRequest, time.Hour))
+	f.Add(permitRequest{seq: 1, incarnationHash: 2}.encode(kindReport, time.Hour))
+	f.Add(permitResponse{seq: 1, incarnationHash: 2, status: granted}.encode(time.Hour))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		l := &Limiter{
 			Now: func() time.Duration { return time.Hour }, Instances: func() int { return 1 }, Send: func(string, []byte) {},
--- a/process/ratelimit/limiter.go
+++ b/process/ratelimit/limiter.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// TickTime is the time between two calls of Tick.
-	TickTime = 250 * time.Millisecond
+	// TickInterval is the time between two calls of Tick.
+	TickInterval = 250 * time.Millisecond
 	// resendAfter is how long after a permit request it is sent once more, longer than a round
-	// trip to another region. answerTimeout is how long a request waits for the answer.
-	resendAfter   = 80 * time.Millisecond
-	answerTimeout = 160 * time.Millisecond
+	// trip to another region. responseTimeout is how long a request waits for the response.
+	resendAfter     = 80 * time.Millisecond
+	responseTimeout = 160 * time.Millisecond
 	// ownerRetryDelay is how long no permits are requested after an owner did not answer, or was
 	// not the owner.
 	ownerRetryDelay = 200 * time.Millisecond
@@ -33,9 +33,9 @@
 
 // Backend is one incarnation of a backend server.
 type Backend struct {
-	Start  uint64 // identifies the incarnation
-	Name   string
-	Region string
+	IncarnationHash uint64 // identifies the incarnation
+	Name            string
+	Region          string
 }
 
 // Owner is the instance that grants the permits of a backend server.
@@ -60,7 +60,7 @@
 	// Send sends a message to an address. Messages may be lost.
 	Send func(address string, message []byte)
 	// OnLimit, if set, is called when a limit starts, changes or, with zero, ends. own is set if
-	// the backend server named it in an answer to this instance. It must not call the limiter.
+	// the backend server named it in a response to this instance. It must not call the limiter.
 	OnLimit func(backend string, limit float64, own bool)
 
 	random         func() float64 // nil: rand.Float64
@@ -87,29 +87,29 @@
 	bucket        *bucket         // nil unless this instance is the owner
 }
 
-// pendingRequest is a permit request that waits for its answer.
+// pendingRequest is a permit request that waits for its response.
 type pendingRequest struct {
 	backend   *backend
 	priority  int
 	sentAt    time.Duration
 	abandoned bool      // no request waits any more: a permit is kept for another one
-	result    chan bool // whether it was granted; buffers the one answer
+	result    chan bool // whether it was granted; buffers the one response
 }
 
-// RecordAnswer records the limit that an answer of a backend server named, zero: none. sent is
+// RecordResponse records the limit that a response of a backend server named, zero: none. sent is
 // when its request was sent.
-func (l *Limiter) RecordAnswer(b Backend, limit float64, sent time.Duration) {
+func (l *Limiter) RecordResponse(b Backend, limit float64, sent time.Duration) {
 	if limit == 0 && !l.active.Load() {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.backends[b.Start]
+	k := l.backends[b.IncarnationHash]
 	if k == nil {
 		if limit == 0 {
 			return
 		}
-		k = l.add(b.Start)
+		k = l.add(b.IncarnationHash)
 	}
 	k.Backend = b
 	l.update(k, observedLimit{limit: float64(float32(limit)), from: sent, to: l.Now()}, true) // rounded as on the wire
@@ -119,9 +119,9 @@
 func (l *Limiter) ApplyLimited(b Backend, at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.backends[b.Start]
+	k := l.backends[b.IncarnationHash]
 	if k == nil {
-		k = l.add(b.Start)
+		k = l.add(b.IncarnationHash)
 	}
 	k.Backend = b
 	l.update(k, gossipedLimit(at), false)
@@ -134,7 +134,7 @@
 		l.pending = make(map[uint32]*pendingRequest)
 		l.seq = rand.Uint32()
 	}
-	k := &backend{Backend: Backend{Start: start}, lastUsed: l.Now()}
+	k := &backend{Backend: Backend{IncarnationHash: start}, lastUsed: l.Now()}
 	l.backends[start] = k
 	l.active.Store(true)
 	return k
@@ -223,7 +223,7 @@
 	if d.pending == nil {
 		return d.at, d.granted
 	}
-	for _, wait := range []time.Duration{resendAfter, answerTimeout - resendAfter} {
+	for _, wait := range []time.Duration{resendAfter, responseTimeout - resendAfter} {
 		l.Send(d.address, d.request)
 		select {
 		case granted := <-d.pending.result:
@@ -249,7 +249,7 @@
 
 // decide decides on a request, or creates a permit request. The caller holds the lock.
 func (l *Limiter) decide(b Backend, priority int, now time.Duration) decision {
-	k := l.backends[b.Start]
+	k := l.backends[b.IncarnationHash]
 	if k == nil || !k.observed.limited(now) {
 		return decision{granted: true, at: now}
 	}
@@ -263,7 +263,7 @@
 	if k.blockedFor(priority, now) > 0 {
 		return decision{}
 	}
-	o := l.Owner(b.Region, b.Start)
+	o := l.Owner(b.Region, b.IncarnationHash)
 	switch {
 	case o.Name == "" || l.liveShare(now) == 0:
 		k.block(priority, ownerRetryDelay, now)
@@ -280,7 +280,7 @@
 	l.seq++
 	p := &pendingRequest{backend: k, priority: priority, sentAt: now, result: make(chan bool, 1)}
 	l.pending[l.seq] = p
-	x := permitRequest{seq: l.seq, start: b.Start, priority: byte(min(priority, 0xff)), observed: k.observed, region: b.Region}
+	x := permitRequest{seq: l.seq, incarnationHash: b.IncarnationHash, priority: byte(min(priority, 0xff)), observed: k.observed, region: b.Region}
 	return decision{pending: p, address: o.Address, request: x.encode(kindRequest, now)}
 }
 
@@ -317,7 +317,7 @@
 	return float64(n) / float64(l.maxInstances)
 }
 
-// abandon records that no request waits for the answer any more, and reports whether the answer is
+// abandon records that no request waits for the response any more, and reports whether the response is
 // still to come.
 func (l *Limiter) abandon(p *pendingRequest) bool {
 	l.mu.Lock()
--- a/process/ratelimit/model_test.go
+++ b/process/ratelimit/model_test.go
@@ -256,7 +256,7 @@
 	m.after(heartbeatInterval, n.heartbeat)
 }
 
-var modelBackend = Backend{Start: modelStart, Name: "b", Region: "0"}
+var modelBackend = Backend{IncarnationHash: modelStart, Name: "b", Region: "0"}
 
 // arrive simulates the arrival of a request for the backend server.
 func (n *node) arrive() {
@@ -290,7 +290,7 @@
 		return
 	default:
 	}
-	if m.now-sentAt >= answerTimeout {
+	if m.now-sentAt >= responseTimeout {
 		n.finish(n.timeOut(d.pending))
 		return
 	}
@@ -325,7 +325,7 @@
 				if limit > 0 && n.limitedAt == 0 {
 					n.limitedAt = m.now
 				}
-				n.RecordAnswer(modelBackend, limit, sent)
+				n.RecordResponse(modelBackend, limit, sent)
 			})
 		})
 	})
--- a/process/ratelimit/wire.go
+++ b/process/ratelimit/wire.go
@@ -12,26 +12,26 @@
 
 // The first byte of a message. Other messages of the process use different values.
 const (
-	kindRequest = 9
-	kindAnswer  = 10
-	kindReport  = 11 // a permit request that only reports a limit and is not answered
+	kindRequest  = 9
+	kindResponse = 10
+	kindReport   = 11 // a permit request that only reports a limit and is not answered
 )
 
 const (
 	// limitBytes is the size of an observed limit: the limit and the ages of both ends of its
 	// interval.
 	limitBytes = 3 * 4
-	// requestBytes is the size of a permit request without the name of the region, answerBytes
-	// that of an answer.
-	requestBytes = 1 + 4 + 8 + 1 + limitBytes
-	answerBytes  = 1 + 4 + 8 + 1 + 2 + limitBytes
+	// requestBytes is the size of a permit request without the region name, responseBytes
+	// that of a response.
+	requestBytes  = 1 + 4 + 8 + 1 + limitBytes
+	responseBytes = 1 + 4 + 8 + 1 + 2 + limitBytes
 	// noAge replaces the ages if there is no observed limit.
 	noAge = math.MaxUint32
 	// maxTransit is the longest transit time of a datagram, by which received ages may be too low.
 	maxTransit = 100 * time.Millisecond
 )
 
-// status is an owner's answer to a permit request.
+// status is an owner's response to a permit request.
 type status byte
 
 const (
@@ -42,27 +42,27 @@
 
 // permitRequest requests one permit.
 type permitRequest struct {
-	seq      uint32
-	start    uint64 // of the backend server
-	priority byte
-	observed observedLimit
-	region   string // of the backend server
+	seq             uint32
+	incarnationHash uint64 // of the backend server
+	priority        byte
+	observed        observedLimit
+	region          string // of the backend server
 }
 
-// answer is the answer to a permit request.
-type answer struct {
-	seq      uint32
-	start    uint64
-	status   status
-	wait     time.Duration
-	observed observedLimit
+// permitResponse is the response to a permit request.
+type permitResponse struct {
+	seq             uint32
+	incarnationHash uint64
+	status          status
+	wait            time.Duration
+	observed        observedLimit
 }
 
 func (x permitRequest) encode(kind byte, now time.Duration) []byte {
 	out := make([]byte, 0, requestBytes+len(x.region))
 	out = append(out, kind)
 	out = binary.LittleEndian.AppendUint32(out, x.seq)
-	out = binary.LittleEndian.AppendUint64(out, x.start)
+	out = binary.LittleEndian.AppendUint64(out, x.incarnationHash)
 	out = append(out, x.priority)
 	out = x.observed.append(out, now)
 	return append(out, x.region...)
@@ -74,28 +74,28 @@
 	}
 	observed, err := decodeLimit(text[requestBytes-limitBytes:requestBytes], now)
 	return permitRequest{
-		seq: binary.LittleEndian.Uint32(text[1:]), start: binary.LittleEndian.Uint64(text[5:]), priority: text[13],
+		seq: binary.LittleEndian.Uint32(text[1:]), incarnationHash: binary.LittleEndian.Uint64(text[5:]), priority: text[13],
 		observed: observed, region: string(text[requestBytes:]),
 	}, err
 }
 
-func (x answer) encode(now time.Duration) []byte {
-	out := make([]byte, 0, answerBytes)
-	out = append(out, kindAnswer)
+func (x permitResponse) encode(now time.Duration) []byte {
+	out := make([]byte, 0, responseBytes)
+	out = append(out, kindResponse)
 	out = binary.LittleEndian.AppendUint32(out, x.seq)
-	out = binary.LittleEndian.AppendUint64(out, x.start)
+	out = binary.LittleEndian.AppendUint64(out, x.incarnationHash)
 	out = append(out, byte(x.status))
 	out = binary.LittleEndian.AppendUint16(out, uint16(min(x.wait.Milliseconds(), math.MaxUint16)))
 	return x.observed.append(out, now)
 }
 
-func decodeAnswer(text []byte, now time.Duration) (answer, error) {
-	if len(text) != answerBytes {
-		return answer{}, errors.Errorf("permit answer of %d bytes", len(text))
+func decodeResponse(text []byte, now time.Duration) (permitResponse, error) {
+	if len(text) != responseBytes {
+		return permitResponse{}, errors.Errorf("permit response of %d bytes", len(text))
 	}
-	observed, err := decodeLimit(text[answerBytes-limitBytes:], now)
-	return answer{
-		seq: binary.LittleEndian.Uint32(text[1:]), start: binary.LittleEndian.Uint64(text[5:]), status: status(text[13]),
+	observed, err := decodeLimit(text[responseBytes-limitBytes:], now)
+	return permitResponse{
+		seq: binary.LittleEndian.Uint32(text[1:]), incarnationHash: binary.LittleEndian.Uint64(text[5:]), status: status(text[13]),
 		wait: time.Duration(binary.LittleEndian.Uint16(text[14:])) * time.Millisecond, observed: observed,
 	}, err
 }
--- a/process/ratelimit/word.go
+++ b/process/ratelimit/word.go
@@ -21,10 +21,10 @@
 var unknownLimit = math.Inf(1)
 
 // observedLimit is the limit that a backend server named at some time within an interval. The zero
-// value means that there was no answer.
+// value means that there was no response.
 type observedLimit struct {
 	limit    float64       // requests per second; zero: no limit was named
-	from, to time.Duration // to is zero if there was no answer
+	from, to time.Duration // to is zero if there was no response
 	// gossipAt is when it was last limited according to gossip, which does not contain the limit;
 	// zero: never.
 	gossipAt time.Duration
@@ -36,7 +36,7 @@
 	return observedLimit{limit: unknownLimit, from: at, to: at, gossipAt: at}
 }
 
-// present reports whether there was any answer or gossip.
+// present reports whether there was any response or gossip.
 func (o observedLimit) present() bool { return o.to != 0 }
 
 // hasNumber reports whether there is a limit and its value is known.
@@ -68,7 +68,7 @@
 }
 
 // supersedes reports whether o replaces old. A stricter limit does as soon as it arrives later.
-// Any other one must certainly have been named later, since answers may overtake each other.
+// Any other one must certainly have been named later, since responses may overtake each other.
 func (o observedLimit) supersedes(old observedLimit) bool {
 	switch {
 	case !o.present() || o.to <= old.to:
--- a/version/config.go
+++ b/version/config.go
@@ -65,7 +65,7 @@
 	// Software holds, by service, the versions of its software that may get requests.
 	// All backend servers of a service without an entry may get requests. Operators do
 	// not declare it, and it is not part of snapshots: it is derived from the state of
-	// the roll-outs.
+	// the rollouts.
 	Software map[string]Software
 	// ReleasedFingerprints are the requests that operators exempt from quarantine although
 	// they crash backend servers. It is not part of snapshots.
--- a/version/rollout.go
+++ b/version/rollout.go
@@ -14,7 +14,7 @@
 	Within Duration `json:"within"`
 }
 
-// MaxRollout is the maximum of Rollout.Within: nobody watches a roll-out that takes
+// MaxRollout is the maximum of Rollout.Within: nobody watches a rollout that takes
 // more than a day.
 const MaxRollout = 24 * time.Hour
 
@@ -29,7 +29,7 @@
 type Software struct {
 	// InForce is the version that serves by default.
 	InForce string
-	// Target is the target version of a roll-out in progress; empty if there is none.
+	// Target is the target version of a rollout in progress; empty if there is none.
 	// It gets the requests that are selected for it (see balance.Query.Target).
 	Target string
 }
--- a/version/routing.go
+++ b/version/routing.go
@@ -49,8 +49,8 @@
 	Weights []Weights
 	// Software is the version of the software, set only for a Target.
 	Software string
-	// Target is this part for the requests that go to the target of a roll-out of the
-	// service. Nil if no roll-out is in progress.
+	// Target is this part for the requests that go to the target of a rollout of the
+	// service. Nil if no rollout is in progress.
 	Target *RoutePart
 }
 
@@ -58,13 +58,13 @@
 type RoutedService struct {
 	Name string
 	// Software is the version that its backend servers run. It is meaningless for a
-	// service without an entry in Config.Software. The target of a roll-out is a separate
+	// service without an entry in Config.Software. The target of a rollout is a separate
 	// RoutedService with the same name, so that shares and the assignment of objects are
 	// computed within a version.
 	Software string
-	// IsTarget is set for the target of a roll-out.
+	// IsTarget is set for the target of a rollout.
 	IsTarget bool
-	// Target is the index of the service that holds the backend servers of a roll-out's
+	// Target is the index of the service that holds the backend servers of a rollout's
 	// target, or None.
 	Target   int32
 	Backends []int32
@@ -153,7 +153,7 @@
 	return services
 }
 
-// addTarget adds the service for the backend servers of a roll-out's target, unless that
+// addTarget adds the service for the backend servers of a rollout's target, unless that
 // version is already in force.
 func (r *Routing) addTarget(service int32, software string) {
 	s := r.Services[service]
--- a/version/weight.go
+++ b/version/weight.go
@@ -65,7 +65,7 @@
 	return weightKey{service, string(regions)}
 }
 
-// setWeights sets the weights of a part, and those for a roll-out's target.
+// setWeights sets the weights of a part, and those for a rollout's target.
 func (r *Routing) setWeights(p *RoutePart, allowed []bool) {
 	p.Weights = r.cachedWeights(p.Service, allowed)
 	p.Target = nil
