--- a/process/balance/admit.go
+++ b/process/balance/admit.go
@@ -10,7 +10,7 @@
 	"shalewick/version"
 )
 
-// minTime is the time below which a request is not sent, because the backend server could not
+// minTime is the remaining time below which a request is not sent, because the backend server could not
 // answer it before its deadline: the typical processing time there, once it is known. It is at
 // most the route's objective, so that a backend server that was slow is still tried by requests
 // with the usual time left.
--- a/process/balance/backoff_model_test.go
+++ b/process/balance/backoff_model_test.go
@@ -32,7 +32,7 @@
 	gossipInterval = 500 * time.Millisecond // between two gossip messages of an instance
 )
 
-// play returns how many rejections requests met, and how many requests were refused for good. A
+// play returns how many rejections requests met, and how many requests were finally refused. A
 // request may be sent twice.
 func (w rejectionModel) play(seed uint64) (met, refused int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -107,7 +107,7 @@
 }
 
 // TestGossipReducesRejections measures how much gossip about backoffs reduces the rejections that
-// requests meet, and logs the requests that are refused for good.
+// requests meet, and logs the requests that are finally refused.
 func TestGossipReducesRejections(t *testing.T) {
 	for _, w := range []rejectionModel{
 		{instances: 12, backends: 20, rejecting: 6, rate: 240, retryAfter: 3 * time.Second},
@@ -123,7 +123,7 @@
 			metGossip, refusedGossip = metGossip+m, refusedGossip+r
 			w.gossip = false
 		}
-		t.Logf("%d instances: %d refusals met, %d refused for good; with gossip: %d and %d", w.instances, met, refused, metGossip, refusedGossip)
+		t.Logf("%d instances: %d refusals met, %d finally refused; with gossip: %d and %d", w.instances, met, refused, metGossip, refusedGossip)
 		assert.Assert(t, metGossip < met)
 	}
 }
--- a/process/balance/backoff_test.go
+++ b/process/balance/backoff_test.go
@@ -154,7 +154,7 @@
 }
 
 // TestGossipedBackoffMakesLastResort checks that a backoff learned by gossip refuses no request,
-// ends by itself and with a response to this instance, and is not passed on.
+// ends by itself and with a response to this instance, and is not gossiped further.
 func TestGossipedBackoffMakesLastResort(t *testing.T) {
 	a, b, _ := twoInstances("u", "v")
 	a.requestBackoff(t, "u", 1990*time.Millisecond)
--- a/process/balance/candidate.go
+++ b/process/balance/candidate.go
@@ -46,15 +46,15 @@
 }
 
 // candidates lists the first choices for an object among the backend servers of one eligibility,
-// and counts why others among those that it examined may not get the request. If whole is set, all
-// are examined. The list is valid until the next call. The caller holds the lock.
-func (t *Table) candidates(q *Query, part *version.RoutePart, s *version.RoutedService, object uint64, among eligibility, now time.Duration, whole bool) ([]candidate, Explanation) {
+// and counts the reasons why others that it examined may not get the request. If examineAll is set,
+// it examines all of them. The list is valid until the next call. The caller holds the lock.
+func (t *Table) candidates(q *Query, part *version.RoutePart, s *version.RoutedService, object uint64, among eligibility, now time.Duration, examineAll bool) ([]candidate, Explanation) {
 	x := search{
 		t: t, q: q, s: s, object: object, among: among, now: now, maxInFlight: t.connections(s), found: t.scratch[:0],
 		weights: t.weightsFor(q.Route, part, s), near: &t.nearGroups, far: &t.farGroups, explanation: Explanation{Backends: len(s.Backends)}, suspended: version.None,
 	}
 	x.orderGroups()
-	if whole {
+	if examineAll {
 		for g := range version.GroupCount {
 			x.visit(g)
 		}
@@ -116,18 +116,20 @@
 	return w.Groups[group]
 }
 
-// groupDistance returns the distance of a group from an object, by the group's hash draw and
+// groupDistance returns the distance of a group from an object, from its unit distance and its
 // weight. A group without weight, all of whose members are closed, comes last.
-func groupDistance(draw, weight float64) float64 { return min(draw/weight, math.MaxFloat64) }
+func groupDistance(unitDistance, weight float64) float64 {
+	return min(unitDistance/weight, math.MaxFloat64)
+}
 
 // orderGroups sets the distances of the groups. Empty groups are infinitely far.
 func (x *search) orderGroups() {
 	for g := range version.GroupCount {
 		x.near[g], x.far[g] = math.Inf(1), math.Inf(1)
 		if len(x.s.Groups.Members(g)) > 0 {
-			draw := version.GroupUnitDistance(x.object, g)
-			x.near[g] = groupDistance(draw, groupWeight(x.s, x.weights, g))
-			x.far[g] = groupDistance(draw, x.s.Groups.Slots[g])
+			unitDistance := version.GroupUnitDistance(x.object, g)
+			x.near[g] = groupDistance(unitDistance, groupWeight(x.s, x.weights, g))
+			x.far[g] = groupDistance(unitDistance, x.s.Groups.Slots[g])
 		}
 	}
 }
@@ -177,8 +179,8 @@
 			continue
 		}
 		u := x.t.states[i]
-		draw := v.UnitDistance(x.object)
-		near, far := draw/x.weights.of(k), draw/float64(v.Slots)
+		unitDistance := v.UnitDistance(x.object)
+		near, far := unitDistance/x.weights.of(k), unitDistance/float64(v.Slots)
 		minNear, minFar = min(minNear, near), min(minFar, far)
 		if u != nil {
 			near, far = near/u.share.kept, far/u.share.kept
--- a/process/balance/choose.go
+++ b/process/balance/choose.go
@@ -12,8 +12,8 @@
 )
 
 // Pick chooses a backend server, or explains why there is none. Backend servers that announced
-// that they want no more requests are the last resort: they get those that no other can accept in
-// time, as long as they may.
+// that they want no more requests are the last resort: while they are still eligible for that, they
+// get the requests that no other can accept in time.
 func (t *Table) Pick(q *Query) (*Pick, Refusal) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/process/balance/notice.go
+++ b/process/balance/notice.go
@@ -22,7 +22,7 @@
 
 // noticeState is what is known of the notices (request.Notice) of one incarnation of a backend
 // server, as it sent them to this instance or another one. It takes precedence over the row: while
-// the store is unavailable a row goes on saying "ready", and the server itself knows better. See
+// the store is unavailable a row still says "ready", and the server itself knows better. See
 // docs/design/notices.md.
 type noticeState struct {
 	leaving    departure
--- a/process/balance/software.go
+++ b/process/balance/software.go
@@ -81,7 +81,7 @@
 
 // InFlight returns the number of this instance's requests at backend servers of a service, except
 // those of a rollout's target. Requests at backend servers that have left the routing count until
-// they end, as do responses that are held (Pick.Hold).
+// they end, as do responses that are still being transferred (Pick.Hold).
 func (t *Table) InFlight(service string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/process/balance/software_test.go
+++ b/process/balance/software_test.go
@@ -114,7 +114,7 @@
 						r.Fatalf("%s of version %q got a request while %q is in force", k.Name, k.Software, allowed.InForce)
 					}
 					if !bound && q.Target != "" {
-						r.Fatalf("%s got a request for a target without a roll-out", k.Name)
+						r.Fatalf("%s got a request for a target without a rollout", k.Name)
 					}
 					if hasHome && object != 0 && q.Target != "" && q.Target == allowed.Target && k.Rank == 0 && k.incarnationHash != home {
 						r.Fatalf("the first choice %s is not the home", k.Name)
--- a/process/edge/ratelimit.go
+++ b/process/edge/ratelimit.go
@@ -17,9 +17,9 @@
 	}
 }
 
-// limitOwner returns the owner of the rate limit that a start of a backend server has in a region.
-func (e *Edge) limitOwner(region string, start uint64) ratelimit.Owner {
-	m := e.members.NearestOwner(region, start)
+// limitOwner returns the owner of the rate limit that an incarnation of a backend server has in a region.
+func (e *Edge) limitOwner(region string, incarnationHash uint64) ratelimit.Owner {
+	m := e.members.NearestOwner(region, incarnationHash)
 	if m.Name == e.settings.Instance {
 		return ratelimit.Owner{Name: m.Name}
 	}
--- a/process/edge/spare_test.go
+++ b/process/edge/spare_test.go
@@ -81,7 +81,7 @@
 	}
 	for name, x := range map[string]struct{ begin, end func(*Edge) }{
 		"keys":          {func(e *Edge) { e.spare.usesKeys.Store(true) }, func(e *Edge) { e.spare.usesKeys.Store(false) }},
-		"a roll-out":    {func(e *Edge) { e.rolloutState.followRecords.Store(true) }, func(e *Edge) { e.rolloutState.followRecords.Store(false) }},
+		"a rollout":     {func(e *Edge) { e.rolloutState.followRecords.Store(true) }, func(e *Edge) { e.rolloutState.followRecords.Store(false) }},
 		"large busy":    {func(e *Edge) { busy(e, true) }, func(e *Edge) { busy(e, false) }},
 		"few instances": {func(e *Edge) { e.followsInstances.Store(false) }, func(e *Edge) { e.followsInstances.Store(true) }},
 	} {
--- a/process/proxy/attempt.go
+++ b/process/proxy/attempt.go
@@ -19,7 +19,7 @@
 )
 
 // response is a backend server's response. It is either fully buffered, or its beginning is
-// buffered and the rest is still to be read from the exchange.
+// buffered and the remainder is still to be read from the exchange.
 type response struct {
 	pick       *balance.Pick
 	fromTarget bool // the backend server runs the target version of a rollout
@@ -44,7 +44,7 @@
 	// mayHaveRun is set once a byte was sent to a backend server that did not reply that it has not
 	// run the request.
 	mayHaveRun bool
-	// rolloutAttempt represents the current attempt to the rollouts.
+	// rolloutAttempt is the current attempt as the rollout controller tracks it.
 	rolloutAttempt rolloutAttempt
 	attempted      bool // at least one attempt has begun
 	// permitFrom is the time from which the permit of the current attempt is valid; zero if it has
@@ -122,7 +122,7 @@
 }
 
 const (
-	// minAttemptTime is the least remaining time for which another attempt is made.
+	// minAttemptTime is the minimum remaining time for which another attempt is made.
 	minAttemptTime = 30 * time.Millisecond
 	// maxBackendsTried bounds the backend servers that are tried for one request, including those
 	// to which no connection could be opened.
--- a/process/proxy/failure.go
+++ b/process/proxy/failure.go
@@ -53,8 +53,8 @@
 	code := request.AnswerLost
 	if ctx.Err() != nil || errors.As(err, &netErr) && netErr.Timeout() {
 		code = request.DeadlinePassed
-		// The peer may be unresponsive for good, and then so are the idle connections to it, each
-		// of which would cost another request its full timeout.
+		// The peer may stay unresponsive, and each idle connection to it would then cost another
+		// request its full timeout.
 		pick.Pool.CloseIdle()
 	}
 	inconclusive := code == request.DeadlinePassed && t.c.deadlineTooShort(pick, sent)
--- a/process/proxy/held.go
+++ b/process/proxy/held.go
@@ -19,8 +19,8 @@
 	"shalewick/request"
 )
 
-// memoryRetryAfter is the least Retry-After time of a request that was refused for lack of memory;
-// the most is twice that. Stalled readers are cut off within it.
+// memoryRetryAfter is the minimum Retry-After time of a request that was refused for lack of memory;
+// the maximum is twice that. Stalled readers are cut off within it.
 const memoryRetryAfter = 500 * time.Millisecond
 
 // admit reserves the minimum memory that a request needs.
@@ -67,7 +67,7 @@
 		Dur("took", time.Since(c.startedAt)).Msg("cut-off")
 }
 
-// callerBody reads a request body and tells the lease when the caller is being waited for.
+// callerBody reads a request body and records in the lease when it waits for the caller.
 type callerBody struct {
 	io.Reader
 	lease *held.Lease
@@ -114,7 +114,7 @@
 // chunkPool holds the buffers of responses that are streamed.
 var chunkPool = sync.Pool{New: func() any { return new([held.ChunkSize]byte) }}
 
-// streamRest copies the rest of a response to the caller as it is received.
+// streamRest copies the remainder of a response to the caller as it is received.
 func (c *call) streamRest(ex *conn.Exchange) error {
 	chunk := chunkPool.Get().(*[held.ChunkSize]byte)
 	defer chunkPool.Put(chunk)
--- a/process/proxy/lapse.go
+++ b/process/proxy/lapse.go
@@ -15,7 +15,7 @@
 const minSuspension = 100 * time.Millisecond
 
 // timeLeft returns the time until the request's deadline. Contexts, timers and sockets use a clock
-// that stops while the machine is suspended, but the caller's time goes on.
+// that stops while the machine is suspended; the caller's deadline does not.
 func (c *call) timeLeft() time.Duration {
 	remaining := time.Until(c.deadline)
 	if suspended := (c.bootClock() - c.startedOnBootClock) - time.Since(c.startedAt); suspended >= minSuspension {
@@ -73,8 +73,8 @@
 var aLongTimeAgo = time.Unix(1, 0)
 
 // CancelExpired cancels the requests whose deadline passed while the machine was suspended, and
-// returns their number. Their timers stood still, so they would otherwise go on for as long as the
-// suspension lasted. Responses that have arrived by now have already been read.
+// returns their number. Their timers did not advance, so they would otherwise continue for as long as
+// the suspension lasted. Responses that have arrived by now have already been read.
 func (p *Proxy) CancelExpired() (cancelled int) {
 	p.calls.mu.Lock()
 	defer p.calls.mu.Unlock()
--- a/process/proxy/proxy.go
+++ b/process/proxy/proxy.go
@@ -238,7 +238,7 @@
 	return &r
 }
 
-// body is a request body: buffered whole, or a buffered beginning and an unread rest.
+// body is a request body: buffered whole, or a buffered beginning and an unread remainder.
 type body struct {
 	buffered []byte
 	rest     io.Reader // nil if all of the body is buffered
--- a/process/proxy/rollout.go
+++ b/process/proxy/rollout.go
@@ -13,7 +13,7 @@
 	"shalewick/process/rollout"
 )
 
-// rolloutAttempt represents an attempt to the rollouts. It is a *rollout.Attempt or noRollout.
+// rolloutAttempt is an attempt as the rollout controller tracks it: a *rollout.Attempt or noRollout.
 type rolloutAttempt interface {
 	Target() string
 	Decline(over bool) bool
@@ -92,12 +92,12 @@
 // isServerError reports whether the response is a server error (5xx).
 func (r *response) isServerError() bool { return r.res.StatusCode >= http.StatusInternalServerError }
 
-// reportResponse reports a response to the rollouts.
+// reportResponse reports a response to the rollout controller.
 func (t *transaction) reportResponse(resp *response, took time.Duration) {
 	t.reportOutcome(resp.pick, rollout.Outcome{Failed: resp.isServerError(), Latency: took, Unseen: resp.pick.Unseen, Cold: resp.pick.Cold})
 }
 
-// reportOutcome reports the outcome of an attempt to the rollouts, and counts it for the software
+// reportOutcome reports the outcome of an attempt to the rollout controller, and counts it for the software
 // version of the backend server.
 func (t *transaction) reportOutcome(pick *balance.Pick, o rollout.Outcome) {
 	t.rolloutAttempt.Done(o)
--- a/process/ratelimit/doc.go
+++ b/process/ratelimit/doc.go
@@ -4,11 +4,11 @@
 Package ratelimit keeps the requests that reach a backend server within the rate limit that its
 responses name, over all instances together.
 
-	l.RecordResponse(b, limit, sent)     // each response names a limit, or none
-	l.Blocked(b.Start, priority)       // for how long will a request get no permit?
-	l.Acquire(ctx, b, priority)        // get a permit for one request
-	l.Valid(b.Start, at)               // is the permit still valid as the first byte is sent?
-	l.Return(b.Start, at)              // it was not used
+	l.RecordResponse(b, limit, sent)        // each response names a limit, or none
+	l.Blocked(b.IncarnationHash, priority)  // for how long will a request get no permit?
+	l.Acquire(ctx, b, priority)             // get a permit for one request
+	l.Valid(b.IncarnationHash, at)          // is the permit still valid as the first byte is sent?
+	l.Return(b.IncarnationHash, at)         // it was not used
 
 # Permits
 
--- a/process/ratelimit/exchange.go
+++ b/process/ratelimit/exchange.go
@@ -99,19 +99,19 @@
 	l.mu.Lock()
 	now := l.Now()
 	l.liveShare(now)
-	for start, k := range l.backends {
-		if k.bucket != nil && l.Owner(k.Region, start).Address != "" {
+	for incarnationHash, k := range l.backends {
+		if k.bucket != nil && l.Owner(k.Region, incarnationHash).Address != "" {
 			k.bucket = nil
 		}
 		if k.reportsLeft > 0 {
 			k.reportsLeft--
-			if o := l.Owner(k.Region, start); o.Address != "" {
-				x := permitRequest{incarnationHash: start, observed: k.observed, region: k.Region}
+			if o := l.Owner(k.Region, incarnationHash); o.Address != "" {
+				x := permitRequest{incarnationHash: incarnationHash, observed: k.observed, region: k.Region}
 				out = append(out, message{o.Address, x.encode(kindReport, now)})
 			}
 		}
 		if now-k.lastUsed > forgetAfter {
-			delete(l.backends, start)
+			delete(l.backends, incarnationHash)
 		}
 	}
 	for seq, p := range l.pending {
--- a/process/ratelimit/limiter.go
+++ b/process/ratelimit/limiter.go
@@ -54,7 +54,7 @@
 	Now func() time.Duration
 	// Owner returns the owner of an incarnation of a backend server in a region, or one without a
 	// name if it is not known.
-	Owner func(region string, start uint64) Owner
+	Owner func(region string, incarnationHash uint64) Owner
 	// Instances returns how many instances may be live; zero: not known yet.
 	Instances func() int
 	// Send sends a message to an address. Messages may be lost.
@@ -128,14 +128,14 @@
 }
 
 // add creates the state of an incarnation of a backend server. The caller holds the lock.
-func (l *Limiter) add(start uint64) *backend {
+func (l *Limiter) add(incarnationHash uint64) *backend {
 	if l.backends == nil {
 		l.backends = make(map[uint64]*backend)
 		l.pending = make(map[uint32]*pendingRequest)
 		l.seq = rand.Uint32()
 	}
-	k := &backend{Backend: Backend{IncarnationHash: start}, lastUsed: l.Now()}
-	l.backends[start] = k
+	k := &backend{Backend: Backend{IncarnationHash: incarnationHash}, lastUsed: l.Now()}
+	l.backends[incarnationHash] = k
 	l.active.Store(true)
 	return k
 }
@@ -163,25 +163,25 @@
 }
 
 // Limited reports whether an incarnation of a backend server is limited.
-func (l *Limiter) Limited(start uint64) bool {
+func (l *Limiter) Limited(incarnationHash uint64) bool {
 	if !l.active.Load() {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.backends[start]
+	k := l.backends[incarnationHash]
 	return k != nil && k.observed.limited(l.Now())
 }
 
 // Blocked returns for how long requests of a priority will get no permit for an incarnation of a
 // backend server; zero: it is not limited, or a permit may be requested.
-func (l *Limiter) Blocked(start uint64, priority int) time.Duration {
+func (l *Limiter) Blocked(incarnationHash uint64, priority int) time.Duration {
 	if !l.active.Load() {
 		return 0
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.backends[start]
+	k := l.backends[incarnationHash]
 	now := l.Now()
 	if k == nil || !k.observed.limited(now) || k.hasUnusedPermit(now) {
 		return 0
@@ -358,18 +358,18 @@
 
 // Valid reports whether a request to an incarnation of a backend server may be sent now with a
 // permit that is valid from a time.
-func (l *Limiter) Valid(start uint64, at time.Duration) bool {
-	return !l.Limited(start) || at != 0 && l.Now()-at < permitTTL
+func (l *Limiter) Valid(incarnationHash uint64, at time.Duration) bool {
+	return !l.Limited(incarnationHash) || at != 0 && l.Now()-at < permitTTL
 }
 
 // Return returns a permit that was not used.
-func (l *Limiter) Return(start uint64, at time.Duration) {
+func (l *Limiter) Return(incarnationHash uint64, at time.Duration) {
 	if at == 0 || !l.active.Load() {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if k := l.backends[start]; k != nil && k.observed.limited(l.Now()) {
+	if k := l.backends[incarnationHash]; k != nil && k.observed.limited(l.Now()) {
 		k.unusedPermits = append(k.unusedPermits, at)
 	}
 }
@@ -396,13 +396,13 @@
 
 // LastLimited returns when an incarnation of a backend server was last known to be limited. ok is
 // false if that need not be announced to other instances.
-func (l *Limiter) LastLimited(start uint64) (at time.Duration, ok bool) {
+func (l *Limiter) LastLimited(incarnationHash uint64) (at time.Duration, ok bool) {
 	if !l.active.Load() {
 		return 0, false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.backends[start]
+	k := l.backends[incarnationHash]
 	now := l.Now()
 	if k == nil || !k.observed.limited(now) || now-k.observed.lastLimited() >= announceFor {
 		return 0, false
--- a/version/rollout_test.go
+++ b/version/rollout_test.go
@@ -168,7 +168,7 @@
 		assert.Equal(t, target.Weights[south].Backends[k] > minWeight, inside, "%s", r.Backends[i].Name)
 		assert.Assert(t, unrestricted.Weights[south].Backends[k] > minWeight || inside)
 	}
-	assert.Assert(t, restricted.Parts[1].Target == nil, "intake has no roll-out")
+	assert.Assert(t, restricted.Parts[1].Target == nil, "intake has no rollout")
 }
 
 // TestNewestBackendOfAddressAcrossVersions checks that a backend server whose address was
