--- a/clock/late.go
+++ b/clock/late.go
@@ -16,8 +16,8 @@
 	delayBins   = 10
 )
 
-// SchedulingDelay measures how late the process gets the CPU: the time by which it wakes up later
-// than it asked for. It is fed by a loop that waits anyway, since a separate loop with a hundred
+// SchedulingDelay measures how late the process gets the CPU: by how much it wakes up later than
+// requested. It is fed by a loop that waits anyway, since a separate loop with a hundred
 // wake-ups per second took 1% of a processor. The zero value is ready to use.
 type SchedulingDelay struct {
 	mu   sync.Mutex
--- a/conn/conn_test.go
+++ b/conn/conn_test.go
@@ -121,7 +121,7 @@
 // TestDispatchRefusedAfterStartSendsNothing guards against a refused dispatch that is reported as a
 // possibly sent request with a passed deadline, 0.3 ms after its start. That happened if Allowed
 // returned true as the dispatch of a request with a body began, and false as its first byte was to
-// be sent, for example because the response to another request had meanwhile asked for backoff. The
+// be sent, for example because the response to another request had meanwhile requested a backoff. The
 // sender of the body interrupted the reader of the response, which took that for a lost response.
 func TestDispatchRefusedAfterStartSendsNothing(t *testing.T) {
 	var got atomic.Int64
--- a/conn/dispatch.go
+++ b/conn/dispatch.go
@@ -137,7 +137,7 @@
 	ex.Response = res
 }
 
-// DetachUntil detaches the exchange from its context, and allows the rest of the response to be
+// DetachUntil detaches the exchange from its context, and allows the remainder of the response to be
 // read until the given time. So a response that has begun can be delivered after the request's
 // deadline. It fails if the context has already been cancelled.
 func (ex *Exchange) DetachUntil(until time.Time) error {
@@ -249,7 +249,7 @@
 	ex.abandon()
 }
 
-// abandon tells the backend server that the request is abandoned by half-closing the connection,
+// abandon signals to the backend server that the request is abandoned by half-closing the connection,
 // and waits until it closes its side. A late response is discarded.
 func (ex *Exchange) abandon() {
 	unresponsive := ex.awaitPeerClose()
--- a/conn/doc.go
+++ b/conn/doc.go
@@ -6,7 +6,7 @@
 A Pool keeps idle connections to one address. Dispatch sends one request over one
 connection and reads the header of the response:
 
-	ex, err := pool.Dispatch(req, opts) // err tells whether a byte was sent
+	ex, err := pool.Dispatch(req, opts) // err says whether a byte was sent
 	io.Copy(w, ex.Response.Body)
 	ex.Close()
 
@@ -22,7 +22,7 @@
 exchange and calls Options.Release once the backend server has certainly finished with the
 request. That is immediately if the whole response was read. Otherwise the connection is
 half-closed, and the token is held until the backend server closes its side in turn, or
-until the request's deadline and a margin have passed. In the latter case Release is told
-that the backend server is unresponsive: it may be frozen and still hold the request.
+until the request's deadline and a margin have passed. In the latter case Release is called
+with unresponsive set: the backend server may be frozen and still hold the request.
 */
 package conn
--- a/process/balance/notice.go
+++ b/process/balance/notice.go
@@ -22,7 +22,7 @@
 
 // noticeState is what is known of the notices (request.Notice) of one incarnation of a backend
 // server, as it sent them to this instance or another one. It takes precedence over the row: while
-// the store is unavailable a row still says "ready", and the server itself knows better. See
+// the store is unavailable a row still says "ready" although the server is leaving. See
 // docs/design/notices.md.
 type noticeState struct {
 	leaving    departure
@@ -31,7 +31,7 @@
 }
 
 // noticeRetention is how long notices are kept of a backend server whose row is gone: rows expire
-// while the store is unavailable and come back unchanged.
+// while the store is unavailable and reappear unchanged.
 const noticeRetention = time.Minute
 
 // eligibility says whether a backend server may get new requests, according to its own notices.
--- a/process/balance/notice_test.go
+++ b/process/balance/notice_test.go
@@ -85,7 +85,7 @@
 }
 
 // TestLeavingNoticeOutlivesRow checks that a backend server whose row expires while the store is
-// unavailable, and comes back unchanged, is still known to be leaving, and that notices are
+// unavailable, and reappears unchanged, is still known to be leaving, and that notices are
 // dropped after a while.
 func TestLeavingNoticeOutlivesRow(t *testing.T) {
 	p := fixtureWith("u", "v")
--- a/process/balance/outcome.go
+++ b/process/balance/outcome.go
@@ -22,7 +22,7 @@
 )
 
 // Hold makes the request count as in flight after Done, until Release, while the backend server is
-// still transferring the rest of a response. It occupies a connection, but no slot.
+// still transferring a response. It occupies a connection, but no slot.
 func (p *Pick) Hold() {
 	p.table.mu.Lock()
 	defer p.table.mu.Unlock()
--- a/process/balance/seen.go
+++ b/process/balance/seen.go
@@ -21,7 +21,7 @@
 		return
 	}
 	if s.at == nil || len(s.at) >= maxSeenPairs {
-		s.at = make(map[uint64]time.Duration) // entries come back with the next requests
+		s.at = make(map[uint64]time.Duration) // the next requests add entries again
 	}
 	s.at[pair(object, backend)] = now
 }
--- a/process/cluster/ask.go
+++ b/process/cluster/ask.go
@@ -66,7 +66,7 @@
 // Head reports whether other instances of the hall get the tables from this one.
 func (p *Peers) Head() bool { return p.Members.Head() }
 
-// StoreCalled records whether a store call was answered.
+// RecordStoreCall records whether a store call was answered.
 func (p *Peers) RecordStoreCall(answered bool) {
 	if p.Members.RecordStoreCall(answered) && p.OnStoreUnreachable != nil {
 		p.OnStoreUnreachable()
--- a/process/cluster/cluster_test.go
+++ b/process/cluster/cluster_test.go
@@ -95,7 +95,7 @@
 }
 
 // TestRelayWithoutStoreIsReplaced checks that another instance of the region takes over from a relay
-// that cannot reach the store, that the relay may come back, and that a region in which no instance
+// that cannot reach the store, that the relay may return, and that a region in which no instance
 // reaches the store still has a relay.
 func TestRelayWithoutStoreIsReplaced(t *testing.T) {
 	m, c := newMembers()
--- a/process/cluster/doc.go
+++ b/process/cluster/doc.go
@@ -30,8 +30,8 @@
 
 Tables travel from the store to the relay of each region, from there to the heads
 of each hall, and from those to the others (sources.go, answer.go). The relay of a
-region is the live instance whose name has the lowest hash. A relay that the store
-does not answer announces it at once, and another instance takes over. This needs
+region is the live instance whose name has the lowest hash. A relay to which the store
+does not respond announces it at once, and another instance takes over. This needs
 no agreement: two relays cost extra calls, and a short time without one only delays
 updates until each instance queries the store itself.
 */
--- a/process/cluster/evidence.go
+++ b/process/cluster/evidence.go
@@ -105,7 +105,7 @@
 	m.pendingReports[ps] = struct{}{}
 }
 
-// markSeen records a sign of life from an instance, and queues a report if it was down. The caller
+// markSeen records that an instance has just been found live, and queues a report if it was down. The caller
 // holds the lock.
 func (m *Members) markSeen(ps *peerState, now time.Duration) {
 	if ps.down() && m.usesProbing() {
--- a/process/cluster/gossip_test.go
+++ b/process/cluster/gossip_test.go
@@ -317,7 +317,7 @@
 	f.join(x)
 }
 
-// TestDiscoveryByGossipAlone starts an instance that knows one other only: the rest of the region must
+// TestDiscoveryByGossipAlone starts an instance that knows only one other: all others in the region must
 // learn of it by gossip.
 func TestDiscoveryByGossipAlone(t *testing.T) {
 	f := newModel(3, 2, 40)
--- a/process/cluster/learn.go
+++ b/process/cluster/learn.go
@@ -33,7 +33,7 @@
 		m.insert(ps)
 	}
 	if ps.Incarnation < x.Incarnation || direct && ps.Incarnation != x.Incarnation && now-ps.lastSeen > directTimeout {
-		// A lower incarnation that sends while the higher one is silent was started after the clock
+		// A lower incarnation that sends while the higher one does not was started after the clock
 		// of its machine stepped back.
 		*ps = peerState{Member: x, hash: ps.hash, firstSeen: now}
 	}
--- a/process/cluster/members.go
+++ b/process/cluster/members.go
@@ -20,7 +20,7 @@
 	Hall        string `json:"h"`
 	Region      string `json:"r"`
 	Leaving     bool   `json:"l,omitempty"`
-	// StoreUnreachable says that the store does not answer the instance.
+	// StoreUnreachable says that the store does not respond to the instance.
 	StoreUnreachable bool `json:"c,omitempty"`
 	// Link is the capacity of its network link in Mbit/s, and Cores its share of the processors;
 	// zero: unknown.
@@ -89,7 +89,7 @@
 	cachedMaxima   regionMaxima // valid for cachedMaximaAt
 	cachedMaximaAt time.Duration
 	lastForget     time.Duration // when forget last scanned the instances
-	regionLastSeen time.Duration // when any instance of the region was last heard; zero: never
+	regionLastSeen time.Duration // when any instance of the region was last seen; zero: never
 	suspectedAt    time.Duration // when an instance was last suspected or found to be down; zero: never
 }
 
@@ -111,7 +111,7 @@
 	return &Members{self: self, hash: xxhash.Sum64String(self.Name), others: make(map[string]*peerState), now: now, startedAt: now(), shuffle: rand.Shuffle}
 }
 
-// SetInitialStart says that the whole fleet starts for the first time, so that the first member
+// SetInitialStart records that the whole fleet starts for the first time, so that the first member
 // list read is incomplete.
 func (m *Members) SetInitialStart() {
 	m.mu.Lock()
@@ -162,7 +162,7 @@
 	m.self.Leaving = true
 }
 
-// live reports whether an instance counts as live. An instance of another region is seldom heard, so
+// live reports whether an instance counts as live. An instance of another region is seldom seen, so
 // it counts as live until a call to it fails or it is found to be down. The caller holds the lock
 // and has called countRegionPeers.
 func (m *Members) live(ps *peerState, now time.Duration) bool {
--- a/process/cluster/probe.go
+++ b/process/cluster/probe.go
@@ -5,7 +5,7 @@
 import "time"
 
 // In a large region each instance probes a few others per heartbeat, all of them in turn. If one does
-// not respond, it asks several others to probe it as well (indirect probes), and declares it down only
+// not respond, it requests that several others probe it as well (indirect probes), and declares it down only
 // if several of them report no response and none got one: probing as in Das, Gupta, Motivala, "SWIM:
 // Scalable weakly-consistent infection-style process group membership protocol" (2002), with the
 // local health awareness of Dadgar, Phillips, Currey, "Lifeguard: Local health awareness for more
@@ -30,7 +30,7 @@
 	directProbeTimeout   = 300 * time.Millisecond
 	indirectProbeTimeout = 350 * time.Millisecond
 	probeTimeout         = directProbeTimeout + indirectProbeTimeout + ProbeCheckInterval + ProbeCheckInterval/2
-	// indirectProbers is the number of instances asked for an indirect probe, and minFailedProbers
+	// indirectProbers is the number of instances that are sent a request for an indirect probe, and minFailedProbers
 	// how many of them must report no response for the instance to be declared down.
 	indirectProbers  = 6
 	minFailedProbers = 3
@@ -39,7 +39,7 @@
 	// callFailureFor is how long an instance does not count as live after a call to it failed,
 	// unless it is found to be down.
 	callFailureFor = 2 * time.Second
-	// isolatedAfter is how long the whole region must be silent before an instance treats all others
+	// isolatedAfter is how long no message must have arrived from the whole region before an instance treats all others
 	// in it as down.
 	isolatedAfter = probedTimeout
 	// maxIndirectChecks bounds the concurrent indirect probes on behalf of others.
@@ -91,7 +91,7 @@
 }
 
 // probeDatagrams returns probes of the next few instances of the region, those with failed calls first,
-// and of one that is down, since it may have come back.
+// and of one that is down, since it may have recovered.
 func (m *Members) probeDatagrams(d datagram) []outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -306,7 +306,7 @@
 	return sample(m.shuffle, live, n)
 }
 
-// isolated reports whether the whole region has been silent for so long that this instance must be
+// isolated reports whether the whole region has been unresponsive for so long that this instance must be
 // the one that is partitioned. The caller holds the lock.
 func (m *Members) isolated(now time.Duration) bool {
 	return m.regionLastSeen != 0 && now-m.regionLastSeen > isolatedAfter
--- a/process/edge/directory.go
+++ b/process/edge/directory.go
@@ -20,7 +20,7 @@
 	minPerHall = 2
 )
 
-// serveDirectory tells a client which instances to use.
+// serveDirectory responds with the instances that a client should use.
 func (e *Edge) serveDirectory(w http.ResponseWriter, r *http.Request) {
 	routing := e.table.Routing()
 	if routing == nil {
--- a/process/edge/doc.go
+++ b/process/edge/doc.go
@@ -3,7 +3,7 @@
 /*
 Package edge runs an instance that gets its configuration from a store of tables: it
 follows the tables (state), knows the other instances (cluster), chooses backend
-servers (balance), serves requests (proxy), and tells clients which instances to use
+servers (balance), serves requests (proxy), and lists for clients which instances to use
 (directory.go).
 
 Nothing that the process keeps outlasts it. The store only needs a row with its
--- a/process/edge/edge.go
+++ b/process/edge/edge.go
@@ -46,12 +46,12 @@
 
 // drainNoticeDivisor divides Settings.DrainWithin: during the first part of that time, backend
 // servers that announce in their responses that they are leaving may still get the requests that
-// no other backend server can take. The rest is for requests that are already on their way to
+// no other backend server can accept. The remainder is for requests that are already on their way to
 // them, and for rows that arrive late.
 const drainNoticeDivisor = 2
 
 // bufferMemoryDivisor divides an instance's memory: the quotient may buffer requests and
-// responses. The rest is for what is known about the fleet, for connections without a request, and
+// responses. The remainder is for what is known about the fleet, for connections without a request, and
 // for garbage.
 const bufferMemoryDivisor = 5
 
--- a/process/edge/expired.go
+++ b/process/edge/expired.go
@@ -12,7 +12,7 @@
 
 const (
 	// maxExpiredRowTime bounds how long expired rows of backend servers are kept after the store
-	// has come back from an outage. Live backend servers have written theirs again by then.
+	// has recovered from an outage. Live backend servers have written theirs again by then.
 	maxExpiredRowTime = 2200 * time.Millisecond
 	// expiredRowMargin is how long before the end of DrainWithin expired rows are dropped, so that
 	// a backend server that has left gets no requests after that time.
@@ -35,7 +35,7 @@
 }
 
 // merge returns the present rows and those that are kept, ordered by key. Returned is when the
-// store last came back from an outage, zero if there was none. Again is when merge has to be called
+// store last recovered from an outage, zero if there was none. Again is when merge has to be called
 // once more, zero if no row is kept.
 func (l *expiredRows) merge(present []state.Row, returned, now time.Duration) (all []state.Row, again time.Duration) {
 	all = present
--- a/process/edge/expired_test.go
+++ b/process/edge/expired_test.go
@@ -29,7 +29,7 @@
 	return out
 }
 
-// TestExpiredRowsKeptAfterStoreReturns simulates a store that comes back without the rows of live
+// TestExpiredRowsKeptAfterStoreReturns simulates a store that recovers without the rows of live
 // backend servers.
 func TestExpiredRowsKeptAfterStoreReturns(t *testing.T) {
 	const returned = 10 * time.Second
--- a/process/edge/margin.go
+++ b/process/edge/margin.go
@@ -8,7 +8,7 @@
 const (
 	// killMargin is how long before Settings.KillAfter a stopping process exits.
 	killMargin = 500 * time.Millisecond
-	// maxLinger bounds how long a stopping process goes on accepting requests: clients cache
+	// maxLinger bounds how long a stopping process continues to accept requests: clients cache
 	// responses of the directory for directoryTTL.
 	maxLinger = 3200 * time.Millisecond
 	// lingerShare bounds that time by a share of the time until the process must exit.
@@ -23,7 +23,7 @@
 // grace returns the time after which a stopping process ends requests that are still in flight.
 func (s *Settings) grace() time.Duration { return s.KillAfter - killMargin }
 
-// linger returns how long a stopping process goes on accepting requests.
+// linger returns how long a stopping process continues to accept requests.
 func (s *Settings) linger() time.Duration {
 	return min(maxLinger, time.Duration(lingerShare*float64(s.grace())))
 }
--- a/process/edge/retry_test.go
+++ b/process/edge/retry_test.go
@@ -11,7 +11,7 @@
 	"shalewick/retry"
 )
 
-// TestFleetRetriesWithinBound simulates instances that learn their number late, each with random
+// TestFleetRetriesWithinBound simulates instances that learn late how many there are, each with random
 // requests, and checks for each span that the retries of all instances together are within the
 // ratio and the fixed number, of which each instance uses the shares in margin.go. The requests
 // counted are those in the span, or in the one half a span or a whole span earlier, whichever has
--- a/process/edge/settings.go
+++ b/process/edge/settings.go
@@ -46,7 +46,7 @@
 	// First is set at the first start of the whole system: other instances may not have
 	// registered yet.
 	First bool
-	// KillAfter is the time after which a process that was asked to stop is killed.
+	// KillAfter is the time after which a process that was signalled to stop is killed.
 	KillAfter time.Duration
 	// DrainWithin is the time after which a backend server that has left gets no requests.
 	DrainWithin time.Duration
--- a/process/edge/utilization.go
+++ b/process/edge/utilization.go
@@ -23,7 +23,7 @@
 	// utilizationGain is the weight of the latest measurement in the moving averages.
 	utilizationGain = 0.4
 	// minBusyTime is how long an instance stays busy at least, so that the callers that switch to
-	// other instances do not come back with the next response of the directory.
+	// other instances do not return after the next response of the directory.
 	minBusyTime = 5 * time.Second
 )
 
--- a/process/held/doc.go
+++ b/process/held/doc.go
@@ -9,7 +9,7 @@
 	body, whole, err := held.Read(lease, held.Bodies, r, length, maxBytes)
 
 A lease reserves bytes from the budget before they are read and releases them after they
-were written. Data that does not fit is not read ahead: the rest of a body or of a response
+were written. Data that does not fit is not read ahead: the remainder of a body or of a response
 is streamed, so that the reading side applies back pressure to the sending side.
 
 # Fairness
--- a/process/held/read.go
+++ b/process/held/read.go
@@ -19,8 +19,8 @@
 )
 
 // Read reads up to maxBytes, or fewer if memory is short. Length is the expected number of bytes,
-// or -1 if unknown. Whole reports whether that was all; otherwise the rest is still to be read from
-// r.
+// or -1 if unknown. Whole reports whether that was all; otherwise the remainder is still to be read
+// from r.
 func Read(lease *Lease, kind Kind, r io.Reader, length, maxBytes int64) (data []byte, whole bool, err error) {
 	if length < 0 || length > maxBytes {
 		length = maxBytes
--- a/process/held/read_test.go
+++ b/process/held/read_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestReadStopsAtCapacity checks what is read, and that the rest can still be read.
+// TestReadStopsAtCapacity checks what is read, and that the remainder can still be read.
 func TestReadStopsAtCapacity(t *testing.T) {
 	const maxBytes = 1 << 20
 	for _, x := range []struct {
--- a/process/proxy/held_test.go
+++ b/process/proxy/held_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestMemoryFullIsRefusedImmediately checks that while other requests hold all memory, a caller is
-// told immediately that its request has not run and when to retry, and that it is served once the
+// TestMemoryFullIsRefusedImmediately checks that while other requests hold all memory, a caller
+// immediately gets the result that its request has not run, and when to retry, and that it is served once the
 // others have been cut off.
 func TestMemoryFullIsRefusedImmediately(t *testing.T) {
 	f := newFixture(t, 1)
--- a/process/proxy/limit_test.go
+++ b/process/proxy/limit_test.go
@@ -30,8 +30,8 @@
 }
 
 // TestRateLimitedServiceRefusesImmediatelyWithSpreadRetryAfter guards against requests that queue
-// for a service whose backend servers are all rate-limited, and against callers that are all told
-// to retry at the same moment.
+// for a service whose backend servers are all rate-limited, and against giving all callers
+// the same Retry-After time.
 func TestRateLimitedServiceRefusesImmediatelyWithSpreadRetryAfter(t *testing.T) {
 	f := newFixture(t, 2)
 	f.enableRateLimits()
--- a/process/proxy/suspend_test.go
+++ b/process/proxy/suspend_test.go
@@ -17,8 +17,8 @@
 
 // The tests in this file cover a machine that is suspended while requests are in flight. The
 // deadline of a request was once kept by a clock that stops during a suspension. After a suspension
-// of 5 s the proxy treated requests as 5 s younger than they were: it told backend servers that
-// seconds were left, and retried requests that their callers had given up. The tests advance only
+// of 5 s the proxy treated requests as 5 s younger than they were: it sent deadlines to backend
+// servers that were seconds too late, and retried requests that their callers had given up. The tests advance only
 // the clock that includes suspensions.
 
 // simulateSuspension makes the clock that includes suspensions adjustable.
@@ -32,7 +32,7 @@
 
 // TestRequestExpiredDuringSuspensionIsCancelled checks that a request whose deadline passed while
 // the machine was suspended is answered as soon as the suspension is detected, and that one with
-// time left goes on.
+// time left continues.
 func TestRequestExpiredDuringSuspensionIsCancelled(t *testing.T) {
 	f := newFixture(t, 1)
 	suspend := f.simulateSuspension()
--- a/process/quota/account.go
+++ b/process/quota/account.go
@@ -162,7 +162,7 @@
 // currentShare returns the share as of the last response, and no less than an equal share.
 func (a *account) currentShare() float64 { return max(a.share, a.equalShare) }
 
-// refund takes back the token of a request that has not run.
+// refund returns the token of a request that has not run.
 func (a *account) refund() {
 	if a.unreported >= 1 {
 		a.unreported--
--- a/process/quota/bucket.go
+++ b/process/quota/bucket.go
@@ -57,8 +57,8 @@
 // requesters that have not learned of the owner yet. A former owner refills at the rate that
 // the requesters still seen used before the handover, since the new owner grants the full
 // rate to the others: refilled at the full rate, the bucket admitted 1.08 of the tolerated
-// requests after a partition had healed. An instance that never was the owner may be about
-// to learn that it is, so it refills at the fallback rate: with none, 0.52 of the requests
+// requests after a partition had healed. An instance that never was the owner may be the
+// new owner without knowing it yet, so it refills at the fallback rate: with none, 0.52 of the requests
 // instead of 0.43 were refused in the 10 s after the death of an owner (12 of 75 instances
 // receive requests, demand 0.6 of the rate).
 func (b *bucket) nonOwnerRate(l limit, now time.Duration) float64 {
@@ -85,7 +85,7 @@
 }
 
 // currentDepth returns the bucket capacity. Tokens that instances hold are admitted on top
-// of a full bucket; they are ignored as far as is tolerated, and the rest reduces the
+// of a full bucket; they are ignored as far as is tolerated, and the excess reduces the
 // capacity. The burst also shrinks with the rate reserved for missing instances, since they
 // use their part of it: with the full burst, 1.09 of the tolerated requests were admitted.
 func (b *bucket) currentDepth(l limit, held, reserved float64, now time.Duration) float64 {
--- a/process/quota/doc.go
+++ b/process/quota/doc.go
@@ -26,8 +26,8 @@
 An instance whose owner does not respond continues with a fraction of its share, from a
 token bucket that starts nearly empty. Its share is the part of the workspace's rate that it
 used when the owner last responded. After a change of owner an instance stays within that
-fraction for a while, and an owner reserves the share of an instance that it no longer hears
-from. Two owners that can't reach each other therefore grant no more than one would. The
+fraction for a while, and an owner reserves the share of an instance that no longer
+reports. Two owners that can't reach each other therefore grant no more than one would. The
 bucket of a new owner starts nearly empty and stays small for one window, since the grants
 of the previous owner are unknown. Instances learn of a change of owner at different times,
 so some request tokens from an instance that is not the owner. If that was the owner before,
@@ -58,8 +58,8 @@
 	  owners, reserveFraction 0.8             1.03    0.99   0.87   0.31     3.4 s
 
 The last one is in use. "Buckets" are those of instances without an owner, and "missing
-after" is the time after which an owner reserves the share of an instance that it does not
-hear from.
+after" is the time after which an owner reserves the share of an instance that does not
+report.
 
 Values above 1, such as the 1.03, occurred in floods whose partition healed during the flood,
 and had two causes that are now fixed. Instances granted tokens without being the owner: of
--- a/process/rollout/analysis.go
+++ b/process/rollout/analysis.go
@@ -212,7 +212,7 @@
 type cusum float64
 
 // maxBadRate limits the rate assumed for a bad target. A good target with a higher rate can't be
-// told from a bad one.
+// distinguished from a bad one.
 const maxBadRate = 0.97
 
 // add adds n responses of which k are bad, where a good target has a rate of p and a bad one a rate
--- a/process/rollout/model_node_test.go
+++ b/process/rollout/model_node_test.go
@@ -115,7 +115,7 @@
 	})
 }
 
-// announce tells the node at an address who this one is.
+// announce announces this node to the one at an address.
 func (x *node) announce(address string) {
 	f := x.f
 	f.sentBytes[x.name] += announcementBytes + datagramHeaderBytes
--- a/process/rollout/owner.go
+++ b/process/rollout/owner.go
@@ -294,7 +294,7 @@
 	return float64(requests) >= minRouteFraction*float64(all.target.Requests+all.base.Requests)
 }
 
-// broadcast returns messages that tell all instances that the target is halted.
+// broadcast returns messages that notify all instances that the target is halted.
 func (r *Controller) broadcast(s *service, now time.Duration) (out []message) {
 	payload := r.newReply(s, 0, now).encode()
 	for _, address := range r.live {
@@ -306,7 +306,7 @@
 }
 
 // notifyNonReporting returns messages to the instances that have not reported lately during a
-// promotion. They have nothing to report and so don't learn of the promotion from a reply.
+// promotion. They have nothing to report and so get no reply that would contain the promotion.
 func (r *Controller) notifyNonReporting(s *service, now time.Duration) (out []message) {
 	o := &s.ownerState
 	if o.halted || s.gate.phase != Promote || now-o.notifiedAt < reportInterval {
--- a/process/rollout/policy.go
+++ b/process/rollout/policy.go
@@ -158,7 +158,7 @@
 
 // Steps.
 const (
-	// promotionFraction is the fraction of the time that the rest of the share lasts which a
+	// promotionFraction is the fraction of the time for which the unused share lasts that a
 	// promotion takes before the deadline. The remainder is for a higher request rate than before.
 	promotionFraction = 0.95
 	// revertMargin is how long before the deadline a rollout without enough evidence is reverted.
--- a/process/rollout/rollout.go
+++ b/process/rollout/rollout.go
@@ -102,8 +102,8 @@
 	InFlight func(service string) int
 	// Send sends a message to an address. Messages may be lost.
 	Send func(address string, message []byte)
-	// Announce, if set, tells the instance at an address who this one is and whether it is cut off
-	// from the store. It is called when the two don't agree on the owner.
+	// Announce, if set, announces this instance, and whether it is cut off from the store, to the
+	// instance at an address. It is called when the two don't agree on the owner.
 	Announce func(address string)
 	// Log, if set, receives the events. It must not call the Controller.
 	Log func(e Event)
@@ -144,8 +144,8 @@
 	// ownerSince is when this instance became the owner, if it is. announcedAt is when it last
 	// announced itself to instances that have not reported to it.
 	ownerSince, announcedAt time.Duration
-	// lostOwnership is set when another instance has become the owner, until those that reported to
-	// this one have been told.
+	// lostOwnership is set when another instance has become the owner, until this one has announced itself to
+	// those that reported to it.
 	lostOwnership bool
 	// inFlightToPrevious is the number of attempts at the previous version that have not ended.
 	inFlightToPrevious int
--- a/process/rollout/stall_test.go
+++ b/process/rollout/stall_test.go
@@ -54,7 +54,7 @@
 }
 
 // How many runs each kind gets. A part of the good targets may be reverted (maxWrong), which takes
-// more runs to tell from chance.
+// more runs to distinguish from chance.
 const (
 	stalledGoodSeeds = 30
 	stalledBadSeeds  = 5
--- a/process/rollout/wire.go
+++ b/process/rollout/wire.go
@@ -49,7 +49,7 @@
 	incarnation int64
 	seq         byte
 	phase       Phase
-	// halted: this instance has halted the target, on its own or because it was told to.
+	// halted: this instance has halted the target, on its own or at the owner's request.
 	halted bool
 	// drained: nothing is in flight at the previous version, and nothing will go there for
 	// drainPromiseTime.
--- a/process/state/doc.go
+++ b/process/state/doc.go
@@ -21,7 +21,7 @@
 A Follower keeps the tables of one process up to date. Few instances (relays) query
 the store; the others query instances closer to it, two at a time. An instance
 whose tables no source has confirmed for a while queries the store itself, so that
-it depends on no other instance, and an instance that the store does not answer
+it depends on no other instance, and an instance to which the store does not respond
 gets the tables from the others. At its start an instance waits a bounded time for
 others, so that few query the store even if all start at once. A table that the
 instance does not subscribe to at present causes no calls (Follower.Subscribed).
--- a/process/state/epoch_test.go
+++ b/process/state/epoch_test.go
@@ -90,7 +90,7 @@
 			tables[i] = NewRetainingTable(retention)
 		}
 		now := time.Hour
-		// Each value is the serial number of its write, which tells older from newer ones.
+		// Each value is the serial number of its write, which distinguishes older from newer ones.
 		serial := 0
 		lost := make(map[string]string)
 		revertedAt := time.Duration(0)
--- a/process/state/follower.go
+++ b/process/state/follower.go
@@ -127,7 +127,7 @@
 	// not queried for it, and it counts neither as unknown nor as stale; rows that others send are
 	// applied all the same. Nil: all tables are, always.
 	Subscribed func(table string) bool
-	// Excluded, if set, reports whether others are asked to leave out a table that is not needed.
+	// Excluded, if set, reports whether queries to others exclude a table, since it is not needed.
 	Excluded func(table string) bool
 	// Instances, if set, returns the number of instances, as far as it is known.
 	Instances func() int
@@ -204,7 +204,7 @@
 // stale.
 func (f *Follower) followStore(ctx context.Context, name string, t *Table) {
 	failures := 0
-	lastFailure := time.Duration(0) // when a query last lastFailure; zero: never
+	lastFailure := time.Duration(0) // when a query last failed; zero: never
 	behind := false                 // the last response was at a version below the known one
 	var delay batchDelay
 	for ctx.Err() == nil {
--- a/version/decide.go
+++ b/version/decide.go
@@ -15,7 +15,7 @@
 	// Cost is the expected response time in nanoseconds, by backend server. Zero
 	// means unknown.
 	Cost []atomic.Int64
-	// Closed tells, by backend server, whether it accepts no requests at present.
+	// Closed says, by backend server, whether it accepts no requests at present.
 	Closed []atomic.Bool
 }
 
--- a/version/host.go
+++ b/version/host.go
@@ -15,7 +15,7 @@
 	routes    []*RouteView // ordered by name
 	byPrefix  map[string]*RouteView
 	maxPrefix int // length of the longest prefix in bytes
-	// homeRegions tells by region whether all routes that have homes may be served
+	// homeRegions says, by region, whether all routes that have homes may be served
 	// there. Nil if no route has homes.
 	homeRegions []bool
 }
@@ -69,7 +69,7 @@
 	return h.find(path)
 }
 
-// HostHomes tells by region whether all routes of a host that have homes may be
+// HostHomes returns, by region, whether all routes of a host that have homes may be
 // served there; nil if no route of the host has homes. The result must not be modified.
 func (r *Routing) HostHomes(host string) []bool {
 	h := r.hosts[host]
--- a/version/routing.go
+++ b/version/routing.go
@@ -36,7 +36,7 @@
 	Name string
 	// Parts are the services of the split, in the order of Route.Split.
 	Parts []RoutePart
-	// Home tells by region whether it may serve. Nil if all may.
+	// Home says, by region, whether it may serve. Nil if all may.
 	Home []bool
 }
 
--- a/version/weight.go
+++ b/version/weight.go
@@ -8,7 +8,7 @@
 
 // regionShares divides the requests of each region (first index) among the regions
 // that serve them (second index). Regions are assumed to send equally many requests.
-// A region serves its own requests up to its share of the total capacity; the rest
+// A region serves its own requests up to its share of the total capacity; the remainder
 // goes to the regions with spare capacity, in proportion to it. All backend servers
 // are then equally utilized, with as few requests as possible leaving their region.
 func regionShares(capacity []float64) [][]float64 {
--- a/version/workspace.go
+++ b/version/workspace.go
@@ -104,7 +104,7 @@
 	Name        string
 	Priority    int
 	Rate, Burst float64
-	// Home tells by region whether it may serve. Nil if all may.
+	// Home says, by region, whether it may serve. Nil if all may.
 	Home []bool
 	// homeSetID is the same for all workspaces with equal Home.
 	homeSetID int
@@ -146,7 +146,7 @@
 	return slices.EqualFunc(w.sources, list, func(s *Workspace, r Resource) bool { return s == r.Workspace })
 }
 
-// homeRegions tells by region whether it is among the homes. It returns nil if there are
+// homeRegions returns, by region, whether it is among the homes. It returns nil if there are
 // no homes.
 func homeRegions(homes, regions []string) []bool {
 	if len(homes) == 0 {
