--- a/process/edge/discovery_test.go
+++ b/process/edge/discovery_test.go
@@ -82,7 +82,7 @@
 		e, s := newStartingInstance(t, x.fleet)
 		assert.NilError(t, e.readInstanceRows(context.Background()))
 		assert.Assert(t, s.rowsRead <= x.rows && s.calls == x.calls, "%d instances: %d rows in %d calls", x.fleet, s.rowsRead, s.calls)
-		assert.Equal(t, e.wantsTable("instances"), x.follows)
+		assert.Equal(t, e.subscribesTo("instances"), x.follows)
 		assert.Assert(t, e.heartbeats.Sent() <= cluster.MaxSmallFleet, "%d instances: %d datagrams", x.fleet, e.heartbeats.Sent())
 		if x.fleet <= smallFleet {
 			assert.Equal(t, len(e.members.NotLeaving()), x.fleet)
--- a/process/edge/edge.go
+++ b/process/edge/edge.go
@@ -155,11 +155,11 @@
 func (e *Edge) build() {
 	e.peers = cluster.NewPeers(e.members, conn.NewDialer(dialTimeout, peerAckTimeout).DialContext)
 	e.follower = &state.Follower{
-		Store: e.deployment.Store, Peers: e.peers, Log: e.log, Now: e.now, Subscribed: e.wantsTable, Instances: e.members.Count,
+		Store: e.deployment.Store, Peers: e.peers, Log: e.log, Now: e.now, Subscribed: e.subscribesTo, Instances: e.members.Count,
 		Excluded: func(table string) bool { return table == e.deployment.BackendTable && e.isSpare() },
 		Tables: map[string]*state.Table{
-			e.deployment.OperatorTable: state.NewRetainingTable(state.Retention{Missing: holdOperatorRows, Reverted: holdOperatorRows}),
-			e.deployment.BackendTable:  state.NewRetainingTable(state.Retention{Missing: keepExpired(e.settings.DrainWithin), Reverted: holdBackendRows}),
+			e.deployment.OperatorTable: state.NewRetainingTable(state.Retention{Missing: operatorRowRetention, Reverted: operatorRowRetention}),
+			e.deployment.BackendTable:  state.NewRetainingTable(state.Retention{Missing: keepExpired(e.settings.DrainWithin), Reverted: backendRowRetention}),
 			e.deployment.RecordTable:   state.NewRetainingTable(state.Retention{}),
 			e.deployment.InstanceTable: state.NewTable(),
 		},
--- a/process/edge/epoch.go
+++ b/process/edge/epoch.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// holdOperatorRows is how long rows of the operator that a restored store has lost, or has in
+	// operatorRowRetention is how long rows of the operator that a restored store has lost, or has in
 	// an older version, are kept unless they are written again.
-	holdOperatorRows = 10 * time.Second
-	// holdBackendRows is the same for rows of backend servers that a restored store has in an older
+	operatorRowRetention = 10 * time.Second
+	// backendRowRetention is the same for rows of backend servers that a restored store has in an older
 	// version: the row of a backend server that is down expires in the store before that.
-	holdBackendRows = 10 * time.Second
+	backendRowRetention = 10 * time.Second
 	// watchEpochInterval is the pause between two checks of the store's epoch.
 	watchEpochInterval = 250 * time.Millisecond
 	// maxSnapshotAge bounds the age of the copy that a store is restored from: what the store
--- a/process/edge/quarantine.go
+++ b/process/edge/quarantine.go
@@ -214,7 +214,7 @@
 	Crashes     int       `json:"crashes"`
 	At          time.Time `json:"at"`
 	Quarantined bool      `json:"quarantined"`
-	// Refused is false for a request that operators let through.
+	// Refused is false for a request that operators have released.
 	Refused bool `json:"refused"`
 }
 
--- a/process/edge/rollout.go
+++ b/process/edge/rollout.go
@@ -82,10 +82,10 @@
 	return out
 }
 
-// wantsTable reports whether a table has to be followed: the records of rollouts only while a
+// subscribesTo reports whether a table has to be followed: the records of rollouts only while a
 // rollout that was ordered or is known has not ended, the instances only in a large fleet, and the
 // backend servers only if this instance is not spare.
-func (e *Edge) wantsTable(name string) bool {
+func (e *Edge) subscribesTo(name string) bool {
 	switch name {
 	case e.deployment.RecordTable:
 		return e.rolloutState.followRecords.Load() || e.recordsOutdated()
--- a/process/edge/spare_test.go
+++ b/process/edge/spare_test.go
@@ -61,8 +61,8 @@
 	}{{30, false, false}, {30, true, false}, {100, false, false}, {330, false, true}, {330, true, false}, {985, false, true}} {
 		e, _ := newFleetMember(t, x.instances, x.large)
 		assert.Equal(t, e.isSpare(), x.want, "%d instances, large %t", x.instances, x.large)
-		assert.Equal(t, e.wantsTable("backends"), !x.want)
-		assert.Assert(t, e.wantsTable("operator"))
+		assert.Equal(t, e.subscribesTo("backends"), !x.want)
+		assert.Assert(t, e.subscribesTo("operator"))
 	}
 }
 
--- a/process/proxy/held_test.go
+++ b/process/proxy/held_test.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestMemoryFullIsRefusedImmediately checks that while other requests hold all memory, a caller
-// immediately gets the result that its request has not run, and when to retry, and that it is served once the
-// others have been cut off.
+// TestMemoryFullIsRefusedImmediately checks that while other requests hold all memory, a request is
+// refused immediately as not run, with a Retry-After time, and that it is served once the others have
+// been cut off.
 func TestMemoryFullIsRefusedImmediately(t *testing.T) {
 	f := newFixture(t, 1)
 	f.backends[0].Size = largeBodySize
