--- a/process/balance/departure.go
+++ b/process/balance/departure.go
@@ -12,7 +12,7 @@
 // leavingGossipTTL is how long gossip that a backend server is leaving counts after it was last
 // received. Instances that the server itself notified repeat it with each heartbeat, to some instances
 // of a region of 100; within 20 heartbeats it reaches any one with probability 0.99. After it
-// expires, one request finds out anew.
+// expires, the next request that is sent there finds out again.
 const leavingGossipTTL = 10 * time.Second
 
 // departure records the notice that one incarnation of a backend server is leaving. The zero value
--- a/process/balance/doc.go
+++ b/process/balance/doc.go
@@ -45,8 +45,8 @@
 
 A backend server announces in its responses that it is leaving, or for how long it wants
 no requests (notice.go). A notice holds for the present incarnation and all requests of
-this instance, whatever the row says: the backend server gets nothing more, or only
-requests that no other can accept (departure.go, backoff.go).
+this instance, whatever the row says: the backend server gets no more requests, or only
+those that no other can accept (departure.go, backoff.go).
 
 # Gossip
 
--- a/process/balance/notice.go
+++ b/process/balance/notice.go
@@ -85,7 +85,7 @@
 
 // Allowed reports whether the backend server may still get the request. It is checked right before
 // the first byte is sent: since the choice the process may have been stalled, or opening a
-// connection may have taken long, and another response may have brought a notice.
+// connection may have taken long, and another response may have contained a notice.
 func (p *Pick) Allowed() bool {
 	t := p.table
 	t.mu.Lock()
--- a/process/balance/share_test.go
+++ b/process/balance/share_test.go
@@ -65,7 +65,7 @@
 	assert.DeepEqual(t, firstChoices(), before)
 }
 
-// TestInstallDoesNotSpeedUpShareSteps checks that installing a version does not bring the next
+// TestInstallDoesNotSpeedUpShareSteps checks that installing a version does not advance the next
 // step of the shares forward.
 func TestInstallDoesNotSpeedUpShareSteps(t *testing.T) {
 	p := newFixture(1)
--- a/process/edge/discovery.go
+++ b/process/edge/discovery.go
@@ -33,7 +33,7 @@
 // register writes this instance's row and reads those of the others, and reads them again at
 // intervals. At the first start of the whole system it writes first, so that of two instances that
 // start at the same time at least one finds the other. Otherwise the rows of the others are
-// present, and reading them first brings the tables sooner.
+// present, and reading them first provides the tables sooner.
 func (e *Edge) register(ctx context.Context) {
 	written, read := false, false
 	pause := minRetryPause
--- a/process/edge/edge.go
+++ b/process/edge/edge.go
@@ -142,7 +142,7 @@
 	return e, nil
 }
 
-// now is the clock for everything that expires or is judged by its age: tables, leases, quotas,
+// now is the clock for everything that expires or is evaluated by its age: tables, leases, quotas,
 // liveness of instances, cold or suspended backend servers. Time in which the machine was suspended
 // counts, so that all of it has aged accordingly afterwards.
 func (e *Edge) now() time.Duration { return e.uptime() + time.Hour }
--- a/process/edge/expired.go
+++ b/process/edge/expired.go
@@ -36,7 +36,7 @@
 
 // merge returns the present rows and those that are kept, ordered by key. Returned is when the
 // store last recovered from an outage, zero if there was none. Again is when merge has to be called
-// once more, zero if no row is kept.
+// again, zero if no row is kept.
 func (l *expiredRows) merge(present []state.Row, returned, now time.Duration) (all []state.Row, again time.Duration) {
 	all = present
 	l.until = returned + l.keepFor
--- a/process/edge/quarantine.go
+++ b/process/edge/quarantine.go
@@ -112,7 +112,7 @@
 const syncSources = 2
 
 // pollUntilSynced calls fetch until the list is known or the context ends. Fetch reports whether a
-// request was made and failed, which doubles the pause; it is false if there was no one to send it
+// request was made and failed, which doubles the pause; it is false if there was no instance to send it
 // to.
 func (e *Edge) pollUntilSynced(ctx context.Context, fetch func(context.Context) bool) {
 	pause := minListPause
--- a/process/held/budget_test.go
+++ b/process/held/budget_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestResponsesLeaveCapacityForRequests guards against refusals with MEMORY_FULL while nobody has
+// TestResponsesLeaveCapacityForRequests guards against refusals with MEMORY_FULL while no owner has
 // stalled for long enough to be cut off. In the first second of 2,000 slow callers, fast callers
 // were refused because the responses of other fast callers, of 1 MB each, had taken all free
 // memory.
--- a/process/proxy/proxy.go
+++ b/process/proxy/proxy.go
@@ -246,7 +246,7 @@
 	restUsed bool      // an attempt has started to read rest
 }
 
-// replayable reports whether the body can be sent once more.
+// replayable reports whether the body can be sent again.
 func (b *body) replayable() bool { return b.rest == nil || !b.restUsed }
 
 // reader returns the body for one attempt.
--- a/process/quarantine/policy.go
+++ b/process/quarantine/policy.go
@@ -29,7 +29,7 @@
 	// other instances, which arrive within a round trip of each other.
 	settleTime = 100 * time.Millisecond
 	// RetryAfter is the delay suggested to the callers of a request in quarantine. Only an
-	// operator lets it through, which takes minutes.
+	// operator can release it, which takes minutes.
 	RetryAfter = time.Minute
 )
 
--- a/process/quarantine/quarantine.go
+++ b/process/quarantine/quarantine.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// Refuses reports whether a request is in quarantine and not let through by operators.
+// Refuses reports whether a request is in quarantine and has not been released by operators.
 func (q *Quarantine) Refuses(f request.Fingerprint) bool {
 	m := q.refused.Load()
 	return m != nil && (*m)[f]
@@ -120,7 +120,7 @@
 			e := q.list.entries[x.Request]
 			e.Request, e.Service, e.Path, e.Crashes = x.Request, service, x.Path, x.crashes
 			e.At = q.TimeOfDay().UnixMilli()
-			e.Stamp += 1 + e.Stamp%2 // odd; a request in quarantine gets a new verdict only after it was let through
+			e.Stamp += 1 + e.Stamp%2 // odd; a request in quarantine gets a new verdict only after it was released
 			out = append(out, q.announce(e, now-x.firstCrash)...)
 		}
 	}
--- a/process/quota/account.go
+++ b/process/quota/account.go
@@ -122,7 +122,7 @@
 }
 
 // awaitResponse returns a channel that is closed on the owner's next response, or nil if
-// that can't be expected to bring a token: none was requested, the owner does not respond,
+// that can't be expected to grant a token: none was requested, the owner does not respond,
 // or its bucket was just empty.
 func (a *account) awaitResponse(now time.Duration) <-chan struct{} {
 	if a.pending == nil || a.inFallback() || now < a.exhaustedUntil {
--- a/process/quota/bucket.go
+++ b/process/quota/bucket.go
@@ -58,9 +58,9 @@
 // the requesters still seen used before the handover, since the new owner grants the full
 // rate to the others: refilled at the full rate, the bucket admitted 1.08 of the tolerated
 // requests after a partition had healed. An instance that never was the owner may be the
-// new owner without knowing it yet, so it refills at the fallback rate: with none, 0.52 of the requests
-// instead of 0.43 were refused in the 10 s after the death of an owner (12 of 75 instances
-// receive requests, demand 0.6 of the rate).
+// new owner without knowing it yet, so it refills at the fallback rate: with none, 0.52 of
+// the requests instead of 0.43 were refused in the 10 s after the failure of an owner (12 of
+// 75 instances receive requests, demand 0.6 of the rate).
 func (b *bucket) nonOwnerRate(l limit, now time.Duration) float64 {
 	if !b.handedOver {
 		return l.fallback * l.rate
--- a/process/quota/doc.go
+++ b/process/quota/doc.go
@@ -40,7 +40,7 @@
 
 The table compares alternatives in the simulation (TestFloodDuringPartition with
 -every-flood): a workspace sends 12 or 20 times its usual demand, and 0.2 to 0.5 of the
-instances are partitioned, in some cases with kills, freezes or the death of an owner.
+instances are partitioned, in some cases with kills, freezes or the failure of an owner.
 "max" is the maximum number of requests admitted within a window, relative to the tolerated
 number; "kills" the same for four of the cases with kills, 24 runs each. The other columns
 are for 12 of 75 instances that receive requests, 0.4 of them partitioned for 6 s: "all" is
--- a/process/quota/limit_test.go
+++ b/process/quota/limit_test.go
@@ -73,7 +73,7 @@
 }
 
 // TestFloodDuringFailures checks a workspace that begins to send many times its limit while
-// instances die, are partitioned or all restart: the accumulated tokens are spent, and for a
+// instances crash, are partitioned or all restart: the accumulated tokens are spent, and for a
 // second or two instances disagree about the owner.
 func TestFloodDuringFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -108,7 +108,7 @@
 		m.playStep(t, step)
 		m.run(time.Duration(rapid.IntRange(200, 4000).Draw(t, "ms")) * time.Millisecond)
 		for _, x := range m.nodes {
-			if x.dead && m.random.IntN(2) == 0 {
+			if x.down && m.random.IntN(2) == 0 {
 				x.restart(newLeasedTokens)
 			}
 			if healAt != 0 && m.now >= healAt {
@@ -138,10 +138,10 @@
 		}
 		m.partitionChangedAt = m.now
 	case "kill":
-		m.nodes[m.random.IntN(size)].die()
+		m.nodes[m.random.IntN(size)].crash()
 	case "killAll":
 		for _, x := range m.nodes {
-			x.die()
+			x.crash()
 		}
 		m.run(600 * time.Millisecond)
 		for _, x := range m.nodes {
@@ -192,7 +192,7 @@
 func (f *flowProportional) tick() {
 	sum := 0.0
 	for _, o := range f.x.m.nodes {
-		if peer, ok := o.strategy.(*flowProportional); ok && !o.dead && o.group == f.x.group {
+		if peer, ok := o.strategy.(*flowProportional); ok && !o.down && o.group == f.x.group {
 			sum += peer.announced
 		}
 	}
--- a/process/quota/model_test.go
+++ b/process/quota/model_test.go
@@ -55,9 +55,9 @@
 	m            *model
 	index        int
 	strategy     strategy
-	dead         bool
+	down         bool
 	frozen       bool
-	stoppedAt    time.Duration // when it died or was frozen
+	stoppedAt    time.Duration // when it crashed or was frozen
 	group        int           // instances of different groups do not reach each other
 	startedAt    time.Duration
 	unresponsive []bool        // instances that this one considers unresponsive, by index
@@ -166,11 +166,11 @@
 	if x.unresponsive[o.index] {
 		return false
 	}
-	if o.group == x.group && !o.dead && !o.frozen || x.index%regions != o.index%regions {
+	if o.group == x.group && !o.down && !o.frozen || x.index%regions != o.index%regions {
 		return true
 	}
 	since := x.startedAt
-	if o.dead || o.frozen {
+	if o.down || o.frozen {
 		since = max(since, o.stoppedAt)
 	} else {
 		since = max(since, x.m.partitionChangedAt)
@@ -254,7 +254,7 @@
 	for end := m.now + d; m.now < end; m.now += modelStep {
 		m.deliver()
 		for _, x := range m.nodes {
-			if x.dead || x.frozen {
+			if x.down || x.frozen {
 				continue
 			}
 			x.arrive()
@@ -272,7 +272,7 @@
 	for _, d := range arrived {
 		to := m.nodes[d.to]
 		l, ok := to.strategy.(leasedTokens)
-		if d.at <= m.now && ok && !to.dead && !to.frozen && to.group == m.nodes[d.from].group {
+		if d.at <= m.now && ok && !to.down && !to.frozen && to.group == m.nodes[d.from].group {
 			l.Receive(nodeNames[d.from], d.payload)
 		}
 	}
@@ -310,7 +310,7 @@
 
 // restart restarts an instance, without its state.
 func (x *node) restart(newStrategy func(*node) strategy) {
-	x.dead = false
+	x.down = false
 	x.startedAt = x.m.now
 	clear(x.unresponsive)
 	x.strategy = newStrategy(x)
@@ -319,9 +319,9 @@
 	}
 }
 
-// die stops an instance.
-func (x *node) die() {
-	x.dead = true
+// crash stops an instance.
+func (x *node) crash() {
+	x.down = true
 	x.stoppedAt = x.m.now
 }
 
--- a/process/quota/partition_test.go
+++ b/process/quota/partition_test.go
@@ -122,12 +122,12 @@
 	switch c.failure {
 	case "owner dies":
 		return []event{
-			{partitionAt + 300*time.Millisecond, func() { m.owner().die() }},
+			{partitionAt + 300*time.Millisecond, func() { m.owner().crash() }},
 			{partitionAt + 3*time.Second, func() { m.owner().restart(newLeasedTokens) }},
 		}
 	case "mass kill":
 		return []event{
-			{partitionAt + 500*time.Millisecond, func() { m.forSome(0.4, (*node).die) }},
+			{partitionAt + 500*time.Millisecond, func() { m.forSome(0.4, (*node).crash) }},
 			{partitionAt + 2*time.Second, func() { m.resumeAll(newLeasedTokens) }},
 		}
 	case "freeze":
@@ -148,11 +148,11 @@
 	}
 }
 
-// resumeAll restarts the instances that died, and resumes those that were frozen.
+// resumeAll restarts the instances that crashed, and resumes those that were frozen.
 func (m *model) resumeAll(newStrategy func(*node) strategy) {
 	for _, x := range m.nodes {
 		x.frozen = false
-		if x.dead {
+		if x.down {
 			x.restart(newStrategy)
 		}
 	}
--- a/process/quota/quota.go
+++ b/process/quota/quota.go
@@ -151,7 +151,7 @@
 func hashOf(workspace string) uint64 { return xxhash.Sum64String(workspace) }
 
 // Take admits a request of a workspace, or returns why it is refused. If a pending token
-// request may bring a token, it waits for the response for up to maxWait. A nil workspace
+// request may yield a token, it waits for the response for up to maxWait. A nil workspace
 // has no limit.
 func (q *Quota) Take(ctx context.Context, w *version.WorkspaceView) (ok bool, refusal Refusal) {
 	if w == nil || w.Rate == 0 {
--- a/process/ratelimit/fleet_test.go
+++ b/process/ratelimit/fleet_test.go
@@ -73,7 +73,7 @@
 				each := rapid.IntRange(1, 4).Draw(r, "each")
 				var separated []*node
 				for _, o := range m.nodes {
-					if (o.index+n.index)%(each*each) == 0 && !o.dead && o.group == 0 {
+					if (o.index+n.index)%(each*each) == 0 && !o.down && o.group == 0 {
 						separated = append(separated, o)
 					}
 				}
--- a/process/ratelimit/limiter.go
+++ b/process/ratelimit/limiter.go
@@ -13,7 +13,7 @@
 const (
 	// TickInterval is the time between two calls of Tick.
 	TickInterval = 250 * time.Millisecond
-	// resendAfter is how long after a permit request it is sent once more, longer than a round
+	// resendAfter is how long after a permit request it is sent again, longer than a round
 	// trip to another region. responseTimeout is how long a request waits for the response.
 	resendAfter     = 80 * time.Millisecond
 	responseTimeout = 160 * time.Millisecond
--- a/process/ratelimit/model_test.go
+++ b/process/ratelimit/model_test.go
@@ -35,7 +35,7 @@
 	name      string
 	hash      uint64 // determines the owner
 	region    string
-	dead      bool
+	down      bool
 	group     int             // instances of different groups can't reach each other
 	changed   time.Duration   // when it crashed or started, or its group changed
 	limitedAt time.Duration   // when the backend server first named a limit to it; zero: never
@@ -143,7 +143,7 @@
 	switch {
 	case o == n:
 		return true
-	case o.dead:
+	case o.down:
 		return since < downDetection
 	case o.group != n.group:
 		return n.m.now-max(o.changed, n.changed) < downDetection
@@ -208,7 +208,7 @@
 	if text[0] == kindRequest {
 		m.requests++
 	}
-	if n.dead || m.random.Float64() < m.loss {
+	if n.down || m.random.Float64() < m.loss {
 		return
 	}
 	delay := nearDelay
@@ -216,7 +216,7 @@
 		delay = farDelay
 	}
 	m.after(delay, func() {
-		if !o.dead && o.group == n.group {
+		if !o.down && o.group == n.group {
 			o.Receive(n.name, text)
 		}
 	})
@@ -241,14 +241,14 @@
 // heartbeat gossips the limit to some others, as observations do.
 func (n *node) heartbeat() {
 	m := n.m
-	if n.dead {
+	if n.down {
 		return
 	}
 	n.Tick()
 	if at, ok := n.LastLimited(modelStart); ok {
 		for range gossipFanout {
 			o := m.nodes[m.random.IntN(len(m.nodes))]
-			if o != n && !o.dead && o.group == n.group && m.random.Float64() >= m.loss {
+			if o != n && !o.down && o.group == n.group && m.random.Float64() >= m.loss {
 				o.ApplyLimited(modelBackend, at)
 			}
 		}
@@ -261,7 +261,7 @@
 // arrive simulates the arrival of a request for the backend server.
 func (n *node) arrive() {
 	m := n.m
-	if n.dead {
+	if n.down {
 		return
 	}
 	m.after(m.interArrival(), n.arrive)
@@ -304,7 +304,7 @@
 // finish sends a request that got a permit, which is answered after a while.
 func (n *node) finish(granted bool) {
 	m := n.m
-	if !granted || n.dead {
+	if !granted || n.down {
 		n.denied = append(n.denied, m.now)
 		return
 	}
@@ -319,7 +319,7 @@
 		m.after(work, func() {
 			limit := m.limitAt(m.now)
 			m.after(delay, func() {
-				if n.dead {
+				if n.down {
 					return
 				}
 				if limit > 0 && n.limitedAt == 0 {
@@ -333,7 +333,7 @@
 
 // kill crashes an instance.
 func (m *model) kill(n *node) {
-	n.dead, n.changed = true, m.now
+	n.down, n.changed = true, m.now
 	m.changes++
 }
 
--- a/process/rollout/compare_test.go
+++ b/process/rollout/compare_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// sample is a response as a detector sees it.
+// sample is a response as a detector receives it.
 type sample struct {
 	failed  bool
 	timed   bool
--- a/process/rollout/versions.go
+++ b/process/rollout/versions.go
@@ -45,7 +45,7 @@
 
 // previousVersion returns the version in force for an order that has no record yet. That is the
 // ordered version itself if it was in force and is the oldest: the other versions are then on
-// standby and nobody has ordered them.
+// standby and no order names them.
 func previousVersion(target string, running []RunningVersion, current string) string {
 	if current != "" && current != target {
 		return current
--- a/process/rollout/versions_test.go
+++ b/process/rollout/versions_test.go
@@ -64,7 +64,7 @@
 }
 
 // TestOnlyOrderedVersionsAreSelected draws sequences of what an instance may know, and checks that
-// a standby version which nobody ordered is never selected. It skips one ambiguous case: an
+// a standby version that no order names is never selected. It skips one ambiguous case: an
 // instance that starts after an order for the version in force, but before the order's record is
 // written. The instance then takes the other version to be in force, since an order is usually for
 // a version that is not in force yet.
--- a/process/state/hold.go
+++ b/process/state/hold.go
@@ -91,7 +91,7 @@
 }
 
 // findReverted records which rows of the current epoch are in an older state, and adds those of the
-// previous epoch that differ to the history: the store may be restored from a copy once more. The
+// previous epoch that differ to the history: the store may be restored from a copy again. The
 // caller holds the lock.
 func (t *Table) findReverted(now time.Duration) {
 	if t.retained == nil {
--- a/process/state/start_test.go
+++ b/process/state/start_test.go
@@ -15,7 +15,7 @@
 )
 
 // TestStartWaitsForPeersBeforeQueryingStore checks that an instance that gets the tables from others soon
-// after its start does not call the store, and that one that gets them from nobody queries the store
+// after its start does not call the store, and that one that gets them from no one else queries the store
 // within a bounded time.
 func TestStartWaitsForPeersBeforeQueryingStore(t *testing.T) {
 	f, store, _ := startFollower(t)
@@ -114,7 +114,7 @@
 }
 
 // TestHeadDoesNotWaitForUnresponsiveRelay checks that a head queries the store itself soon after its start
-// if nobody responds to it.
+// if no other instance responds to it.
 func TestHeadDoesNotWaitForUnresponsiveRelay(t *testing.T) {
 	f, store, _ := startFollower(t, func(s *fakeSource) { s.unresponsive, s.head = true, true })
 	waitForVersion(t, f, 1, 4*minHeadWait)
