--- a/process/balance/backoff.go
+++ b/process/balance/backoff.go
@@ -28,7 +28,7 @@
 // zero value is no backoff.
 type backoff struct {
 	until time.Duration // as requested by a response to this instance (Retry-After)
-	// unconfirmed is set from that answer until the backend server has accepted a request.
+	// unconfirmed is set from that response until the backend server has accepted a request.
 	// lastTrial is when the last request was sent to test it.
 	unconfirmed bool
 	lastTrial   time.Duration
--- a/process/balance/estimate.go
+++ b/process/balance/estimate.go
@@ -43,7 +43,7 @@
 }
 
 // typicalWork is the typical processing time of a request on an object that was seen, without
-// queueing. Before its first answer a backend server is assumed to be like the others of its
+// queueing. Before its first response a backend server is assumed to be like the others of its
 // service.
 func (u *backend) typicalWork() time.Duration {
 	if u.work != 0 {
--- a/process/balance/observe.go
+++ b/process/balance/observe.go
@@ -16,7 +16,7 @@
 // one request a minute to each backend server, so that most of what it knows of them comes from
 // other instances.
 const (
-	// observationTTL is how long an observation is passed on. It reaches a region of 100 in about
+	// observationTTL is how long an observation is gossiped. It reaches a region of 100 in about
 	// 1.5 s.
 	observationTTL = 3 * time.Second
 	// observationUnit is the unit of the age of an observation.
--- a/process/balance/outcome.go
+++ b/process/balance/outcome.go
@@ -112,9 +112,9 @@
 	}
 }
 
-// recordBackoffResponse records a response that requested a backoff. Neither its load report nor its
-// duration is used: a backend server that rejects everything is idle and quick, and would attract
-// more requests than any other (0.47 of all instead of 0.27 when six of twenty did so).
+// recordBackoffResponse records a response that requested a backoff. Neither its load report nor
+// its duration is used: a backend server that rejects everything is idle and quick, and would
+// attract more requests than any other (0.47 of all instead of 0.27 when six of twenty did so).
 func (t *Table) recordBackoffResponse(p *Pick, now time.Duration) {
 	p.backend.answeredAt = now
 	p.recordRecovery()
@@ -129,7 +129,7 @@
 	t.reportSuspension(p.Name, p.backend.failures, pause)
 }
 
-// recordRecovery records that the backend server answers.
+// recordRecovery records that the backend server responds again.
 func (p *Pick) recordRecovery() {
 	if p.backend.failures > 0 {
 		p.table.reportSuspension(p.Name, 0, 0)
--- a/process/balance/policy.go
+++ b/process/balance/policy.go
@@ -77,7 +77,7 @@
 	// A backend server sheds objects if its load, relative to its slots, is above BusyLoad and
 	// above BusyRatio times the mean of its service.
 	BusyLoad, BusyRatio float64
-	// RecoverRatio is the fraction of that load below which it takes objects back.
+	// RecoverRatio is the fraction of that load below which it regains objects.
 	RecoverRatio float64
 
 	// UrgentWaitFactor extends the objective of urgent requests, as a factor, where less urgent
--- a/process/balance/share.go
+++ b/process/balance/share.go
@@ -11,7 +11,7 @@
 
 // share is the fraction of its objects that a backend server keeps. One that is busier than the
 // others of its service, by its own load reports, sheds objects to the next ones in their orders,
-// a few at a time and always the same ones, and takes them back when it is no longer busy. The
+// a few at a time and always the same ones, and regains them when it is no longer busy. The
 // objects that stay are not disturbed, and if all are equally busy none moves.
 type share struct {
 	kept   float64       // from Policy.MinShare to 1
--- a/process/balance/table.go
+++ b/process/balance/table.go
@@ -25,7 +25,7 @@
 	Region string
 	Hall   string
 	// OnSuspend, if set, is called when a backend server is suspended, with the number of
-	// consecutive failures, and with 0 failures when it answers again. It must not call the table.
+	// consecutive failures, and with 0 failures when it responds again. It must not call the table.
 	OnSuspend func(backend string, failures int, pause time.Duration)
 	// OnNotice, if set, is called when a backend server announces that it is leaving or a backoff
 	// starts. own is set if this instance received the notice itself, not by gossip. It must not
@@ -91,7 +91,7 @@
 		}
 		states[i] = u
 	}
-	old.releaseRest()
+	old.closeRemaining()
 	t.routing, t.states, t.byHash = r, states, nil
 	t.reconcileRows(now)
 	t.pruneNotices(now)
@@ -134,8 +134,8 @@
 	return nil, nil
 }
 
-// releaseRest closes the idle connections of all that are left.
-func (o *oldRouting) releaseRest() {
+// closeRemaining closes the idle connections of all that are left.
+func (o *oldRouting) closeRemaining() {
 	for _, u := range o.states[o.at:] {
 		u.closeIdle()
 	}
--- a/process/cluster/beat.go
+++ b/process/cluster/beat.go
@@ -167,7 +167,7 @@
 		if g.OnObservations != nil && len(d.Observations) > 0 {
 			g.OnObservations(d.Observations)
 		}
-		// An instance with a zero digest has nothing to offer, and requests the state itself.
+		// An instance with a zero digest has no state to send, and requests the state itself.
 		if g.Digest != nil && d.Digest != 0 && d.Digest != g.Digest() {
 			g.OnDigestMismatch(d.Self.Peer)
 		}
--- a/process/cluster/evidence.go
+++ b/process/cluster/evidence.go
@@ -105,8 +105,8 @@
 	m.pendingReports[ps] = struct{}{}
 }
 
-// markSeen records that an instance has just been found live, and queues a report if it was down. The caller
-// holds the lock.
+// markSeen records that an instance has just been found live, and queues a report if it was down.
+// The caller holds the lock.
 func (m *Members) markSeen(ps *peerState, now time.Duration) {
 	if ps.down() && m.usesProbing() {
 		m.applyStatus(ps, statusLive, now, now)
--- a/process/cluster/owner.go
+++ b/process/cluster/owner.go
@@ -54,8 +54,8 @@
 }
 
 // NearestOwner returns the owner of an item among the live instances of a region, or of all regions
-// if that one has none, regardless of their age: a requester that comes too early or too late gets a
-// response that says so.
+// if that one has none, regardless of their age: a requester that comes too early or too late gets
+// a response that says so.
 func (m *Members) NearestOwner(region string, number uint64) Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -150,8 +150,8 @@
 	}
 }
 
-// markSeenAddress records that a message arrived from the instance with an address, and reports whether there
-// is one.
+// markSeenAddress records that a message arrived from the instance with an address, and reports
+// whether there is one.
 func (m *Members) markSeenAddress(address string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/process/cluster/probe.go
+++ b/process/cluster/probe.go
@@ -4,13 +4,14 @@
 
 import "time"
 
-// In a large region each instance probes a few others per heartbeat, all of them in turn. If one does
-// not respond, it requests that several others probe it as well (indirect probes), and declares it down only
-// if several of them report no response and none got one: probing as in Das, Gupta, Motivala, "SWIM:
-// Scalable weakly-consistent infection-style process group membership protocol" (2002), with the
-// local health awareness of Dadgar, Phillips, Currey, "Lifeguard: Local health awareness for more
-// accurate failure detection" (2018): an instance that was itself stalled discards its findings. So
-// neither the cost nor the detection time depends on the size of the region.
+// In a large region each instance probes a few others per heartbeat, all of them in turn. If one
+// does not respond, it requests that several others probe it as well (indirect probes), and
+// declares it down only if several of them report no response and none got one: probing as in Das,
+// Gupta, Motivala, "SWIM: Scalable weakly-consistent infection-style process group membership
+// protocol" (2002), with the local health awareness of Dadgar, Phillips, Currey, "Lifeguard: Local
+// health awareness for more accurate failure detection" (2018): an instance that was itself stalled
+// discards its findings. So neither the cost nor the detection time depends on the size of the
+// region.
 
 const (
 	// minProbedRegion is the number of other instances in a region from which it uses probing: a
@@ -30,8 +31,9 @@
 	directProbeTimeout   = 300 * time.Millisecond
 	indirectProbeTimeout = 350 * time.Millisecond
 	probeTimeout         = directProbeTimeout + indirectProbeTimeout + ProbeCheckInterval + ProbeCheckInterval/2
-	// indirectProbers is the number of instances that are sent a request for an indirect probe, and minFailedProbers
-	// how many of them must report no response for the instance to be declared down.
+	// indirectProbers is the number of instances that are sent a request for an indirect probe, and
+	// minFailedProbers how many of them must report no response for the instance to be declared
+	// down.
 	indirectProbers  = 6
 	minFailedProbers = 3
 	// stallThreshold is the delay of a tick from which all pending probes are dropped.
@@ -39,8 +41,8 @@
 	// callFailureFor is how long an instance does not count as live after a call to it failed,
 	// unless it is found to be down.
 	callFailureFor = 2 * time.Second
-	// isolatedAfter is how long no message must have arrived from the whole region before an instance treats all others
-	// in it as down.
+	// isolatedAfter is how long no message must have arrived from the whole region before an
+	// instance treats all others in it as down.
 	isolatedAfter = probedTimeout
 	// maxIndirectChecks bounds the concurrent indirect probes on behalf of others.
 	maxIndirectChecks = 64
@@ -223,7 +225,7 @@
 }
 
 // advance evaluates pending probes and checks, and returns the datagrams to send. Late says that the
-// call was so late that responses may be waiting unread.
+// call was so late that responses may have arrived and not been read yet.
 func (m *Members) advance(late bool) []outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/process/edge/eventlog.go
+++ b/process/edge/eventlog.go
@@ -83,7 +83,8 @@
 	e.log.Info().Str("backend", backend).Int("refusals", refusals).Dur("pause", pause).Msg("backend-avoided")
 }
 
-// reportStoreLost announces to the other instances of the region that this one cannot reach the store.
+// reportStoreLost announces to the other instances of the region that this one cannot reach the
+// store.
 func (e *Edge) reportStoreLost() {
 	e.log.Info().Bool("relay", e.peers.Relay()).Msg("store-lost")
 	e.heartbeats.SendToRegion()
--- a/process/edge/ratelimit.go
+++ b/process/edge/ratelimit.go
@@ -17,7 +17,8 @@
 	}
 }
 
-// limitOwner returns the owner of the rate limit that an incarnation of a backend server has in a region.
+// limitOwner returns the owner of the rate limit that an incarnation of a backend server has in a
+// region.
 func (e *Edge) limitOwner(region string, incarnationHash uint64) ratelimit.Owner {
 	m := e.members.NearestOwner(region, incarnationHash)
 	if m.Name == e.settings.Instance {
--- a/process/proxy/rollout.go
+++ b/process/proxy/rollout.go
@@ -97,8 +97,8 @@
 	t.reportOutcome(resp.pick, rollout.Outcome{Failed: resp.isServerError(), Latency: took, Unseen: resp.pick.Unseen, Cold: resp.pick.Cold})
 }
 
-// reportOutcome reports the outcome of an attempt to the rollout controller, and counts it for the software
-// version of the backend server.
+// reportOutcome reports the outcome of an attempt to the rollout controller, and counts it for the
+// software version of the backend server.
 func (t *transaction) reportOutcome(pick *balance.Pick, o rollout.Outcome) {
 	t.rolloutAttempt.Done(o)
 	if !o.Inconclusive {
--- a/process/ratelimit/limiter.go
+++ b/process/ratelimit/limiter.go
@@ -317,8 +317,8 @@
 	return float64(n) / float64(l.maxInstances)
 }
 
-// abandon records that no request waits for the response any more, and reports whether the response is
-// still to come.
+// abandon records that no request waits for the response any more, and reports whether the response
+// is still to come.
 func (l *Limiter) abandon(p *pendingRequest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/process/rollout/analysis.go
+++ b/process/rollout/analysis.go
@@ -45,7 +45,7 @@
 	a.setCause(t.addTarget(c, t.expectedRates(at, now, prior), a.threshold))
 }
 
-// setCause sets the cause of the alarm. The first cause stays.
+// setCause sets the cause of the alarm. The first cause is kept.
 func (a *analysis) setCause(cause string) {
 	if a.cause == "" {
 		a.cause = cause
--- a/process/rollout/exchange.go
+++ b/process/rollout/exchange.go
@@ -16,9 +16,9 @@
 	echoOwner     string
 	lastAt        time.Duration // time of the last report
 	unanswered    int
-	urgent        bool          // a bad response has come since the last report
+	urgent        bool          // a bad response was received since the last report
 	stepDueSoon   bool          // the phase is about to change
-	hadRequest    bool          // a request has come since the order
+	hadRequest    bool          // a request was received since the order
 	lastRequestAt time.Duration // time of the last request
 	expiryLogged  bool          // the expiry of the lease has been logged
 	// newOwnerSince is when the owner changed. It is zero once the new owner has granted a lease.
--- a/process/rollout/gate.go
+++ b/process/rollout/gate.go
@@ -65,7 +65,7 @@
 )
 
 // decide decides on an attempt as far as that is possible without the home backend server of its
-// object. Random is set if the attempt was drawn to collect evidence; it goes to the target if the
+// object. Random is set if the attempt was selected at random to collect evidence; it goes to the target if the
 // share allows it.
 func (g *gate) decide(share float64, first, random bool, now time.Duration) destination {
 	switch {
@@ -208,6 +208,6 @@
 	m.updatedAt = now
 }
 
-func (m *rateMeter) perSecond(perSecond time.Duration) float64 {
-	return m.rate * math.Exp(-float64(perSecond-m.updatedAt)/float64(creditTime))
+func (m *rateMeter) perSecond(now time.Duration) float64 {
+	return m.rate * math.Exp(-float64(now-m.updatedAt)/float64(creditTime))
 }
--- a/process/rollout/policy.go
+++ b/process/rollout/policy.go
@@ -17,7 +17,7 @@
 	// bad response and shortly before a phase change.
 	reportInterval       = 500 * time.Millisecond
 	urgentReportInterval = TickInterval
-	// tickJitter is how early a tick may come and still send a report.
+	// tickJitter is how early a tick may occur and still send a report.
 	tickJitter = TickInterval / 10
 	// urgentBeforePromotion is how long before a promotion reports become frequent.
 	urgentBeforePromotion = 1500 * time.Millisecond
@@ -39,7 +39,7 @@
 	// were. Most interruptions of links between regions are shorter.
 	fleetSizeMemory = 5 * time.Minute
 	// idleTime is how long after its last request an instance stops reporting. An instance with one
-	// request every two seconds then mostly has a lease when a request comes.
+	// request every two seconds then mostly has a lease when a request arrives.
 	idleTime = 10 * time.Second
 	// maxOrderDelay is how long an order may take to reach its owner. The deadline of the record is
 	// that much earlier, and the limit on the share lasts that much longer.
@@ -67,7 +67,7 @@
 	roundTime = time.Second
 	// defaultRoundsPerSet is for how many of its rounds a set is active before the next one
 	// replaces it. In the first round of a set the backend servers have seen few of the objects.
-	// Chosen by the comparison in compare_test.go.
+	// compare_test.go compares other values.
 	defaultRoundsPerSet = 3
 	// creditTime is the time over which unused parts of the share accumulate for an active backend
 	// server.
--- a/process/rollout/rollout.go
+++ b/process/rollout/rollout.go
@@ -144,8 +144,8 @@
 	// ownerSince is when this instance became the owner, if it is. announcedAt is when it last
 	// announced itself to instances that have not reported to it.
 	ownerSince, announcedAt time.Duration
-	// lostOwnership is set when another instance has become the owner, until this one has announced itself to
-	// those that reported to it.
+	// lostOwnership is set when another instance has become the owner, until this one has announced
+	// itself to those that reported to it.
 	lostOwnership bool
 	// inFlightToPrevious is the number of attempts at the previous version that have not ended.
 	inFlightToPrevious int
--- a/process/state/follower.go
+++ b/process/state/follower.go
@@ -84,7 +84,7 @@
 	// staleAfter is the age of a table from which an instance queries the store itself.
 	staleAfter = 2700 * time.Millisecond
 	// minBatchDelay and maxBatchDelay bound how long a follower lets changes accumulate before the
-	// next query: the minimum while changes are rare, up to the maximum while each response brings
+	// next query: the minimum while changes are rare, up to the maximum while each response contains
 	// some, as when many backend servers start. This saves a relay store calls.
 	minBatchDelay = 60 * time.Millisecond
 	maxBatchDelay = 480 * time.Millisecond
--- a/process/state/pause.go
+++ b/process/state/pause.go
@@ -38,10 +38,10 @@
 // use.
 type batchDelay struct {
 	current    time.Duration
-	lastChange time.Duration // when a response last brought a change
+	lastChange time.Duration // when a response last contained a change
 }
 
-// update records whether the response received at a time brought a change.
+// update records whether the response received at a time contained a change.
 func (g *batchDelay) update(changed bool, at time.Duration) {
 	if !changed {
 		return
--- a/process/state/table.go
+++ b/process/state/table.go
@@ -28,7 +28,7 @@
 	Version int64 `json:"version"`
 	// Full says that Rows are all rows of the table.
 	Full bool `json:"whole,omitempty"`
-	// Age is the time since the store gave or confirmed it.
+	// Age is the time since the store sent or confirmed it.
 	Age time.Duration `json:"age,omitempty"`
 }
 
