--- a/process/balance/share_test.go
+++ b/process/balance/share_test.go
@@ -65,8 +65,8 @@
 	assert.DeepEqual(t, firstChoices(), before)
 }
 
-// TestInstallDoesNotSpeedUpShareSteps checks that installing a version does not advance the next
-// step of the shares forward.
+// TestInstallDoesNotSpeedUpShareSteps checks that installing a version does not advance the time
+// of the next step of the shares.
 func TestInstallDoesNotSpeedUpShareSteps(t *testing.T) {
 	p := newFixture(1)
 	for _, name := range []string{"a", "b", "c", "d"} {
--- a/process/balance/software_test.go
+++ b/process/balance/software_test.go
@@ -187,7 +187,7 @@
 }
 
 // TestQueryOlderThanRolloutFindsTarget checks a query with the route of a routing without a
-// target, which may have to go to the target once the version before gets no more requests.
+// target, which may have to go to the target once the previous version gets no more requests.
 func TestQueryOlderThanRolloutFindsTarget(t *testing.T) {
 	p := twoVersions(3, 1)
 	p.admit("v1", "")
@@ -217,7 +217,7 @@
 	assert.Equal(t, k.Software, "v3")
 }
 
-// TestRequestsInFlightCountUntilTheyEnd checks that requests at the version before count also
+// TestRequestsInFlightCountUntilTheyEnd checks that requests at the previous version count also
 // after its backend servers have left the routing, and those at the target never.
 func TestRequestsInFlightCountUntilTheyEnd(t *testing.T) {
 	p := twoVersions(3, 1)
--- a/process/cluster/datagram.go
+++ b/process/cluster/datagram.go
@@ -162,7 +162,7 @@
 }
 
 // noteUnknown records how many entries referred to unknown instances, and reports whether that has
-// gone on for unknownDelay. The caller holds the lock.
+// lasted for unknownDelay. The caller holds the lock.
 func (m *Members) noteUnknown(unknown int, now time.Duration) bool {
 	switch {
 	case unknown == 0:
--- a/process/cluster/gossip_test.go
+++ b/process/cluster/gossip_test.go
@@ -204,8 +204,8 @@
 	return out
 }
 
-// believersOf counts the running instances of its region that list an instance as live.
-func (f *model) believersOf(x *node) int {
+// countListing counts the running instances of its region that list an instance as live.
+func (f *model) countListing(x *node) int {
 	self := x.members.Self()
 	n := 0
 	for _, o := range f.nodes {
@@ -269,7 +269,7 @@
 		}
 		f.run(4 * time.Second)
 		for _, o := range f.nodes[:x.stopped] {
-			assert.Equal(t, f.believersOf(o), 0, "%v", x)
+			assert.Equal(t, f.countListing(o), 0, "%v", x)
 		}
 		pairs := x.size * x.size
 		assert.Assert(t, f.wrongPairs() <= pairs/1000, "%v: %d", x, f.wrongPairs())
@@ -325,7 +325,7 @@
 	x := f.add(Member{Name: "new", Incarnation: int64(f.now), Region: "r1", Hall: "r1-h0", Peer: "10.9.9.9:1"})
 	x.members.Merge(false, f.nodes[50].members.Self())
 	f.run(6 * time.Second)
-	assert.Assert(t, f.believersOf(x) >= 38, "%d of 40", f.believersOf(x))
+	assert.Assert(t, f.countListing(x) >= 38, "%d of 40", f.countListing(x))
 }
 
 func FuzzDatagram(f *testing.F) {
--- a/process/cluster/probe_test.go
+++ b/process/cluster/probe_test.go
@@ -95,24 +95,24 @@
 				near, far := time.Duration(0), time.Duration(0)
 				for far == 0 && f.now-stoppedAt < 2*farBound {
 					f.run(100 * time.Millisecond)
-					if near == 0 && f.believers(stopped, "r0") == 0 {
+					if near == 0 && f.countConsideringLive(stopped, "r0") == 0 {
 						near = f.now - stoppedAt
 					}
-					if near != 0 && f.believers(stopped, "r1") == 0 {
+					if near != 0 && f.countConsideringLive(stopped, "r1") == 0 {
 						far = f.now - stoppedAt
 					}
 				}
 				t.Logf("known in the region after %s, in the other one after %s", near, far)
-				assert.Assert(t, near != 0 && near <= nearBound, "%s, %d still consider it live", near, f.believers(stopped, "r0"))
-				assert.Assert(t, far != 0 && far <= farBound, "%s, %d still consider it live", far, f.believers(stopped, "r1"))
+				assert.Assert(t, near != 0 && near <= nearBound, "%s, %d still consider it live", near, f.countConsideringLive(stopped, "r0"))
+				assert.Assert(t, far != 0 && far <= farBound, "%s, %d still consider it live", far, f.countConsideringLive(stopped, "r1"))
 				assert.Equal(t, f.falselyDown(), 0)
 			})
 		}
 	}
 }
 
-// believers counts the pairs in which a running instance of a region considers a stopped one live.
-func (f *model) believers(stopped []*node, region string) (n int) {
+// countConsideringLive counts the pairs in which a running instance of a region considers a stopped one live.
+func (f *model) countConsideringLive(stopped []*node, region string) (n int) {
 	for _, x := range f.nodes {
 		if x.stopped || x.members.self.Region != region {
 			continue
--- a/process/metric/software.go
+++ b/process/metric/software.go
@@ -13,7 +13,7 @@
 
 const (
 	// maxSoftware is the maximum number of software versions of a service that have
-	// separate metrics: two that a rollout compares, and two of the rollout before.
+	// separate metrics: two that a rollout compares, and two of the previous rollout.
 	maxSoftware = 4
 	// softwareReservoir is the number of samples in the histogram of a version.
 	softwareReservoir = 256
--- a/process/proxy/suspend_test.go
+++ b/process/proxy/suspend_test.go
@@ -17,9 +17,9 @@
 
 // The tests in this file cover a machine that is suspended while requests are in flight. The
 // deadline of a request was once kept by a clock that stops during a suspension. After a suspension
-// of 5 s the proxy treated requests as 5 s younger than they were: it sent deadlines to backend
-// servers that were seconds too late, and retried requests that their callers had given up. The
-// tests advance only the clock that includes suspensions.
+// of 5 s the proxy treated requests as 5 s younger than they were: it sent them to backend
+// servers with deadlines that were seconds too late, and retried requests that their callers had
+// given up. The tests advance only the clock that includes suspensions.
 
 // simulateSuspension makes the clock that includes suspensions adjustable.
 func (f *fixture) simulateSuspension() (suspend func(time.Duration)) {
--- a/process/quarantine/fleet_test.go
+++ b/process/quarantine/fleet_test.go
@@ -397,7 +397,7 @@
 	assert.Assert(t, late <= 3, "%d", late)
 }
 
-// TestOperatorsOverrideQuarantine checks that a request which operators let through is neither
+// TestOperatorsOverrideQuarantine checks that a request which operators released is neither
 // refused nor quarantined again, and is refused after they revert that.
 func TestOperatorsOverrideQuarantine(t *testing.T) {
 	f := newFleet(3, 6)
--- a/process/rollout/gate.go
+++ b/process/rollout/gate.go
@@ -27,10 +27,10 @@
 	// ownerClock is the owner's clock in milliseconds at ownerClockAt.
 	ownerClock   uint32
 	ownerClockAt time.Duration
-	// boundUntil is when the limit on the share ends. Zero: not known.
-	boundUntil    time.Duration
-	lackingRoutes []routeHash
-	allLacking    bool
+	// shareLimitUntil is when the limit on the share ends. Zero: not known.
+	shareLimitUntil time.Duration
+	lackingRoutes   []routeHash
+	allLacking      bool
 	// drainedUntil is until when this instance has promised to send nothing to the previous
 	// version.
 	drainedUntil time.Duration
@@ -65,15 +65,15 @@
 )
 
 // decide decides on an attempt as far as that is possible without the home backend server of its
-// object. Random is set if the attempt was selected at random to collect evidence; it goes to the target if the
-// share allows it.
+// object. Random is set if the attempt was selected at random to collect evidence; it goes to the
+// target if the share allows it.
 func (g *gate) decide(share float64, first, random bool, now time.Duration) destination {
 	switch {
 	case g.closed(now):
 		return toTarget
 	case g.halted || !first || now >= g.leaseUntil:
 		return toPrevious
-	case g.phase == Promote && (g.unbounded(now) || g.fits(g.usableFraction()*share)):
+	case g.phase == Promote && (g.shareLimitEnded(now) || g.fits(g.usableFraction()*share)):
 		return toTarget
 	case g.phase != Canary || !g.fits(g.usableFraction()*share) || g.credit < 1:
 		return toPrevious
@@ -108,8 +108,10 @@
 	return canaryFraction
 }
 
-// unbounded reports whether the limit on the share has ended.
-func (g *gate) unbounded(now time.Duration) bool { return g.boundUntil > 0 && now >= g.boundUntil }
+// shareLimitEnded reports whether the limit on the share has ended.
+func (g *gate) shareLimitEnded(now time.Duration) bool {
+	return g.shareLimitUntil > 0 && now >= g.shareLimitUntil
+}
 
 // fits reports whether one more request to the target stays within a share and the slack.
 func (g *gate) fits(share float64) bool { return g.excess(share) <= g.slack }
@@ -131,7 +133,7 @@
 
 // addTargetAttempt counts an attempt that goes to the target.
 func (g *gate) addTargetAttempt(share float64, now time.Duration) {
-	if !g.unbounded(now) {
+	if !g.shareLimitEnded(now) {
 		g.slackUsed = max(g.slackUsed, g.excess(g.usableFraction()*share))
 	}
 	g.targetAttempts++
@@ -169,7 +171,7 @@
 	}
 	g.ownerClock, g.ownerClockAt = x.ownerClock, now
 	if x.hasRemaining {
-		g.boundUntil = max(1, now+x.remaining)
+		g.shareLimitUntil = max(1, now+x.remaining)
 	}
 }
 
@@ -179,7 +181,7 @@
 	if g.halted || g.phase != Promote || now >= g.leaseUntil {
 		return false
 	}
-	if !g.unbounded(now) && !g.shareSuffices(share, now) {
+	if !g.shareLimitEnded(now) && !g.shareSuffices(share, now) {
 		return false
 	}
 	g.drainedUntil = now + drainPromiseTime
@@ -190,8 +192,8 @@
 // to the time when the limit on the share ends.
 func (g *gate) shareSuffices(share float64, now time.Duration) bool {
 	duration := drainPromiseTime
-	if g.boundUntil > 0 {
-		duration = min(duration, g.boundUntil-now)
+	if g.shareLimitUntil > 0 {
+		duration = min(duration, g.shareLimitUntil-now)
 	}
 	expected := drainPromiseMargin * g.rate.perSecond(now) * duration.Seconds()
 	return float64(g.targetAttempts)+expected*(1-promoteFraction*share) <= promoteFraction*share*float64(g.attempts)+g.slack
--- a/process/rollout/owner.go
+++ b/process/rollout/owner.go
@@ -253,7 +253,7 @@
 	if r.storeKnown {
 		store := now + r.storeOffset
 		x.hasRemaining = true
-		x.remaining = max(0, s.boundEnd()-store)
+		x.remaining = max(0, s.shareLimitEnd()-store)
 		x.stepDueSoon = x.phase == Canary && store >= s.promoteAt(r.Bounds.Share)-urgentBeforePromotion
 	}
 	if x.phase == Canary {
--- a/process/rollout/record.go
+++ b/process/rollout/record.go
@@ -44,7 +44,7 @@
 	Target string `json:"target"`
 	// Within is the time that the order allows. Zero: an older release wrote the record.
 	Within version.Duration `json:"within,omitempty"`
-	// Previous is the version that was in force when the order came.
+	// Previous is the version that was in force when the order arrived.
 	Previous string `json:"before"`
 	Phase    Phase  `json:"phase"`
 	// StartedAt and Deadline are times of the store's monotonic clock. Deadline is maxOrderDelay
--- a/process/rollout/stats.go
+++ b/process/rollout/stats.go
@@ -36,7 +36,7 @@
 	return t.otherRoutes
 }
 
-// trafficFraction returns the estimated fraction of all requests that come on a route.
+// trafficFraction returns the estimated fraction of all requests that arrive on a route.
 func (t *localStats) trafficFraction(x *routeStats) float64 {
 	all := t.analysis.all.total.base.Requests
 	return float64(x.base.Requests+1) / float64(all+assumedRoutes)
--- a/process/rollout/step.go
+++ b/process/rollout/step.go
@@ -198,7 +198,7 @@
 // unused part of the share lasts until the limit on the share ends. An earlier promotion would use
 // it up and then send requests to the previous version again.
 func (s *service) promoteAt(share float64) time.Duration {
-	return s.boundEnd() - s.promotionTime(share)
+	return s.shareLimitEnd() - s.promotionTime(share)
 }
 
 // promotionTime returns how long before the limit on the share ends all requests may go to the
@@ -207,9 +207,11 @@
 	return time.Duration(promotionFraction * (promoteFraction - canaryFraction) * share * float64(s.Order.Within))
 }
 
-// boundEnd returns when the limit on the share ends, by the store's clock: the order's deadline if
+// shareLimitEnd returns when the limit on the share ends, by the store's clock: the order's deadline if
 // the order took maxOrderDelay to arrive.
-func (s *service) boundEnd() time.Duration { return time.Duration(s.Record.Deadline) + maxOrderDelay }
+func (s *service) shareLimitEnd() time.Duration {
+	return time.Duration(s.Record.Deadline) + maxOrderDelay
+}
 
 // canaryStep promotes the target once that is due, and reverts the rollout if evidence is still
 // lacking shortly before the deadline.
@@ -280,7 +282,7 @@
 // show faults that don't occur with a small share.
 func (s *service) canKeepWatching(share float64, store, now time.Duration) bool {
 	margin := min(max(minCompletionMargin, s.promotionTime(share)/2), maxCompletionMargin)
-	return store < s.boundEnd()-margin && now-s.ownerState.promotedAt < maxWatchTime
+	return store < s.shareLimitEnd()-margin && now-s.ownerState.promotedAt < maxWatchTime
 }
 
 // confirmed reports whether the target has performed well under all requests.
--- a/process/state/state_test.go
+++ b/process/state/state_test.go
@@ -310,8 +310,8 @@
 	return Delta{}, ErrCompacted
 }
 
-// TestVersionOnlyUpdateIsNoChange checks that a response without rows, which a store gives all the time
-// while other tables are written to, wakes those who wait for a version but not those who wait for changed
+// TestVersionOnlyUpdateIsNoChange checks that a response without rows, which a store sends all the time
+// while other tables are written to, wakes callers that wait for a version but not those that wait for changed
 // rows.
 func TestVersionOnlyUpdateIsNoChange(t *testing.T) {
 	x := NewTable()
