--- a/process/balance/turn.go
+++ b/process/balance/turn.go
@@ -17,9 +17,9 @@
 	window       time.Duration // how long a turn may be taken
 }
 
-// share recomputes the turns for an index among the instances. If it changes the turns start
+// recompute recomputes the turns for an index among the instances. If it changes, the turns start
 // again, offset by index, and a turn that was taken lately counts.
-func (x *turns) share(index, count int, now time.Duration) {
+func (x *turns) recompute(index, count int, now time.Duration) {
 	if x.rate == 0 || x.index == index && x.count == count {
 		return
 	}
@@ -52,7 +52,7 @@
 	if x.rate == 0 {
 		return true
 	}
-	x.share(index, count, now)
+	x.recompute(index, count, now)
 	if count == 0 {
 		return false
 	}
--- a/process/proxy/rollout.go
+++ b/process/proxy/rollout.go
@@ -16,7 +16,7 @@
 // rolloutAttempt is an attempt as the rollout controller tracks it: a *rollout.Attempt or noRollout.
 type rolloutAttempt interface {
 	Target() string
-	Decline(over bool) bool
+	Decline(ended bool) bool
 	Done(o rollout.Outcome)
 }
 
--- a/process/proxy/rollout_fixture_test.go
+++ b/process/proxy/rollout_fixture_test.go
@@ -54,11 +54,11 @@
 	return ""
 }
 
-func (a *recordedAttempt) Decline(over bool) bool {
+func (a *recordedAttempt) Decline(ended bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.declined++
-	return over || !a.previousClosed
+	return ended || !a.previousClosed
 }
 
 func (a *recordedAttempt) Done(o rollout.Outcome) {
--- a/process/rollout/attempt.go
+++ b/process/rollout/attempt.go
@@ -119,16 +119,16 @@
 
 // Decline sends the attempt to the version in force after all, since the target can't take it. It
 // returns false if the attempt must not go there because the instance has promised to send nothing
-// there. Over is set if the tables have no rollout of the service any more. The promise is then
+// there. Ended is set if the tables have no rollout of the service any more. The promise is then
 // void, and the Controller is about to receive the end of the rollout.
-func (a *Attempt) Decline(over bool) bool {
+func (a *Attempt) Decline(ended bool) bool {
 	if a.Target() == "" {
 		return true
 	}
 	a.controller.mu.Lock()
 	defer a.controller.unlock()
 	s := a.service
-	if !over && s.gate.closed(a.controller.Now()) {
+	if !ended && s.gate.closed(a.controller.Now()) {
 		return false
 	}
 	a.target = ""
--- a/process/rollout/doc.go
+++ b/process/rollout/doc.go
@@ -7,7 +7,7 @@
 
 	c.Install(services)                          // the state of the tables
 	a := c.Begin(service, route, first, home)    // an attempt: does it go to the target?
-	ok := a.Decline(over)                        // the target can't take it: may it go back?
+	ok := a.Decline(ended)                       // the target can't take it: may it go back?
 	a.Done(outcome)                              // the outcome of the attempt
 	c.Tick()                                     // every TickInterval: reports to owners
 	c.Receive(from, message)                     // a message of another instance
