--- a/process/balance/estimate.go
+++ b/process/balance/estimate.go
@@ -12,7 +12,7 @@
 }
 
 // ownLoad is the number of this instance's requests that are running or queued at the backend
-// server. Answers that are still being transferred do not count: they occupy no slot, and slow
+// server. Responses that are still being transferred do not count: they occupy no slot, and slow
 // readers would otherwise make the server look full.
 func (u *backend) ownLoad() int { return u.inFlight - u.sending }
 
@@ -43,7 +43,7 @@
 }
 
 // typicalWork is the typical processing time of a request on an object that was seen, without
-// queueing. Before its first answer a backend server is assumed to be like the others of its
+// queueing. Before its first response a backend server is assumed to be like the others of its
 // service.
 func (u *backend) typicalWork() time.Duration {
 	if u.work != 0 {
@@ -79,7 +79,7 @@
 	s.work += time.Duration(gain * float64(work-s.work))
 }
 
-// updateWork includes the duration of an answer in the moving average. It is divided by the
+// updateWork includes the duration of a response in the moving average. It is divided by the
 // slowdown that the host had, so that the average is that of a host at its usual speed.
 func (u *backend) updateWork(duration time.Duration, slowdown float64) {
 	duration = time.Duration(float64(duration) / slowdown)
--- a/process/balance/notice.go
+++ b/process/balance/notice.go
@@ -22,7 +22,7 @@
 
 // noticeState is what is known of the notices (request.Notice) of one incarnation of a backend
 // server, as it sent them to this instance or another one. It takes precedence over the row: while
-// the store is unavailable a row goes on saying "ready", and the server itself knows better. See
+// the store is unavailable a row still says "ready" although the server is leaving. See
 // docs/design/notices.md.
 type noticeState struct {
 	leaving    departure
@@ -31,7 +31,7 @@
 }
 
 // noticeRetention is how long notices are kept of a backend server whose row is gone: rows expire
-// while the store is unavailable and come back unchanged.
+// while the store is unavailable and reappear unchanged.
 const noticeRetention = time.Minute
 
 // eligibility says whether a backend server may get new requests, according to its own notices.
@@ -62,7 +62,7 @@
 	return u == nil || u.usable(now) && u.eligibility(now, t.LeavingGrace) == eligible
 }
 
-// ApplyNotice applies the notice in the header of an answer. It must be called before the answer
+// ApplyNotice applies the notice in the header of a response. It must be called before the response
 // is passed on, and before Done.
 func (p *Pick) ApplyNotice(n request.Notice) {
 	if n == (request.Notice{}) {
@@ -73,7 +73,7 @@
 	defer t.mu.Unlock()
 	now := t.Now()
 	known := t.noticesOf(p.backend, now)
-	isNew := n.Leaving && known.leaving.recordAnswer(now)
+	isNew := n.Leaving && known.leaving.recordResponse(now)
 	if n.RetryAfter > 0 {
 		p.backoffRequested = true
 		isNew = known.backoff.extend(n.RetryAfter, now) || isNew
@@ -85,7 +85,7 @@
 
 // Allowed reports whether the backend server may still get the request. It is checked right before
 // the first byte is sent: since the choice the process may have been stalled, or opening a
-// connection may have taken long, and another answer may have brought a notice.
+// connection may have taken long, and another response may have contained a notice.
 func (p *Pick) Allowed() bool {
 	t := p.table
 	t.mu.Lock()
--- a/process/balance/observe.go
+++ b/process/balance/observe.go
@@ -16,7 +16,7 @@
 // one request a minute to each backend server, so that most of what it knows of them comes from
 // other instances.
 const (
-	// observationTTL is how long an observation is passed on. It reaches a region of 100 in about
+	// observationTTL is how long an observation is gossiped. It reaches a region of 100 in about
 	// 1.5 s.
 	observationTTL = 3 * time.Second
 	// observationUnit is the unit of the age of an observation.
@@ -25,7 +25,7 @@
 	// backend server, one for the age, one for the load.
 	observationBytes = 6
 	// Values of the load byte with a special meaning. loadUnreachable: the backend server could
-	// not be reached or lost consecutive answers. loadLeaving: it announced that it is leaving.
+	// not be reached or lost consecutive responses. loadLeaving: it announced that it is leaving.
 	// loadBackoff: it requested a backoff, and the age byte holds the remaining time. loadLimited:
 	// it names a rate limit. Loads are at most maxLoad.
 	loadUnreachable = 0xff
@@ -48,8 +48,8 @@
 	load byte          // requests running or queued, or loadUnreachable
 }
 
-// observeAnswer records an answer to this instance, with its load report if it has one.
-func (u *backend) observeAnswer(r *Report, now time.Duration) {
+// observeResponse records a response to this instance, with its load report if it has one.
+func (u *backend) observeResponse(r *Report, now time.Duration) {
 	u.observed = observation{at: now}
 	if r != nil {
 		u.observed.load = byte(min(r.Running+r.Waiting, maxLoad))
--- a/process/balance/table.go
+++ b/process/balance/table.go
@@ -25,7 +25,7 @@
 	Region string
 	Hall   string
 	// OnSuspend, if set, is called when a backend server is suspended, with the number of
-	// consecutive failures, and with 0 failures when it answers again. It must not call the table.
+	// consecutive failures, and with 0 failures when it responds again. It must not call the table.
 	OnSuspend func(backend string, failures int, pause time.Duration)
 	// OnNotice, if set, is called when a backend server announces that it is leaving or a backoff
 	// starts. own is set if this instance received the notice itself, not by gossip. It must not
@@ -91,7 +91,7 @@
 		}
 		states[i] = u
 	}
-	old.releaseRest()
+	old.closeRemaining()
 	t.routing, t.states, t.byHash = r, states, nil
 	t.reconcileRows(now)
 	t.pruneNotices(now)
@@ -134,8 +134,8 @@
 	return nil, nil
 }
 
-// releaseRest closes the idle connections of all that are left.
-func (o *oldRouting) releaseRest() {
+// closeRemaining closes the idle connections of all that are left.
+func (o *oldRouting) closeRemaining() {
 	for _, u := range o.states[o.at:] {
 		u.closeIdle()
 	}
@@ -215,8 +215,8 @@
 	Route *version.RouteView
 	// Part is the index of the route's part, as returned by Split.
 	Part int
-	// Target is the software version that a roll-out introduces and the request goes to; "": the
-	// version in force. Nothing is chosen once the roll-out was reverted or replaced.
+	// Target is the software version that a rollout introduces and the request goes to; "": the
+	// version in force. Nothing is chosen once the rollout was reverted or replaced.
 	Target string
 	// Priority is the priority of the request, 0 the most urgent.
 	Priority int
@@ -252,16 +252,16 @@
 	// LastResort is set if the backend server wants no more requests, and no other could accept
 	// this one.
 	LastResort bool
-	// Wait is the estimated queueing time, ExpectedTime the estimated time to the answer.
+	// Wait is the estimated queueing time, ExpectedTime the estimated time to the response.
 	Wait, ExpectedTime time.Duration
 
-	table     *Table
-	backend   *backend
-	object    uint64 // zero: none
-	startHash uint64 // of the backend server's incarnation
-	started   time.Duration
-	held      bool // Hold was called
-	// backoffRequested is set if the answer requested a backoff.
+	table           *Table
+	backend         *backend
+	object          uint64 // zero: none
+	incarnationHash uint64 // of the backend server's incarnation
+	started         time.Duration
+	held            bool // Hold was called
+	// backoffRequested is set if the response requested a backoff.
 	backoffRequested bool
 }
 
@@ -270,7 +270,7 @@
 	Code request.Code
 	// RetryAfter is the time after which the request should be tried again.
 	RetryAfter time.Duration
-	// NoRollout is set if a query for a target was refused because no roll-out of the service is
+	// NoRollout is set if a query for a target was refused because no rollout of the service is
 	// in progress, so that only the version in force may get requests.
 	NoRollout   bool
 	Explanation Explanation
--- a/process/edge/discovery.go
+++ b/process/edge/discovery.go
@@ -33,7 +33,7 @@
 // register writes this instance's row and reads those of the others, and reads them again at
 // intervals. At the first start of the whole system it writes first, so that of two instances that
 // start at the same time at least one finds the other. Otherwise the rows of the others are
-// present, and reading them first brings the tables sooner.
+// present, and reading them first provides the tables sooner.
 func (e *Edge) register(ctx context.Context) {
 	written, read := false, false
 	pause := minRetryPause
@@ -80,13 +80,13 @@
 }
 
 func (e *Edge) readInstanceRows(ctx context.Context) error {
-	rows, more, err := e.deployment.Store.ReadSome(ctx, e.deployment.InstanceTable, "", smallFleet)
+	rows, more, err := e.deployment.Store.ReadPage(ctx, e.deployment.InstanceTable, "", smallFleet)
 	if err != nil {
 		return err
 	}
 	if more {
 		e.followsInstances.Store(true)
-		adjacent, _, err := e.deployment.Store.ReadSome(ctx, e.deployment.InstanceTable, e.settings.Instance, smallFleet)
+		adjacent, _, err := e.deployment.Store.ReadPage(ctx, e.deployment.InstanceTable, e.settings.Instance, smallFleet)
 		if err != nil {
 			return err
 		}
--- a/process/edge/discovery_test.go
+++ b/process/edge/discovery_test.go
@@ -24,7 +24,7 @@
 	calls, rowsRead int
 }
 
-func (s *rowStore) ReadSome(_ context.Context, _, from string, most int) ([]state.Row, bool, error) {
+func (s *rowStore) ReadPage(_ context.Context, _, from string, most int) ([]state.Row, bool, error) {
 	at, _ := slices.BinarySearchFunc(s.rows, from, func(r state.Row, key string) int {
 		if r.Key < key {
 			return -1
@@ -82,7 +82,7 @@
 		e, s := newStartingInstance(t, x.fleet)
 		assert.NilError(t, e.readInstanceRows(context.Background()))
 		assert.Assert(t, s.rowsRead <= x.rows && s.calls == x.calls, "%d instances: %d rows in %d calls", x.fleet, s.rowsRead, s.calls)
-		assert.Equal(t, e.wantsTable("instances"), x.follows)
+		assert.Equal(t, e.subscribesTo("instances"), x.follows)
 		assert.Assert(t, e.heartbeats.Sent() <= cluster.MaxSmallFleet, "%d instances: %d datagrams", x.fleet, e.heartbeats.Sent())
 		if x.fleet <= smallFleet {
 			assert.Equal(t, len(e.members.NotLeaving()), x.fleet)
--- a/process/edge/doc.go
+++ b/process/edge/doc.go
@@ -3,14 +3,14 @@
 /*
 Package edge runs an instance that gets its configuration from a store of tables: it
 follows the tables (state), knows the other instances (cluster), chooses backend
-servers (balance), serves requests (proxy), and tells clients which instances to use
+servers (balance), serves requests (proxy), and lists for clients which instances to use
 (directory.go).
 
 Nothing that the process keeps outlasts it. The store only needs a row with its
 addresses.
 
-Each compilation passes the state in the tables to the roll-outs of services
-(rollout; software.go, rollout.go); the instance that owns a roll-out writes its
+Each compilation passes the state in the tables to the rollouts of services
+(rollout; software.go, rollout.go); the instance that owns a rollout writes its
 steps (step.go).
 
 A planned stop: the instance is no longer ready and no longer listed for clients, and
--- a/process/edge/edge.go
+++ b/process/edge/edge.go
@@ -46,12 +46,12 @@
 
 // drainNoticeDivisor divides Settings.DrainWithin: during the first part of that time, backend
 // servers that announce in their responses that they are leaving may still get the requests that
-// no other backend server can take. The rest is for requests that are already on their way to
+// no other backend server can accept. The remainder is for requests that are already on their way to
 // them, and for rows that arrive late.
 const drainNoticeDivisor = 2
 
 // bufferMemoryDivisor divides an instance's memory: the quotient may buffer requests and
-// responses. The rest is for what is known about the fleet, for connections without a request, and
+// responses. The remainder is for what is known about the fleet, for connections without a request, and
 // for garbage.
 const bufferMemoryDivisor = 5
 
@@ -60,7 +60,7 @@
 	settings        Settings
 	deployment      Deployment
 	log             zerolog.Logger
-	logLimit        *logging.RateLimiter
+	logLimiter      *logging.RateLimiter
 	startTime       time.Time
 	startedAt       time.Duration // start time by the clock of the deployment
 	members         *cluster.Members
@@ -73,7 +73,7 @@
 	limits          *ratelimit.Limiter
 	rollouts        *rollout.Controller
 	rolloutState    rolloutState
-	schedulingDelay clock.SchedulingDelay // measured while a roll-out is active
+	schedulingDelay clock.SchedulingDelay // measured while a rollout is active
 	quarantine      *quarantine.Quarantine
 	// The entries that are known to be in the store, and whether a list is being fetched from
 	// another instance.
@@ -115,7 +115,7 @@
 	level, _ := zerolog.ParseLevel(s.LogLevel) // validated by Check
 	limit := logging.NewRateLimiter(time.Now)
 	e := &Edge{
-		settings: s, deployment: d, startTime: time.Now(), metrics: metric.NewSet(), logLimit: limit, rowLost: make(chan struct{}, 1),
+		settings: s, deployment: d, startTime: time.Now(), metrics: metric.NewSet(), logLimiter: limit, rowLost: make(chan struct{}, 1),
 		log: logging.New(logTo).Level(level).Hook(limit).With().Str("instance", s.Instance).Logger(),
 	}
 	if e.deployment.Clock == nil {
@@ -142,7 +142,7 @@
 	return e, nil
 }
 
-// now is the clock for everything that expires or is judged by its age: tables, leases, quotas,
+// now is the clock for everything that expires or is evaluated by its age: tables, leases, quotas,
 // liveness of instances, cold or suspended backend servers. Time in which the machine was suspended
 // counts, so that all of it has aged accordingly afterwards.
 func (e *Edge) now() time.Duration { return e.uptime() + time.Hour }
@@ -155,11 +155,11 @@
 func (e *Edge) build() {
 	e.peers = cluster.NewPeers(e.members, conn.NewDialer(dialTimeout, peerAckTimeout).DialContext)
 	e.follower = &state.Follower{
-		Store: e.deployment.Store, Peers: e.peers, Log: e.log, Now: e.now, Subscribed: e.wantsTable, Instances: e.members.Count,
+		Store: e.deployment.Store, Peers: e.peers, Log: e.log, Now: e.now, Subscribed: e.subscribesTo, Instances: e.members.Count,
 		Excluded: func(table string) bool { return table == e.deployment.BackendTable && e.isSpare() },
 		Tables: map[string]*state.Table{
-			e.deployment.OperatorTable: state.NewRetainingTable(state.Retention{Missing: holdOperatorRows, Reverted: holdOperatorRows}),
-			e.deployment.BackendTable:  state.NewRetainingTable(state.Retention{Missing: keepExpired(e.settings.DrainWithin), Reverted: holdBackendRows}),
+			e.deployment.OperatorTable: state.NewRetainingTable(state.Retention{Missing: operatorRowRetention, Reverted: operatorRowRetention}),
+			e.deployment.BackendTable:  state.NewRetainingTable(state.Retention{Missing: keepExpired(e.settings.DrainWithin), Reverted: backendRowRetention}),
 			e.deployment.RecordTable:   state.NewRetainingTable(state.Retention{}),
 			e.deployment.InstanceTable: state.NewTable(),
 		},
@@ -267,7 +267,7 @@
 	e.metrics.Gauge("requests_running").Update(e.proxy.InFlight())
 	e.metrics.Gauge("requests_quarantined").Update(int64(e.quarantine.Count()))
 	e.metrics.Gauge("rollouts_running").Update(e.rolloutState.running.Load())
-	e.metrics.Gauge("log_lines_left_out").Update(e.logLimit.Suppressed())
+	e.metrics.Gauge("log_lines_left_out").Update(e.logLimiter.Suppressed())
 	e.metrics.Gauge("store_epoch").Update(e.deployment.Store.Epoch())
 	e.metrics.Gauge("configuration_age_ms").Update(e.follower.Age().Milliseconds())
 }
--- a/process/edge/eventlog.go
+++ b/process/edge/eventlog.go
@@ -83,7 +83,8 @@
 	e.log.Info().Str("backend", backend).Int("refusals", refusals).Dur("pause", pause).Msg("backend-avoided")
 }
 
-// reportStoreLost tells the other instances of the region that this one cannot reach the store.
+// reportStoreLost announces to the other instances of the region that this one cannot reach the
+// store.
 func (e *Edge) reportStoreLost() {
 	e.log.Info().Bool("relay", e.peers.Relay()).Msg("store-lost")
 	e.heartbeats.SendToRegion()
@@ -93,7 +94,7 @@
 const watchMembersInterval = time.Second
 
 // watchMembers logs which instances were lost and found until the context ends, and ticks the
-// roll-outs while none is active.
+// rollouts while none is active.
 func (e *Edge) watchMembers(ctx context.Context) {
 	var known []cluster.Member
 	relay := false
--- a/process/edge/quarantine.go
+++ b/process/edge/quarantine.go
@@ -112,7 +112,7 @@
 const syncSources = 2
 
 // pollUntilSynced calls fetch until the list is known or the context ends. Fetch reports whether a
-// request was made and failed, which doubles the pause; it is false if there was no one to send it
+// request was made and failed, which doubles the pause; it is false if there was no instance to send it
 // to.
 func (e *Edge) pollUntilSynced(ctx context.Context, fetch func(context.Context) bool) {
 	pause := minListPause
@@ -214,7 +214,7 @@
 	Crashes     int       `json:"crashes"`
 	At          time.Time `json:"at"`
 	Quarantined bool      `json:"quarantined"`
-	// Refused is false for a request that operators let through.
+	// Refused is false for a request that operators have released.
 	Refused bool `json:"refused"`
 }
 
@@ -231,5 +231,5 @@
 	_ = json.NewEncoder(w).Encode(out) // an error means that the reader has disconnected
 }
 
-// applyLetThrough installs the list of requests that operators let through.
-func (e *Edge) applyLetThrough(c *version.Config) { e.quarantine.LetThrough(c.ReleasedFingerprints) }
+// applyReleased installs the list of requests that operators have released.
+func (e *Edge) applyReleased(c *version.Config) { e.quarantine.SetReleased(c.ReleasedFingerprints) }
--- a/process/edge/ratelimit.go
+++ b/process/edge/ratelimit.go
@@ -17,9 +17,10 @@
 	}
 }
 
-// limitOwner returns the owner of the rate limit that a start of a backend server has in a region.
-func (e *Edge) limitOwner(region string, start uint64) ratelimit.Owner {
-	m := e.members.NearestOwner(region, start)
+// limitOwner returns the owner of the rate limit that an incarnation of a backend server has in a
+// region.
+func (e *Edge) limitOwner(region string, incarnationHash uint64) ratelimit.Owner {
+	m := e.members.NearestOwner(region, incarnationHash)
 	if m.Name == e.settings.Instance {
 		return ratelimit.Owner{Name: m.Name}
 	}
@@ -35,7 +36,7 @@
 
 // tickLimits reports ended requests to the owners of rate limits until the context ends.
 func (e *Edge) tickLimits(ctx context.Context) {
-	for clock.SleepAligned(ctx, ratelimit.TickTime) {
+	for clock.SleepAligned(ctx, ratelimit.TickInterval) {
 		e.limits.Tick()
 	}
 }
--- a/process/edge/spare_test.go
+++ b/process/edge/spare_test.go
@@ -61,13 +61,13 @@
 	}{{30, false, false}, {30, true, false}, {100, false, false}, {330, false, true}, {330, true, false}, {985, false, true}} {
 		e, _ := newFleetMember(t, x.instances, x.large)
 		assert.Equal(t, e.isSpare(), x.want, "%d instances, large %t", x.instances, x.large)
-		assert.Equal(t, e.wantsTable("backends"), !x.want)
-		assert.Assert(t, e.wantsTable("operator"))
+		assert.Equal(t, e.subscribesTo("backends"), !x.want)
+		assert.Assert(t, e.subscribesTo("operator"))
 	}
 }
 
 // TestSpareInstanceActivates checks that a spare instance follows the backend servers once callers
-// send keys, a roll-out begins or few large instances are free, and for a while after that.
+// send keys, a rollout begins or few large instances are free, and for a while after that.
 func TestSpareInstanceActivates(t *testing.T) {
 	const instances = 330
 	busy := func(e *Edge, busy bool) {
@@ -81,7 +81,7 @@
 	}
 	for name, x := range map[string]struct{ begin, end func(*Edge) }{
 		"keys":          {func(e *Edge) { e.spare.usesKeys.Store(true) }, func(e *Edge) { e.spare.usesKeys.Store(false) }},
-		"a roll-out":    {func(e *Edge) { e.rolloutState.followRecords.Store(true) }, func(e *Edge) { e.rolloutState.followRecords.Store(false) }},
+		"a rollout":     {func(e *Edge) { e.rolloutState.followRecords.Store(true) }, func(e *Edge) { e.rolloutState.followRecords.Store(false) }},
 		"large busy":    {func(e *Edge) { busy(e, true) }, func(e *Edge) { busy(e, false) }},
 		"few instances": {func(e *Edge) { e.followsInstances.Store(false) }, func(e *Edge) { e.followsInstances.Store(true) }},
 	} {
--- a/process/proxy/limit_test.go
+++ b/process/proxy/limit_test.go
@@ -30,8 +30,8 @@
 }
 
 // TestRateLimitedServiceRefusesImmediatelyWithSpreadRetryAfter guards against requests that queue
-// for a service whose backend servers are all rate-limited, and against callers that are all told
-// to retry at the same moment.
+// for a service whose backend servers are all rate-limited, and against giving all callers
+// the same Retry-After time.
 func TestRateLimitedServiceRefusesImmediatelyWithSpreadRetryAfter(t *testing.T) {
 	f := newFixture(t, 2)
 	f.enableRateLimits()
@@ -104,7 +104,7 @@
 	assert.Assert(t, pick != nil)
 	tx := &transaction{p: f.proxy, c: &call{}}
 	assert.Assert(t, tx.acquirePermit(t.Context(), pick) && tx.permitValid(pick))
-	limiter.RecordAnswer(pick.RateLimitBackend(), 0.001, f.proxy.Now())
+	limiter.RecordResponse(pick.RateLimitBackend(), 0.001, f.proxy.Now())
 	assert.Assert(t, !tx.permitValid(pick))
 }
 
--- a/process/proxy/proxy.go
+++ b/process/proxy/proxy.go
@@ -39,7 +39,7 @@
 	// Limits, if set, enforces the rate limits that backend servers report. Table uses the same
 	// limiter.
 	Limits *ratelimit.Limiter
-	// Rollouts, if set, decides which requests go to the target of a roll-out.
+	// Rollouts, if set, decides which requests go to the target of a rollout.
 	Rollouts *rollout.Controller
 	// Crashes, if set, receives reports of requests that were lost at backend servers.
 	Crashes *crash.Detector
@@ -238,7 +238,7 @@
 	return &r
 }
 
-// body is a request body: buffered whole, or a buffered beginning and an unread rest.
+// body is a request body: buffered whole, or a buffered beginning and an unread remainder.
 type body struct {
 	buffered []byte
 	rest     io.Reader // nil if all of the body is buffered
@@ -246,7 +246,7 @@
 	restUsed bool      // an attempt has started to read rest
 }
 
-// replayable reports whether the body can be sent once more.
+// replayable reports whether the body can be sent again.
 func (b *body) replayable() bool { return b.rest == nil || !b.restUsed }
 
 // reader returns the body for one attempt.
--- a/process/proxy/rollout_fixture_test.go
+++ b/process/proxy/rollout_fixture_test.go
@@ -17,7 +17,7 @@
 	"shalewick/version"
 )
 
-// recorder replaces the roll-outs: it routes attempts to the target as configured, and records
+// recorder replaces the rollouts: it routes attempts to the target as configured, and records
 // their outcomes.
 type recorder struct {
 	routesToTarget bool   // first attempts go to the target
@@ -54,11 +54,11 @@
 	return ""
 }
 
-func (a *recordedAttempt) Decline(over bool) bool {
+func (a *recordedAttempt) Decline(ended bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.declined++
-	return over || !a.previousClosed
+	return ended || !a.previousClosed
 }
 
 func (a *recordedAttempt) Done(o rollout.Outcome) {
--- a/process/quota/account.go
+++ b/process/quota/account.go
@@ -122,7 +122,7 @@
 }
 
 // awaitResponse returns a channel that is closed on the owner's next response, or nil if
-// that can't be expected to bring a token: none was requested, the owner does not respond,
+// that can't be expected to grant a token: none was requested, the owner does not respond,
 // or its bucket was just empty.
 func (a *account) awaitResponse(now time.Duration) <-chan struct{} {
 	if a.pending == nil || a.inFallback() || now < a.exhaustedUntil {
@@ -162,7 +162,7 @@
 // currentShare returns the share as of the last response, and no less than an equal share.
 func (a *account) currentShare() float64 { return max(a.share, a.equalShare) }
 
-// refund takes back the token of a request that has not run.
+// refund returns the token of a request that has not run.
 func (a *account) refund() {
 	if a.unreported >= 1 {
 		a.unreported--
--- a/process/ratelimit/limiter.go
+++ b/process/ratelimit/limiter.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// TickTime is the time between two calls of Tick.
-	TickTime = 250 * time.Millisecond
-	// resendAfter is how long after a permit request it is sent once more, longer than a round
-	// trip to another region. answerTimeout is how long a request waits for the answer.
-	resendAfter   = 80 * time.Millisecond
-	answerTimeout = 160 * time.Millisecond
+	// TickInterval is the time between two calls of Tick.
+	TickInterval = 250 * time.Millisecond
+	// resendAfter is how long after a permit request it is sent again, longer than a round
+	// trip to another region. responseTimeout is how long a request waits for the response.
+	resendAfter     = 80 * time.Millisecond
+	responseTimeout = 160 * time.Millisecond
 	// ownerRetryDelay is how long no permits are requested after an owner did not answer, or was
 	// not the owner.
 	ownerRetryDelay = 200 * time.Millisecond
@@ -33,9 +33,9 @@
 
 // Backend is one incarnation of a backend server.
 type Backend struct {
-	Start  uint64 // identifies the incarnation
-	Name   string
-	Region string
+	IncarnationHash uint64 // identifies the incarnation
+	Name            string
+	Region          string
 }
 
 // Owner is the instance that grants the permits of a backend server.
@@ -54,13 +54,13 @@
 	Now func() time.Duration
 	// Owner returns the owner of an incarnation of a backend server in a region, or one without a
 	// name if it is not known.
-	Owner func(region string, start uint64) Owner
+	Owner func(region string, incarnationHash uint64) Owner
 	// Instances returns how many instances may be live; zero: not known yet.
 	Instances func() int
 	// Send sends a message to an address. Messages may be lost.
 	Send func(address string, message []byte)
 	// OnLimit, if set, is called when a limit starts, changes or, with zero, ends. own is set if
-	// the backend server named it in an answer to this instance. It must not call the limiter.
+	// the backend server named it in a response to this instance. It must not call the limiter.
 	OnLimit func(backend string, limit float64, own bool)
 
 	random         func() float64 // nil: rand.Float64
@@ -87,29 +87,29 @@
 	bucket        *bucket         // nil unless this instance is the owner
 }
 
-// pendingRequest is a permit request that waits for its answer.
+// pendingRequest is a permit request that waits for its response.
 type pendingRequest struct {
 	backend   *backend
 	priority  int
 	sentAt    time.Duration
 	abandoned bool      // no request waits any more: a permit is kept for another one
-	result    chan bool // whether it was granted; buffers the one answer
+	result    chan bool // whether it was granted; buffers the one response
 }
 
-// RecordAnswer records the limit that an answer of a backend server named, zero: none. sent is
+// RecordResponse records the limit that a response of a backend server named, zero: none. sent is
 // when its request was sent.
-func (l *Limiter) RecordAnswer(b Backend, limit float64, sent time.Duration) {
+func (l *Limiter) RecordResponse(b Backend, limit float64, sent time.Duration) {
 	if limit == 0 && !l.active.Load() {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.backends[b.Start]
+	k := l.backends[b.IncarnationHash]
 	if k == nil {
 		if limit == 0 {
 			return
 		}
-		k = l.add(b.Start)
+		k = l.add(b.IncarnationHash)
 	}
 	k.Backend = b
 	l.update(k, observedLimit{limit: float64(float32(limit)), from: sent, to: l.Now()}, true) // rounded as on the wire
@@ -119,23 +119,23 @@
 func (l *Limiter) ApplyLimited(b Backend, at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.backends[b.Start]
+	k := l.backends[b.IncarnationHash]
 	if k == nil {
-		k = l.add(b.Start)
+		k = l.add(b.IncarnationHash)
 	}
 	k.Backend = b
 	l.update(k, gossipedLimit(at), false)
 }
 
 // add creates the state of an incarnation of a backend server. The caller holds the lock.
-func (l *Limiter) add(start uint64) *backend {
+func (l *Limiter) add(incarnationHash uint64) *backend {
 	if l.backends == nil {
 		l.backends = make(map[uint64]*backend)
 		l.pending = make(map[uint32]*pendingRequest)
 		l.seq = rand.Uint32()
 	}
-	k := &backend{Backend: Backend{Start: start}, lastUsed: l.Now()}
-	l.backends[start] = k
+	k := &backend{Backend: Backend{IncarnationHash: incarnationHash}, lastUsed: l.Now()}
+	l.backends[incarnationHash] = k
 	l.active.Store(true)
 	return k
 }
@@ -163,25 +163,25 @@
 }
 
 // Limited reports whether an incarnation of a backend server is limited.
-func (l *Limiter) Limited(start uint64) bool {
+func (l *Limiter) Limited(incarnationHash uint64) bool {
 	if !l.active.Load() {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.backends[start]
+	k := l.backends[incarnationHash]
 	return k != nil && k.observed.limited(l.Now())
 }
 
 // Blocked returns for how long requests of a priority will get no permit for an incarnation of a
 // backend server; zero: it is not limited, or a permit may be requested.
-func (l *Limiter) Blocked(start uint64, priority int) time.Duration {
+func (l *Limiter) Blocked(incarnationHash uint64, priority int) time.Duration {
 	if !l.active.Load() {
 		return 0
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.backends[start]
+	k := l.backends[incarnationHash]
 	now := l.Now()
 	if k == nil || !k.observed.limited(now) || k.hasUnusedPermit(now) {
 		return 0
@@ -223,7 +223,7 @@
 	if d.pending == nil {
 		return d.at, d.granted
 	}
-	for _, wait := range []time.Duration{resendAfter, answerTimeout - resendAfter} {
+	for _, wait := range []time.Duration{resendAfter, responseTimeout - resendAfter} {
 		l.Send(d.address, d.request)
 		select {
 		case granted := <-d.pending.result:
@@ -249,7 +249,7 @@
 
 // decide decides on a request, or creates a permit request. The caller holds the lock.
 func (l *Limiter) decide(b Backend, priority int, now time.Duration) decision {
-	k := l.backends[b.Start]
+	k := l.backends[b.IncarnationHash]
 	if k == nil || !k.observed.limited(now) {
 		return decision{granted: true, at: now}
 	}
@@ -263,7 +263,7 @@
 	if k.blockedFor(priority, now) > 0 {
 		return decision{}
 	}
-	o := l.Owner(b.Region, b.Start)
+	o := l.Owner(b.Region, b.IncarnationHash)
 	switch {
 	case o.Name == "" || l.liveShare(now) == 0:
 		k.block(priority, ownerRetryDelay, now)
@@ -280,7 +280,7 @@
 	l.seq++
 	p := &pendingRequest{backend: k, priority: priority, sentAt: now, result: make(chan bool, 1)}
 	l.pending[l.seq] = p
-	x := permitRequest{seq: l.seq, start: b.Start, priority: byte(min(priority, 0xff)), observed: k.observed, region: b.Region}
+	x := permitRequest{seq: l.seq, incarnationHash: b.IncarnationHash, priority: byte(min(priority, 0xff)), observed: k.observed, region: b.Region}
 	return decision{pending: p, address: o.Address, request: x.encode(kindRequest, now)}
 }
 
@@ -317,8 +317,8 @@
 	return float64(n) / float64(l.maxInstances)
 }
 
-// abandon records that no request waits for the answer any more, and reports whether the answer is
-// still to come.
+// abandon records that no request waits for the response any more, and reports whether the response
+// is still to come.
 func (l *Limiter) abandon(p *pendingRequest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -358,18 +358,18 @@
 
 // Valid reports whether a request to an incarnation of a backend server may be sent now with a
 // permit that is valid from a time.
-func (l *Limiter) Valid(start uint64, at time.Duration) bool {
-	return !l.Limited(start) || at != 0 && l.Now()-at < permitTTL
+func (l *Limiter) Valid(incarnationHash uint64, at time.Duration) bool {
+	return !l.Limited(incarnationHash) || at != 0 && l.Now()-at < permitTTL
 }
 
 // Return returns a permit that was not used.
-func (l *Limiter) Return(start uint64, at time.Duration) {
+func (l *Limiter) Return(incarnationHash uint64, at time.Duration) {
 	if at == 0 || !l.active.Load() {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if k := l.backends[start]; k != nil && k.observed.limited(l.Now()) {
+	if k := l.backends[incarnationHash]; k != nil && k.observed.limited(l.Now()) {
 		k.unusedPermits = append(k.unusedPermits, at)
 	}
 }
@@ -396,13 +396,13 @@
 
 // LastLimited returns when an incarnation of a backend server was last known to be limited. ok is
 // false if that need not be announced to other instances.
-func (l *Limiter) LastLimited(start uint64) (at time.Duration, ok bool) {
+func (l *Limiter) LastLimited(incarnationHash uint64) (at time.Duration, ok bool) {
 	if !l.active.Load() {
 		return 0, false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.backends[start]
+	k := l.backends[incarnationHash]
 	now := l.Now()
 	if k == nil || !k.observed.limited(now) || now-k.observed.lastLimited() >= announceFor {
 		return 0, false
