--- a/cmd/shalewick/standin.go
+++ b/cmd/shalewick/standin.go
@@ -75,7 +75,7 @@
 			var addresses []string
 			var handlers []http.Handler
 			for i := range count {
-				s := &backend.Server{Name: name + strconv.Itoa(i), Slots: slots, Work: work, Queue: queue, Journal: out}
+				s := &backend.Server{Name: name + strconv.Itoa(i), Slots: slots, MeanWork: work, Queue: queue, Journal: out}
 				addresses = append(addresses, netip.AddrPortFrom(first.Addr(), first.Port()+uint16(i)).String())
 				handlers = append(handlers, s.Handler())
 			}
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -39,7 +39,7 @@
 
 // scenario holds the stand-ins and instances of the demonstration.
 type scenario struct {
-	size           fleet.Size
+	size           fleet.Spec
 	platform       *standplatform.Server
 	backends       []*backend.Server
 	addresses      []netip.AddrPort
@@ -100,9 +100,9 @@
 		return err
 	}
 	for i := range s.size.Backends() {
-		server := &backend.Server{Name: s.size.BackendName(i), Slots: s.size.Slots, Work: workTime}
+		server := &backend.Server{Name: s.size.BackendName(i), Slots: s.size.Slots, MeanWork: workTime}
 		if i%2 == 1 {
-			server.Work = 3 * workTime // old hardware
+			server.MeanWork = 3 * workTime // old hardware
 		}
 		a, err := serve(server.Handler())
 		if err != nil {
@@ -132,13 +132,13 @@
 func instanceName(i int) string { return fmt.Sprintf("entry-%d", i) }
 
 func (s *scenario) startInstance(i int, base string) error {
-	ports, err := s.ports.Take(3)
+	ports, err := s.ports.Allocate(3)
 	if err != nil {
 		return err
 	}
 	front, admin := ports[0].String(), ports[2].String()
 	e, err := entry.Start(entry.Settings{
-		Instance: instanceName(i), Hall: s.size.Hall(i), Front: front, Peer: ports[1].String(), Admin: admin,
+		Instance: instanceName(i), Hall: s.size.HallOf(i), Front: front, Peer: ports[1].String(), Admin: admin,
 		Platform: base, Grace: entry.DefaultGrace, LogLevel: "error",
 	}, io.Discard)
 	if err != nil {
@@ -180,9 +180,9 @@
 func (s *scenario) mix() []load.Kind {
 	size := &s.size
 	return []load.Kind{
-		{Name: "read", Service: size.Read, Method: "GET", Path: "/lots", Weight: 80, ResponseSize: 4096, Timeout: 3 * time.Second},
-		{Name: "commit", Service: size.Ledger, Method: "POST", Path: "/bids", Weight: 15, AtMostOnce: true, BodySize: 200, ResponseSize: 200, Timeout: 5 * time.Second},
-		{Name: "upload", Service: size.Upload, Method: "POST", Path: "/videos", Weight: 5, BodySize: 300 << 10, ResponseSize: 100, Timeout: 10 * time.Second},
+		{Name: "read", Service: size.ReadService, Method: "GET", Path: "/lots", Weight: 80, ResponseSize: 4096, Timeout: 3 * time.Second},
+		{Name: "commit", Service: size.LedgerService, Method: "POST", Path: "/bids", Weight: 15, AtMostOnce: true, BodySize: 200, ResponseSize: 200, Timeout: 5 * time.Second},
+		{Name: "upload", Service: size.UploadService, Method: "POST", Path: "/videos", Weight: 5, BodySize: 300 << 10, ResponseSize: 100, Timeout: 10 * time.Second},
 	}
 }
 
@@ -191,7 +191,7 @@
 	var cs []*caller.Client
 	for h := range s.size.Halls() {
 		c := caller.New(s.frontAddresses)
-		c.Address = s.size.Client(h)
+		c.Address = s.size.ClientAddress(h)
 		cs = append(cs, c)
 	}
 	return cs
@@ -205,7 +205,7 @@
 	err = s.apply(ctx, op, version.Resource{
 		Key: version.Key{Kind: version.KindShift, Name: "evening"},
 		Shift: &version.Shift{
-			Service: size.Read, From: size.Regions[0], To: size.Regions[1], Share: 0.5, Cap: 6, Rate: 60,
+			Service: size.ReadService, From: size.Regions[0], To: size.Regions[1], Share: 0.5, Cap: 6, Rate: 60,
 			Ramp: version.Duration(2 * time.Second),
 		},
 	})
@@ -294,7 +294,7 @@
 		fmt.Fprintln(s.out, d)
 	}
 	fmt.Fprintf(s.out, "maximum concurrency at a backend server: %d of %d slots; requests started after a backend server reported that it is leaving: %d\n", peak, slots, afterLeaving)
-	concurrent, perSecond := load.CrossRegionPeaks(records, s.shiftInForceAt, s.size.Read, s.size.Regions[0], s.size.Regions[1], s.serviceAndRegion)
+	concurrent, perSecond := load.CrossRegionPeaks(records, s.shiftInForceAt, s.size.ReadService, s.size.Regions[0], s.size.Regions[1], s.serviceAndRegion)
 	fmt.Fprintf(s.out, "shift: maximum concurrency %d of 6, maximum in one second %d of 60\n", concurrent, perSecond)
 	if report.Faults() > 0 || peak > slots || concurrent > 6 || perSecond > 60 {
 		return errors.New("a guarantee was violated, see above")
--- a/load/load.go
+++ b/load/load.go
@@ -232,7 +232,7 @@
 	ran, done := make(map[string]int), make(map[string]int) // by tag
 	for _, rec := range records {
 		ran[rec.Tag]++
-		if rec.Done {
+		if rec.Completed {
 			done[rec.Tag]++
 		}
 	}
--- a/process/config/commit_test.go
+++ b/process/config/commit_test.go
@@ -43,7 +43,7 @@
 func TestLostCommitResponseIsReadBack(t *testing.T) {
 	s, url := startStandin(t)
 	l := newLog(t, url)
-	s.SetFault(standin.Fault{LoseAnswers: 1})
+	s.SetFault(standin.Fault{LoseResponses: 1})
 	seq, err := l.Commit(context.Background(), regionChange("a", "x", 0), allowAll)
 	assert.NilError(t, err)
 	assert.Equal(t, seq, int64(1))
--- a/process/entry/routes_test.go
+++ b/process/entry/routes_test.go
@@ -104,13 +104,13 @@
 		id := fmt.Sprintf("x%d", i)
 		res, body := f.send("/mix/1", id)
 		assert.Equal(t, res.StatusCode, http.StatusOK)
-		assert.Equal(t, body, server.Body(id))
+		assert.Equal(t, body, server.ResponseBody(id))
 	}
 	assert.Equal(t, f.runCount(0)+f.runCount(1), 30, "three quarters go to s")
 	assert.Equal(t, f.runCount(2), 10)
 	res, body := f.send("/bids/1", "")
 	assert.Equal(t, res.StatusCode, http.StatusOK, "a request without an id gets one")
-	assert.Equal(t, body, server.Body(res.Header.Get(request.HeaderID)))
+	assert.Equal(t, body, server.ResponseBody(res.Header.Get(request.HeaderID)))
 	res, _ = f.send("/none/1", "y")
 	assert.Equal(t, res.StatusCode, http.StatusNotFound)
 }
--- a/process/entry/secure_test.go
+++ b/process/entry/secure_test.go
@@ -45,7 +45,7 @@
 	ours, others := authtest.NewAuthority(t), authtest.NewAuthority(t)
 	var ports fleet.Ports
 	start := func(name string, a *authtest.Authority) *Entry {
-		ps, err := ports.Take(3)
+		ps, err := ports.Allocate(3)
 		assert.NilError(t, err)
 		s := Settings{
 			Instance: name, Hall: "h", Front: ps[0].String(), Peer: ps[1].String(), Admin: ps[2].String(),
--- a/process/front/front_test.go
+++ b/process/front/front_test.go
@@ -64,7 +64,7 @@
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	f := &fixture{backend: &backend.Server{Name: "c1", Slots: 1, Work: time.Millisecond}}
+	f := &fixture{backend: &backend.Server{Name: "c1", Slots: 1, MeanWork: time.Millisecond}}
 	backendServer := httptest.NewServer(f.backend.Handler())
 	t.Cleanup(backendServer.Close)
 	rs, err := version.Parse(fmt.Appendf(nil, documents, backendServer.Listener.Addr()))
@@ -195,7 +195,7 @@
 	r, _ := f.call(t, "GET", "/lots", nil)
 	assert.Equal(t, r.Code, request.OK)
 	rs := f.backend.Records()
-	assert.Assert(t, !rs[0].Done) // the request was cancelled at the backend server
+	assert.Assert(t, !rs[0].Completed) // the request was cancelled at the backend server
 }
 
 func TestPartialRequestBodyIsNotForwarded(t *testing.T) {
@@ -221,7 +221,7 @@
 		ran   request.Ran
 	}{
 		{backend.Fault{WrongID: 1}, request.AnswerWrong, request.RanUnknown},
-		{backend.Fault{Cut: 1}, request.AnswerLost, request.RanUnknown},
+		{backend.Fault{Truncate: 1}, request.AnswerLost, request.RanUnknown},
 		{backend.Fault{Drop: 1}, request.AnswerLost, request.RanUnknown},
 		{backend.Fault{Shed: 1}, request.BackendRefused, request.RanNo},
 		{backend.Fault{SlowMs: 600}, request.DeadlinePassed, request.RanUnknown},
@@ -280,7 +280,7 @@
 
 func TestTruncatedResponseAbortsCallerConnection(t *testing.T) {
 	f := newFixture(t)
-	f.backend.SetFault(backend.Fault{Cut: 1})
+	f.backend.SetFault(backend.Fault{Truncate: 1})
 	req, err := http.NewRequest(http.MethodGet, f.url+"/lots?size=300000", nil)
 	assert.NilError(t, err)
 	req.Header.Set(request.HeaderService, "catalogue")
--- a/process/proxy/account_test.go
+++ b/process/proxy/account_test.go
@@ -40,11 +40,11 @@
 func TestBackendServerErrorIsDeliveredUnchanged(t *testing.T) {
 	for _, path := range []string{"/reads/1", "/bids/1"} {
 		f := newFixture(t, 2)
-		f.failFirstBackend(server.Broken)
+		f.failFirstBackend(server.InternalError)
 		r := f.send("x", path, "body")
 		assert.NilError(t, r.err)
 		assert.Equal(t, r.status, http.StatusInternalServerError)
-		assert.Equal(t, r.body, server.Body("x"))
+		assert.Equal(t, r.body, server.ResponseBody("x"))
 		assert.Equal(t, r.header.Get(request.OwnNames.Seal), "seal-x")
 		assert.Equal(t, len(f.runs()), 2)
 	}
@@ -54,11 +54,11 @@
 // after a while is retried on another one, or refused as not run.
 func TestLateRefusalIsRetriedOrReportedNotRun(t *testing.T) {
 	f := newFixture(t, 2)
-	f.failFirstBackend(server.ShedLate)
+	f.failFirstBackend(server.ShedSlowly)
 	f.assertServed(f.send("x", "/bids/1", "body"), "x")
 	assert.Equal(t, len(f.runs()), 2)
 	for _, s := range f.backends {
-		s.Next(server.ShedLate, server.ShedLate)
+		s.InjectFaults(server.ShedSlowly, server.ShedSlowly)
 	}
 	r := f.send("y", "/bids/1", "body")
 	assert.Equal(t, r.status, http.StatusServiceUnavailable)
--- a/process/proxy/caller_test.go
+++ b/process/proxy/caller_test.go
@@ -166,11 +166,11 @@
 	}
 	f.proxy.Quota.Install(f.table.Routing().Workspaces)
 	for i := range 5 {
-		f.backends[0].Next(server.Shed, server.Shed)
+		f.backends[0].InjectFaults(server.Shed, server.Shed)
 		got := f.sendAs(fmt.Sprint("shed", i), "/reads/1", key("good"))
 		assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	}
-	f.backends[0].Next()
+	f.backends[0].InjectFaults()
 	for i := range 3 {
 		assert.Equal(t, f.sendAs(fmt.Sprint("in", i), "/reads/1", key("good")).status, http.StatusOK)
 	}
--- a/process/proxy/gone_test.go
+++ b/process/proxy/gone_test.go
@@ -74,7 +74,7 @@
 func TestDisconnectBetweenAttemptsStopsRetries(t *testing.T) {
 	f := newFixture(t, 2)
 	for _, s := range f.backends {
-		s.Next(server.ShedLate, server.ShedLate)
+		s.InjectFaults(server.ShedSlowly, server.ShedSlowly)
 	}
 	c := f.sendRaw(rawRequestHead("GET", "/reads/1", "x", ""))
 	time.Sleep(50 * time.Millisecond)
@@ -130,7 +130,7 @@
 		assert.Equal(t, (<-done).status, http.StatusOK)
 	}
 	assert.Assert(t, s.Connections() >= 2)
-	k.Mute()
+	k.Blackhole()
 	lost := f.send("lost", "/bids/1", "offer")
 	assert.Equal(t, lost.status, http.StatusGatewayTimeout)
 	assert.Equal(t, lost.header.Get(request.HeaderRan), "unknown")
--- a/process/proxy/held_test.go
+++ b/process/proxy/held_test.go
@@ -61,7 +61,7 @@
 // others have been cut off.
 func TestMemoryFullIsRefusedImmediately(t *testing.T) {
 	f := newFixture(t, 1)
-	f.backends[0].Size = largeBodySize
+	f.backends[0].PaddingBytes = largeBodySize
 	b := f.limitMemory(1)
 	var log syncBuffer
 	f.proxy.Log = logging.New(&log)
@@ -85,7 +85,7 @@
 // reaches a caller that reads, even though the request's deadline passes meanwhile.
 func TestUnbufferedResponseIsStreamed(t *testing.T) {
 	f := newFixture(t, 1)
-	f.backends[0].Size = largeBodySize
+	f.backends[0].PaddingBytes = largeBodySize
 	b := f.limitMemory(2) // enough for the request but not for its response
 	slow := f.openSlowCaller(slowGetHead, "")
 	time.Sleep(700 * time.Millisecond) // the route's timeout is 600 ms
@@ -105,7 +105,7 @@
 		t.Run(fmt.Sprint(capacity), func(t *testing.T) {
 			t.Parallel()
 			f := newFixture(t, 1)
-			f.backends[0].Size = largeBodySize
+			f.backends[0].PaddingBytes = largeBodySize
 			b := f.limitMemory(capacity)
 			f.openSlowCaller(slowGetHead, "")
 			eventually(t, "memory is held", func() bool { return b.Held(held.Requests) > 0 })
--- a/process/proxy/limit_test.go
+++ b/process/proxy/limit_test.go
@@ -58,7 +58,7 @@
 	}
 	ran := 0
 	for _, s := range f.backends {
-		for _, a := range s.Came() {
+		for _, a := range s.Arrivals() {
 			if a.At.After(from) {
 				ran++
 			}
@@ -82,12 +82,12 @@
 	}
 	from := time.Now()
 	for i := range 100 {
-		healthy.Next(server.Shed)
+		healthy.InjectFaults(server.Shed)
 		f.sendFor(strconv.Itoa(i), fmt.Sprint("r", i), "/reads/1", "")
 		time.Sleep(5 * time.Millisecond)
 	}
 	n := 0
-	for _, a := range limited.Came() {
+	for _, a := range limited.Arrivals() {
 		if a.At.After(from) {
 			n++
 		}
@@ -114,14 +114,14 @@
 	f := newFixture(t, 1)
 	limiter := f.enableRateLimits()
 	f.backends[0].SetLimit(3)
-	f.backends[0].Next(server.Moved)
+	f.backends[0].InjectFaults(server.Misdirected)
 	f.send("moved", "/reads/1", "")
 	assert.Equal(t, limiter.LimitedCount(), 0)
 
 	f = newFixture(t, 1)
 	limiter = f.enableRateLimits()
 	f.backends[0].SetLimit(3)
-	f.backends[0].Next(server.Shed)
+	f.backends[0].InjectFaults(server.Shed)
 	f.send("refused", "/reads/1", "")
 	assert.Equal(t, limiter.LimitedCount(), 1, "the limit in a refusal counts")
 
@@ -159,7 +159,7 @@
 	}
 	callers.Wait()
 	n := 0
-	for _, a := range limited.Came() {
+	for _, a := range limited.Arrivals() {
 		if a.At.After(from.Add(50 * time.Millisecond)) {
 			n++
 		}
--- a/process/proxy/load_test.go
+++ b/process/proxy/load_test.go
@@ -18,7 +18,7 @@
 		f := newFixture(t, 1)
 		var log syncBuffer
 		f.proxy.Log = logging.New(&log)
-		f.backends[0].Pace = pace
+		f.backends[0].Slowdown = pace
 		f.assertServed(f.send("served", "/reads/1", ""), "served")
 		assert.Equal(t, len(log.lines("load-report-skipped")), bad, "pace %q", pace)
 		var metrics strings.Builder
--- a/process/proxy/notice_test.go
+++ b/process/proxy/notice_test.go
@@ -20,7 +20,7 @@
 	f := newFixture(t, 1)
 	var log syncBuffer
 	f.proxy.Log = logging.New(&log)
-	f.backends[0].TurnAway(time.Minute, 1500*time.Millisecond)
+	f.backends[0].RejectAll(time.Minute, 1500*time.Millisecond)
 	assert.Equal(t, f.send("rejected", "/reads/1", "").status, http.StatusServiceUnavailable)
 	refused := log.lines("backend-refused")
 	assert.Equal(t, len(refused), 1)
@@ -29,7 +29,7 @@
 	f = newFixture(t, 1)
 	var other syncBuffer
 	f.proxy.Log = logging.New(&other)
-	f.backends[0].Leave()
+	f.backends[0].SetLeaving()
 	f.assertServed(f.send("served", "/reads/1", ""), "served")
 	answered := other.lines("answered")
 	assert.Equal(t, len(answered), 1)
@@ -44,11 +44,11 @@
 func TestOutcomesOfNoticedRequestsAreCounted(t *testing.T) {
 	f := newFixture(t, 2)
 	for _, s := range f.backends {
-		s.TurnAway(time.Minute, time.Minute)
+		s.RejectAll(time.Minute, time.Minute)
 	}
 	assert.Equal(t, f.send("refused", "/reads/1", "").status, http.StatusServiceUnavailable)
 	g := newFixture(t, 1)
-	g.backends[0].Leave()
+	g.backends[0].SetLeaving()
 	g.assertServed(g.send("served", "/reads/1", ""), "served")
 	var refused, served strings.Builder
 	assert.NilError(t, f.proxy.Metrics.Write(&refused))
@@ -61,8 +61,8 @@
 // taken over the address of the picked one.
 func TestMisdirectedNoticeIsIgnored(t *testing.T) {
 	f := newFixture(t, 1)
-	f.backends[0].Leave()
-	f.backends[0].Next(server.Moved)
+	f.backends[0].SetLeaving()
+	f.backends[0].InjectFaults(server.Misdirected)
 	assert.Equal(t, f.send("moved", "/reads/1", "").status, http.StatusServiceUnavailable)
 	assert.Equal(t, len(f.backends[0].Notices()), 1)
 	var metrics strings.Builder
--- a/process/proxy/proxy_test.go
+++ b/process/proxy/proxy_test.go
@@ -98,7 +98,7 @@
 	f.assertServed(f.send("first", "/reads/1", ""), "first")
 	for _, s := range f.backends {
 		if len(s.Runs()) == 1 {
-			s.Next(fault)
+			s.InjectFaults(fault)
 		}
 	}
 }
@@ -106,7 +106,7 @@
 // shedAll makes all backend servers refuse requests.
 func (f *fixture) shedAll() {
 	for _, s := range f.backends {
-		s.Next(server.Shed, server.Shed, server.Shed)
+		s.InjectFaults(server.Shed, server.Shed, server.Shed)
 	}
 }
 
@@ -154,7 +154,7 @@
 	f.t.Helper()
 	assert.NilError(f.t, r.err)
 	assert.Equal(f.t, r.status, http.StatusOK)
-	assert.Equal(f.t, r.body, server.Body(id))
+	assert.Equal(f.t, r.body, server.ResponseBody(id))
 	assert.Equal(f.t, r.header.Get(request.OwnNames.Seal), "seal-"+id)
 }
 
@@ -180,17 +180,17 @@
 		reads, bids int // expected status; 200 stands for the complete response to this request
 		bidRuns     int
 	}{
-		{"cut", server.Cut, 200, 502, 1},
-		{"lost", server.Lost, 200, 502, 1},
-		{"unresponsive", server.Silent, 504, 504, 1},
-		{"no response", server.NotAnswer, 200, 502, 1},
-		{"unframed", server.Unframed, 200, 200, 1},
-		{"unframed and reset", server.UnframedCut, 200, 502, 1},
-		{"surplus before", server.Surplus, 200, 200, 1},
-		{"surplus after", server.SurplusAfter, 200, 200, 1},
+		{"cut", server.Truncated, 200, 502, 1},
+		{"lost", server.ResetAfterRun, 200, 502, 1},
+		{"unresponsive", server.NoResponse, 504, 504, 1},
+		{"no response", server.NotHTTP, 200, 502, 1},
+		{"unframed", server.CloseDelimited, 200, 200, 1},
+		{"unframed and reset", server.CloseDelimitedReset, 200, 502, 1},
+		{"surplus before", server.ExtraBefore, 200, 200, 1},
+		{"surplus after", server.ExtraAfter, 200, 200, 1},
 		{"shed", server.Shed, 200, 200, 1},
-		{"moved", server.Moved, 200, 200, 1},
-		{"early", server.Early, 200, 200, 1},
+		{"moved", server.Misdirected, 200, 200, 1},
+		{"early", server.RejectEarly, 200, 200, 1},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			f := newFixture(t, 2)
@@ -304,7 +304,7 @@
 	f.backends[0].Work = 500 * time.Millisecond
 	f.sendAndAbandon("x", 100*time.Millisecond)
 	for range 40 {
-		if f.backends[0].Left() == 1 {
+		if f.backends[0].Disconnects() == 1 {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/process/proxy/rollout_failure_test.go
+++ b/process/proxy/rollout_failure_test.go
@@ -22,7 +22,7 @@
 // does not see a server error of the target.
 func TestTargetServerErrorIsRetriedOnVersionInForce(t *testing.T) {
 	x := newRolloutFixture(t)
-	x.new.Next(server.Broken)
+	x.new.InjectFaults(server.InternalError)
 	x.assertServed(x.send("r", "/reads/1", ""), "r")
 	assert.Equal(t, len(x.new.Runs()), 1)
 	assert.Equal(t, len(x.old.Runs()), 1)
@@ -39,10 +39,10 @@
 // not retried.
 func TestTargetServerErrorIsDeliveredIfNotRepeatable(t *testing.T) {
 	x := newRolloutFixture(t)
-	x.new.Next(server.Broken)
+	x.new.InjectFaults(server.InternalError)
 	r := x.send("b", "/bids/1", "an offer")
 	assert.Equal(t, r.status, http.StatusInternalServerError)
-	assert.Equal(t, r.body, server.Body("b"))
+	assert.Equal(t, r.body, server.ResponseBody("b"))
 	assert.Equal(t, len(x.runs()), 1)
 	assert.Assert(t, x.outcome().Failed)
 }
@@ -51,7 +51,7 @@
 func TestVersionInForceServerErrorIsDelivered(t *testing.T) {
 	x := newRolloutFixture(t)
 	x.routesToTarget = false
-	x.old.Next(server.Broken)
+	x.old.InjectFaults(server.InternalError)
 	assert.Equal(t, x.send("r", "/reads/1", "").status, http.StatusInternalServerError)
 	assert.Equal(t, len(x.runs()), 1)
 }
@@ -60,9 +60,9 @@
 // to provide a response.
 func TestTargetServerErrorIsDeliveredIfRetryFails(t *testing.T) {
 	for name, fail := range map[string]func(x *rolloutFixture){
-		"lost":         func(x *rolloutFixture) { x.old.Next(server.Lost) },
-		"refused":      func(x *rolloutFixture) { x.old.Next(server.Shed) },
-		"unresponsive": func(x *rolloutFixture) { x.old.Next(server.Silent) },
+		"lost":         func(x *rolloutFixture) { x.old.InjectFaults(server.ResetAfterRun) },
+		"refused":      func(x *rolloutFixture) { x.old.InjectFaults(server.Shed) },
+		"unresponsive": func(x *rolloutFixture) { x.old.InjectFaults(server.NoResponse) },
 		"absent":       func(x *rolloutFixture) { x.setVersions("v9", "v2") },
 		"one attempt": func(x *rolloutFixture) {
 			x.config.Resources[version.Key{Kind: version.KindRoute, Name: "reads"}].Route.Attempts = 1
@@ -71,11 +71,11 @@
 	} {
 		x := newRolloutFixture(t)
 		fail(x)
-		x.new.Next(server.Broken)
+		x.new.InjectFaults(server.InternalError)
 		r := x.send("r", "/reads/1", "")
 		assert.NilError(t, r.err)
 		assert.Equal(t, r.status, http.StatusInternalServerError, name)
-		assert.Equal(t, r.body, server.Body("r"), name)
+		assert.Equal(t, r.body, server.ResponseBody("r"), name)
 		assert.Equal(t, r.header.Get(request.OwnNames.Seal), "seal-r", name)
 		assert.Assert(t, x.attempts(t)[0].outcomes[0].Failed, name)
 		assert.Equal(t, len(x.log.lines("answered")), 1, name)
@@ -85,8 +85,8 @@
 // TestBothVersionsFail checks that the server error of the version in force is delivered.
 func TestBothVersionsFail(t *testing.T) {
 	x := newRolloutFixture(t)
-	x.new.Next(server.Broken)
-	x.old.Next(server.Broken)
+	x.new.InjectFaults(server.InternalError)
+	x.old.InjectFaults(server.InternalError)
 	r := x.send("r", "/reads/1", "")
 	assert.Equal(t, r.status, http.StatusInternalServerError)
 	assert.Equal(t, len(x.runs()), 2)
@@ -102,11 +102,11 @@
 	x = newRolloutFixture(t)
 	x.new.Work = 450 * time.Millisecond
 	x.old.Work = 500 * time.Millisecond
-	x.new.Next(server.Broken)
+	x.new.InjectFaults(server.InternalError)
 	r := x.send("r", "/reads/1", "")
 	assert.NilError(t, r.err)
 	assert.Equal(t, r.status, http.StatusInternalServerError)
-	assert.Equal(t, r.body, server.Body("r"))
+	assert.Equal(t, r.body, server.ResponseBody("r"))
 }
 
 // TestTargetRetriesStayWithinBudget checks that a target that always fails causes no more retries
@@ -117,15 +117,15 @@
 	x.proxy.RetryBudget.Ratio, x.proxy.RetryBudget.Fixed = ratio, 0
 	faults := make([]server.Fault, requests)
 	for i := range faults {
-		faults[i] = server.Broken
+		faults[i] = server.InternalError
 	}
-	x.new.Next(faults...)
+	x.new.InjectFaults(faults...)
 	failed := 0
 	for i := range requests {
 		id := fmt.Sprint("r", i)
 		r := x.send(id, "/reads/1", "")
 		assert.NilError(t, r.err)
-		assert.Equal(t, r.body, server.Body(id))
+		assert.Equal(t, r.body, server.ResponseBody(id))
 		if r.status != http.StatusOK {
 			failed++
 		}
--- a/process/proxy/rollout_test.go
+++ b/process/proxy/rollout_test.go
@@ -26,7 +26,7 @@
 // to the roll-outs.
 func TestFirstAttemptUsesTarget(t *testing.T) {
 	x := newRolloutFixture(t)
-	x.new.First = 30 * time.Millisecond
+	x.new.UncachedWork = 30 * time.Millisecond
 	x.assertServed(x.send("r", "/reads/1", ""), "r")
 	assert.Equal(t, len(x.new.Runs()), 1)
 	assert.Equal(t, len(x.old.Runs()), 0)
@@ -36,7 +36,7 @@
 	assert.Assert(t, all[0].first && all[0].hasHome && all[0].declined == 0)
 	o := x.outcome()
 	assert.Assert(t, !o.Failed && !o.Inconclusive && o.Unseen && !o.Cold)
-	assert.Assert(t, o.Latency >= x.new.First && o.Latency < 300*time.Millisecond, "%s", o.Latency)
+	assert.Assert(t, o.Latency >= x.new.UncachedWork && o.Latency < 300*time.Millisecond, "%s", o.Latency)
 	x.assertServed(x.send("again", "/reads/1", ""), "again")
 	assert.Assert(t, !x.attempts(t)[1].outcomes[0].Unseen)
 }
@@ -108,7 +108,7 @@
 	assert.Equal(t, x.outcome(), rollout.Outcome{Inconclusive: true})
 	x = newRolloutFixture(t)
 	x.previousClosed = true
-	x.new.Next(server.Broken)
+	x.new.InjectFaults(server.InternalError)
 	assert.Equal(t, x.send("r", "/reads/1", "").status, http.StatusInternalServerError)
 	assert.Equal(t, len(x.old.Runs()), 0)
 }
@@ -149,17 +149,17 @@
 		status         int
 		attempts       int
 	}{
-		{"complete", server.None, false, false, 200, 1},
-		{"own failure", server.Broken, true, false, 500, 1},
-		{"cut", server.Cut, true, false, 502, 1},
-		{"lost", server.Lost, true, false, 502, 1},
-		{"no response", server.NotAnswer, true, false, 502, 1},
-		{"unresponsive", server.Silent, true, false, 504, 1},
-		{"misdirected", server.Moved, true, false, 200, 2},
+		{"complete", server.NoFault, false, false, 200, 1},
+		{"own failure", server.InternalError, true, false, 500, 1},
+		{"cut", server.Truncated, true, false, 502, 1},
+		{"lost", server.ResetAfterRun, true, false, 502, 1},
+		{"no response", server.NotHTTP, true, false, 502, 1},
+		{"unresponsive", server.NoResponse, true, false, 504, 1},
+		{"misdirected", server.Misdirected, true, false, 200, 2},
 		{"refused", server.Shed, false, true, 200, 2},
 	} {
 		x := newRolloutFixture(t)
-		x.new.Next(c.fault)
+		x.new.InjectFaults(c.fault)
 		r := x.send("b", "/bids/1", "an offer")
 		assert.Equal(t, r.status, c.status, c.name)
 		all := x.attempts(t)
@@ -263,7 +263,7 @@
 // the usual response time, at a target that does not respond.
 func TestShortCallerDeadlineIsInconclusive(t *testing.T) {
 	x := newRolloutFixture(t)
-	x.new.Next(server.Silent, server.Silent)
+	x.new.InjectFaults(server.NoResponse, server.NoResponse)
 	x.new.Work = 0
 	assert.Equal(t, x.sendWithDeadline("short", 100*time.Millisecond), http.StatusGatewayTimeout)
 	assert.Assert(t, x.outcome().Inconclusive, "the first request of an object is expected to take longer")
@@ -272,7 +272,7 @@
 		id := fmt.Sprint("w", i)
 		x.assertServed(x.send(id, "/reads/1", ""), id)
 	}
-	x.new.Next(server.Silent)
+	x.new.InjectFaults(server.NoResponse)
 	assert.Equal(t, x.sendWithDeadline("long", 300*time.Millisecond), http.StatusGatewayTimeout)
 	all := x.attempts(t)
 	assert.Equal(t, len(all), 31)
@@ -283,9 +283,9 @@
 func TestVersionIsLoggedAndCounted(t *testing.T) {
 	x := newRolloutFixture(t)
 	x.assertServed(x.send("r1", "/reads/1", ""), "r1")
-	x.new.Next(server.Lost)
+	x.new.InjectFaults(server.ResetAfterRun)
 	x.assertServed(x.send("r2", "/reads/1", ""), "r2")
-	x.new.Next(server.Shed)
+	x.new.InjectFaults(server.Shed)
 	x.assertServed(x.send("r3", "/reads/1", ""), "r3")
 	for event, fields := range map[string][]string{
 		"answered":        {"software=v2", "target=true", "declined=false"},
--- a/process/proxy/suspend_test.go
+++ b/process/proxy/suspend_test.go
@@ -59,12 +59,12 @@
 	f := newFixture(t, 2)
 	suspend := f.simulateSuspension()
 	for _, s := range f.backends {
-		s.Next(server.ShedLate)
+		s.InjectFaults(server.ShedSlowly)
 	}
 	time.AfterFunc(50*time.Millisecond, func() { suspend(5 * time.Second) })
 	r := f.send("expired", "/bids/1", "body")
 	assert.Equal(t, r.status, http.StatusServiceUnavailable)
-	assert.Equal(t, len(f.backends[0].Came())+len(f.backends[1].Came()), 1)
+	assert.Equal(t, len(f.backends[0].Arrivals())+len(f.backends[1].Arrivals()), 1)
 	assert.Equal(t, len(f.runs()), 0)
 }
 
@@ -74,12 +74,12 @@
 	f := newFixture(t, 2)
 	suspend := f.simulateSuspension()
 	for _, s := range f.backends {
-		s.Next(server.ShedLate)
+		s.InjectFaults(server.ShedSlowly)
 	}
 	time.AfterFunc(50*time.Millisecond, func() {
 		suspend(300 * time.Millisecond)
 		for _, s := range f.backends {
-			s.Next()
+			s.InjectFaults()
 		}
 	})
 	f.assertServed(f.send("served", "/reads/1", ""), "served")
--- a/proof/cluster_test.go
+++ b/proof/cluster_test.go
@@ -32,7 +32,7 @@
 // cluster is a whole deployment as separate processes.
 type cluster struct {
 	t        testing.TB
-	size     fleet.Size
+	size     fleet.Spec
 	platform *program.Process
 	base     string              // URL of the platform
 	regions  [3]*program.Process // backends of each region
@@ -66,7 +66,7 @@
 
 // shape says what a cluster is made of.
 type shape struct {
-	size    fleet.Size
+	size    fleet.Spec
 	entries int
 	work    time.Duration
 	// through, if set, returns the address to configure for a backend server.
@@ -102,7 +102,7 @@
 // take returns n adjoining free addresses.
 func (c *cluster) take(n int) []netip.AddrPort {
 	c.t.Helper()
-	ps, err := c.ports.Take(n)
+	ps, err := c.ports.Allocate(n)
 	assert.NilError(c.t, err)
 	return ps
 }
@@ -166,7 +166,7 @@
 func (c *cluster) startEntry(name string, number int) *instance {
 	ps := c.take(3)
 	e := &instance{
-		name: name, hall: c.size.Hall(number),
+		name: name, hall: c.size.HallOf(number),
 		front: ps[0].String(), peer: ps[1].String(), admin: ps[2].String(),
 	}
 	c.listed = append(c.listed, platform.Instance{Name: name, State: platform.StateLive})
@@ -279,7 +279,7 @@
 	var out []*caller.Client
 	for _, h := range hallNumbers {
 		cl := caller.New(known)
-		cl.Address = c.size.Client(h)
+		cl.Address = c.size.ClientAddress(h)
 		out = append(out, cl)
 	}
 	return out
@@ -289,9 +289,9 @@
 func (c *cluster) mix() []load.Kind {
 	s := &c.size
 	return []load.Kind{
-		{Name: "read", Service: s.Read, Method: "GET", Path: "/lots", Weight: 70, ResponseSize: 4096, Timeout: 4 * time.Second},
-		{Name: "commit", Service: s.Ledger, Method: "POST", Path: "/bids", Weight: 20, AtMostOnce: true, BodySize: 200, ResponseSize: 200, Timeout: 6 * time.Second},
-		{Name: "upload", Service: s.Upload, Method: "POST", Path: "/videos", Weight: 10, BodySize: 200 << 10, ResponseSize: 100, Timeout: 12 * time.Second},
+		{Name: "read", Service: s.ReadService, Method: "GET", Path: "/lots", Weight: 70, ResponseSize: 4096, Timeout: 4 * time.Second},
+		{Name: "commit", Service: s.LedgerService, Method: "POST", Path: "/bids", Weight: 20, AtMostOnce: true, BodySize: 200, ResponseSize: 200, Timeout: 6 * time.Second},
+		{Name: "upload", Service: s.UploadService, Method: "POST", Path: "/videos", Weight: 10, BodySize: 200 << 10, ResponseSize: 100, Timeout: 12 * time.Second},
 	}
 }
 
@@ -351,7 +351,7 @@
 	c.t.Helper()
 	most := 0
 	for _, r := range c.records() {
-		most = max(most, r.AtOnce)
+		most = max(most, r.Concurrent)
 	}
 	return most
 }
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -134,7 +134,7 @@
 func TestConfigurationNeverReverts(t *testing.T) {
 	c := newCluster(t, shape{size: fleet.Caroni(), entries: 7})
 	o := &operators{texts: map[int64]string{1: ""}, when: make(map[int64]time.Time)}
-	c.platformFault(standplatform.Fault{LoseAnswers: 0.3, SlowMs: 3})
+	c.platformFault(standplatform.Fault{LoseResponses: 0.3, SlowMs: 3})
 	until := time.Now().Add(14 * time.Second)
 	var all sync.WaitGroup
 	for i := range 4 {
@@ -149,10 +149,10 @@
 		readers.Go(func() { readings[i] = readEntry(e, &stop) })
 	}
 	time.Sleep(2 * time.Second)
-	c.entries[4].Freeze()
+	c.entries[4].Suspend()
 	c.entries[6].Kill()
 	time.Sleep(3 * time.Second)
-	c.entries[4].Thaw()
+	c.entries[4].Resume()
 	c.platformFault(standplatform.Fault{Down: true})
 	time.Sleep(500 * time.Millisecond)
 	o.mu.Lock()
@@ -167,7 +167,7 @@
 	res, err := operator.New([]string{fresh.admin}).Get(context.Background(), version.Key{Kind: version.KindRegion, Name: "north"})
 	assert.NilError(t, err)
 	assert.Assert(t, res.Version >= newest, "fresh has %d, accepted was %d", res.Version, newest)
-	c.platformFault(standplatform.Fault{LoseAnswers: 0.3, SlowMs: 3})
+	c.platformFault(standplatform.Fault{LoseResponses: 0.3, SlowMs: 3})
 	all.Wait()
 	time.Sleep(500 * time.Millisecond)
 	stop.Store(true)
--- a/proof/control_test.go
+++ b/proof/control_test.go
@@ -46,7 +46,7 @@
 	b.Helper()
 	const ticks = 100 // a second, in /proc
 	for _, e := range c.entries {
-		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", e.ID()))
+		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", e.PID()))
 		assert.NilError(b, err)
 		fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+2:]))
 		for _, at := range []int{11, 12} { // user and system time
@@ -90,7 +90,7 @@
 	b.Helper()
 	sum := 0.0
 	for _, e := range c.entries {
-		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", e.ID()))
+		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", e.PID()))
 		assert.NilError(b, err)
 		pages, err := strconv.ParseFloat(strings.Fields(string(stat))[1], 64)
 		assert.NilError(b, err)
--- a/proof/once_test.go
+++ b/proof/once_test.go
@@ -35,14 +35,14 @@
 		if len(tickets) < 2 {
 			tickets = c.takeTickets(b, c.entries[0], 64)
 		}
-		took["none"] += c.timed(b, c.entries[0], http.MethodGet, c.size.Read, "")
-		took["own-ticket"] += c.timed(b, c.entries[0], http.MethodPost, c.size.Ledger, tickets[0])
-		took["passed-on"] += c.timed(b, c.entries[1], http.MethodPost, c.size.Ledger, tickets[1])
+		took["none"] += c.timed(b, c.entries[0], http.MethodGet, c.size.ReadService, "")
+		took["own-ticket"] += c.timed(b, c.entries[0], http.MethodPost, c.size.LedgerService, tickets[0])
+		took["passed-on"] += c.timed(b, c.entries[1], http.MethodPost, c.size.LedgerService, tickets[1])
 		tickets = tickets[2:]
 		start := time.Now()
 		claim := platform.Op{Kind: platform.OpPut, Table: "claims", Key: strconv.Itoa(n), Value: []byte("1")}
 		assert.NilError(b, p.Commit(context.Background(), []platform.Op{claim}))
-		took["claim"] += time.Since(start) + c.timed(b, c.entries[0], http.MethodGet, c.size.Read, "")
+		took["claim"] += time.Since(start) + c.timed(b, c.entries[0], http.MethodGet, c.size.ReadService, "")
 		n++
 	}
 	for way, d := range took {
--- a/proof/path_test.go
+++ b/proof/path_test.go
@@ -41,7 +41,7 @@
 	get := func(host string, h *hdrhistogram.Histogram) {
 		req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+host+"/?size=512", nil)
 		assert.NilError(t, err)
-		req.Header.Set(request.HeaderService, c.size.Read)
+		req.Header.Set(request.HeaderService, c.size.ReadService)
 		start := time.Now()
 		res, err := http.DefaultClient.Do(req)
 		assert.NilError(t, err)
--- a/proof/policy_test.go
+++ b/proof/policy_test.go
@@ -116,7 +116,7 @@
 	var out []string
 	for range policyEntries {
 		e := &baseline{choose: choose}
-		for _, u := range c.backends[:c.size.ReadN] {
+		for _, u := range c.backends[:c.size.ReadBackends] {
 			e.candidates = append(e.candidates, &candidate{pool: &conn.Pool{Address: u.real.String()}})
 		}
 		go e.probe(ctx)
@@ -162,7 +162,7 @@
 	if err != nil {
 		return false
 	}
-	req.Header.Set(request.HeaderService, c.size.Read)
+	req.Header.Set(request.HeaderService, c.size.ReadService)
 	res, err := client.Do(req)
 	if err != nil {
 		return false
@@ -190,7 +190,7 @@
 	size.LinkCap = 200 // the baselines know no caps
 	c := newCluster(b, shape{size: size, entries: policyEntries, work: policyWork, queue: true})
 	capacity := 0.0
-	for i := range size.ReadN {
+	for i := range size.ReadBackends {
 		mean := policyWork
 		if i%2 == 1 {
 			mean += policyOld
--- a/proof/promise_test.go
+++ b/proof/promise_test.go
@@ -36,7 +36,7 @@
 	shift := func(v int64, most, rate int) int64 {
 		return c.apply(version.Resource{
 			Key: version.Key{Kind: version.KindShift, Name: "x"}, Version: v,
-			Shift: &version.Shift{Service: c.size.Read, From: north, To: central, Share: 0.8, Cap: most, Rate: rate},
+			Shift: &version.Shift{Service: c.size.ReadService, From: north, To: central, Share: 0.8, Cap: most, Rate: rate},
 		}).Version
 	}
 	v := shift(0, 8, 60)
@@ -48,9 +48,9 @@
 		c.platformFault(standplatform.Fault{Down: true})
 		c.entries[6].Kill()
 		c.unlist(c.entries[6].name)
-		c.entries[7].Freeze()
+		c.entries[7].Suspend()
 		time.Sleep(5 * time.Second)
-		c.entries[7].Thaw()
+		c.entries[7].Resume()
 		time.Sleep(time.Second)
 		c.platformFault(standplatform.Fault{})
 		shift(v, 4, 30)
@@ -60,12 +60,12 @@
 	})
 	assert.Equal(t, rep.Faults(), 0)
 	records := c.records()
-	atOnce, inSecond := load.CrossRegionPeaks(records, begun, c.size.Read, north, central, c.place)
+	atOnce, inSecond := load.CrossRegionPeaks(records, begun, c.size.ReadService, north, central, c.place)
 	t.Logf("cap 8 at once, 60 a second: %d, %d", atOnce, inSecond)
 	assert.Assert(t, atOnce <= 8 && inSecond <= 60)
 	assert.Assert(t, atOnce >= 2 && inSecond >= 10, "the shift carried too little to show anything")
 	// Requests that began under the old cap end by their deadline.
-	atOnce, inSecond = load.CrossRegionPeaks(records, lowered.Add(c.size.Deadline), c.size.Read, north, central, c.place)
+	atOnce, inSecond = load.CrossRegionPeaks(records, lowered.Add(c.size.Deadline), c.size.ReadService, north, central, c.place)
 	t.Logf("cap 4 at once, 30 a second, until %v after: %d, %d", end.Sub(lowered), atOnce, inSecond)
 	assert.Assert(t, atOnce <= 4 && inSecond <= 30)
 	assert.Assert(t, inSecond >= 5, "the shift carried too little to show anything")
@@ -79,7 +79,7 @@
 	c := newCluster(t, shape{size: fleet.Caroni(), entries: 12, work: work})
 	for i := range c.backends {
 		if i%2 == 0 {
-			c.backendFault(i, backend.Fault{LieIdle: true, SlowMs: 40})
+			c.backendFault(i, backend.Fault{ReportIdle: true, SlowMs: 40})
 		}
 	}
 	o := load.Options{Clients: c.callers(), Rate: 1300, Duration: 14 * time.Second, Mix: c.reads()}
@@ -87,10 +87,10 @@
 	var thawed time.Time
 	rep, _ := c.underLoad(o, func() {
 		time.Sleep(2 * time.Second)
-		c.regions[2].Freeze()
+		c.regions[2].Suspend()
 		time.Sleep(5 * time.Second)
 		thawed = time.Now()
-		c.regions[2].Thaw()
+		c.regions[2].Resume()
 		time.Sleep(2 * time.Second)
 		c.regions[2].Kill()
 		time.Sleep(time.Second)
@@ -98,8 +98,8 @@
 	})
 	assert.Equal(t, rep.Faults(), 0)
 	for _, r := range c.records() {
-		if r.AtOnce > c.size.Slots {
-			t.Logf("%d at once at %s, %v after the region was thawed", r.AtOnce, r.Backend, r.Start.Sub(thawed))
+		if r.Concurrent > c.size.Slots {
+			t.Logf("%d at once at %s, %v after the region was thawed", r.Concurrent, r.Backend, r.Start.Sub(thawed))
 		}
 	}
 	assert.Assert(t, c.peak() == c.size.Slots, "most at once %d of %d", c.peak(), c.size.Slots)
@@ -114,7 +114,7 @@
 	w := &wires{t: t}
 	c := newCluster(t, shape{size: fleet.Kitakaze(), entries: 12, work: 10 * time.Millisecond, through: w.through})
 	for i := range c.backends {
-		faults := []backend.Fault{{LateMs: 30}, {Cut: 0.05}, {WrongID: 0.05}, {Drop: 0.05}, {Shed: 0.2}, {SlowMs: 20}, {}}
+		faults := []backend.Fault{{ResponseDelayMs: 30}, {Truncate: 0.05}, {WrongID: 0.05}, {Drop: 0.05}, {Shed: 0.2}, {SlowMs: 20}, {}}
 		c.backendFault(i, faults[i%len(faults)])
 	}
 	w.cut.Store(150)
@@ -123,18 +123,18 @@
 	o := load.Options{Clients: c.callers(), Rate: 300, Duration: 12 * time.Second, Mix: mix}
 	rep, _ := c.underLoad(o, func() {
 		time.Sleep(2 * time.Second)
-		c.entries[0].Freeze()
+		c.entries[0].Suspend()
 		c.entries[1].Kill()
 		time.Sleep(3 * time.Second)
-		c.entries[0].Thaw()
+		c.entries[0].Resume()
 		c.regions[1].Kill()
-		c.entries[2].Freeze()
+		c.entries[2].Suspend()
 		c.platformFault(standplatform.Fault{Down: true})
 		time.Sleep(time.Second)
 		c.runBackends(1, 10*time.Millisecond)
 		c.entries[2].Kill() // frozen and then killed
 		time.Sleep(2 * time.Second)
-		c.platformFault(standplatform.Fault{LoseAnswers: 0.5, SlowMs: 50})
+		c.platformFault(standplatform.Fault{LoseResponses: 0.5, SlowMs: 50})
 	})
 	assert.Equal(t, rep.Faults(), 0)
 	assert.Assert(t, w.n.Load() > 100, "too few connections were cut")
@@ -163,9 +163,9 @@
 		c.entries[1].Stop(t)
 		c.platformFault(standplatform.Fault{Down: true})
 		c.entries[2].Kill()
-		c.entries[3].Freeze()
+		c.entries[3].Suspend()
 		time.Sleep(2 * time.Second)
-		c.entries[3].Thaw()
+		c.entries[3].Resume()
 		c.entries[4].Stop(t)
 		c.platformFault(standplatform.Fault{})
 	})
@@ -207,14 +207,14 @@
 		leave(0, time.Second)
 		leave(3, time.Second)
 		c.platformFault(standplatform.Fault{Down: true})
-		c.entries[0].Freeze()
-		c.entries[8].Freeze()
+		c.entries[0].Suspend()
+		c.entries[8].Suspend()
 		time.Sleep(time.Second)
 		leave(6, 3*time.Second)
 		leave(8, 3*time.Second)
 		time.Sleep(4 * time.Second)
-		c.entries[0].Thaw()
-		c.entries[8].Thaw()
+		c.entries[0].Resume()
+		c.entries[8].Resume()
 	})
 	assert.Equal(t, rep.Faults(), 0)
 	during := 0
@@ -236,7 +236,7 @@
 func TestPlannedStopsCutNothing(t *testing.T) {
 	c := newCluster(t, shape{size: fleet.Caroni(), entries: 12, work: 20 * time.Millisecond})
 	for i := range c.backends {
-		if c.size.ServiceOf(i) == c.size.Upload {
+		if c.size.ServiceOf(i) == c.size.UploadService {
 			c.backendFault(i, backend.Fault{SlowMs: 4000})
 		}
 	}
@@ -277,7 +277,7 @@
 	}
 	// A caller may have sent a request again that was cut off.
 	for _, r := range c.records() {
-		assert.Assert(t, r.Done, "cut off: %+v", r)
+		assert.Assert(t, r.Completed, "cut off: %+v", r)
 	}
 }
 
@@ -287,7 +287,7 @@
 	time.Sleep(entry.DefaultGrace - 300*time.Millisecond)
 	req, err := http.NewRequest(http.MethodPost, "http://"+e.front+"/videos?size=5", strings.NewReader("video"))
 	assert.Check(t, err)
-	req.Header.Set(request.HeaderService, c.size.Upload)
+	req.Header.Set(request.HeaderService, c.size.UploadService)
 	req.Header.Set(backend.HeaderTag, "whole")
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -309,7 +309,7 @@
 		if err != nil {
 			return nil, err
 		}
-		req.Header.Set(request.HeaderService, c.size.Read)
+		req.Header.Set(request.HeaderService, c.size.ReadService)
 		return http.DefaultClient.Do(req)
 	}
 	for {
--- a/proof/ticket_test.go
+++ b/proof/ticket_test.go
@@ -19,7 +19,7 @@
 func (c *cluster) postTicket(t *testing.T, e *instance, ticket string) string {
 	req, err := http.NewRequest(http.MethodPost, "http://"+e.front+"/bids?size=40", strings.NewReader("bid"))
 	assert.Check(t, err)
-	req.Header.Set(request.HeaderService, c.size.Ledger)
+	req.Header.Set(request.HeaderService, c.size.LedgerService)
 	req.Header.Set(request.HeaderTicket, ticket)
 	req.Header.Set(backend.HeaderTag, "same")
 	res, err := http.DefaultClient.Do(req)
--- a/standin/backend/server.go
+++ b/standin/backend/server.go
@@ -32,39 +32,39 @@
 // Fault is how the stand-in is told to misbehave. Shares are 0 to 1. The zero
 // value is none.
 type Fault struct {
-	SlowMs       int     `json:"slowMs"`       // added to each request's work
-	Shed         float64 `json:"shed"`         // refused without running
-	RetryAfterS  int     `json:"retryAfterS"`  // rest that each refusal asks for
-	Limit        float64 `json:"limit"`        // names it in each answer, in requests a second; 0: none
-	Leaving      bool    `json:"leaving"`      // says that it is leaving
-	LieIdle      bool    `json:"lieIdle"`      // reports no load
-	LateMs       int     `json:"lateMs"`       // answer held back after the work
-	Cut          float64 `json:"cut"`          // answers cut short
-	WrongID      float64 `json:"wrongId"`      // answers with another request's id
-	Drop         float64 `json:"drop"`         // connections closed in place of an answer
-	ColdRequests int     `json:"coldRequests"` // how many next requests are cold
-	ColdMs       int     `json:"coldMs"`       // added to the work of a cold request
+	SlowMs          int     `json:"slowMs"`       // added to each request's work
+	Shed            float64 `json:"shed"`         // refused without running
+	RetryAfterS     int     `json:"retryAfterS"`  // rest that each refusal asks for
+	Limit           float64 `json:"limit"`        // names it in each answer, in requests a second; 0: none
+	Leaving         bool    `json:"leaving"`      // says that it is leaving
+	ReportIdle      bool    `json:"lieIdle"`      // reports no load
+	ResponseDelayMs int     `json:"lateMs"`       // answer held back after the work
+	Truncate        float64 `json:"cut"`          // answers cut short
+	WrongID         float64 `json:"wrongId"`      // answers with another request's id
+	Drop            float64 `json:"drop"`         // connections closed in place of an answer
+	ColdRequests    int     `json:"coldRequests"` // how many next requests are cold
+	ColdMs          int     `json:"coldMs"`       // added to the work of a cold request
 }
 
 // Record is one request that was run.
 type Record struct {
-	Seq     int       `json:"seq"` // its place among the backend server's records
-	Backend string    `json:"backend"`
-	Tag     string    `json:"tag"`
-	Method  string    `json:"method"`
-	Region  string    `json:"region"` // of the instance that sent it
-	Start   time.Time `json:"start"`
-	End     time.Time `json:"end"`
-	AtOnce  int       `json:"atOnce"`  // requests that ran at the start, this one included
-	Leaving bool      `json:"leaving"` // had said that it was leaving, at the start
-	Done    bool      `json:"done"`    // the work was finished, not cancelled
+	Seq        int       `json:"seq"` // its place among the backend server's records
+	Backend    string    `json:"backend"`
+	Tag        string    `json:"tag"`
+	Method     string    `json:"method"`
+	Region     string    `json:"region"` // of the instance that sent it
+	Start      time.Time `json:"start"`
+	End        time.Time `json:"end"`
+	Concurrent int       `json:"atOnce"`  // requests that ran at the start, this one included
+	Leaving    bool      `json:"leaving"` // had said that it was leaving, at the start
+	Completed  bool      `json:"done"`    // the work was finished, not cancelled
 }
 
 // Server is one stand-in. Name, Slots and Work are set before use.
 type Server struct {
-	Name  string
-	Slots int
-	Work  time.Duration // mean time of work for one request
+	Name     string
+	Slots    int
+	MeanWork time.Duration // mean time of work for one request
 	// Queue makes requests beyond the slots wait, as a real backend server does,
 	// up to maxWaiting for each slot; more are shed. Without it they run.
 	Queue bool
@@ -79,7 +79,7 @@
 	inFlight int
 	peak     int
 	records  []Record
-	shed     atomic.Int64
+	refused  atomic.Int64
 }
 
 // SetFault replaces the present fault.
@@ -97,7 +97,7 @@
 }
 
 // Refused returns how many requests were refused without running.
-func (s *Server) Refused() int { return int(s.shed.Load()) }
+func (s *Server) Refused() int { return int(s.refused.Load()) }
 
 // Records returns a copy of what was run.
 func (s *Server) Records() []Record {
@@ -130,7 +130,7 @@
 		_ = json.NewEncoder(w).Encode(s.Peak())
 	})
 	mux.HandleFunc("GET /probe", s.probe)
-	mux.HandleFunc("/", s.work)
+	mux.HandleFunc("/", s.serveWork)
 	return mux
 }
 
@@ -148,14 +148,14 @@
 func (s *Server) probe(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	rep := conn.Report{State: s.fault.state(), Boot: s.boot, InFlight: s.inFlight, Slots: s.Slots}
-	if s.fault.LieIdle {
+	if s.fault.ReportIdle {
 		rep.InFlight = 0
 	}
 	s.mu.Unlock()
 	_ = json.NewEncoder(w).Encode(rep)
 }
 
-func (s *Server) work(w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveWork(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	f := s.fault
 	s.mu.Unlock()
@@ -166,21 +166,21 @@
 	if f.Limit > 0 {
 		h.Set(request.OwnNames.Limit, strconv.FormatFloat(f.Limit, 'g', -1, 64))
 	}
-	if rand.Float64() < f.Shed || s.tooMany() {
+	if rand.Float64() < f.Shed || s.queueFull() {
 		h.Set(request.HeaderNotRun, "true")
 		if f.RetryAfterS > 0 {
 			h.Set("Retry-After", strconv.Itoa(f.RetryAfterS))
 		}
-		s.shed.Add(1)
+		s.refused.Add(1)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	at, cold := s.begin(r)
+	at, cold := s.openRecord(r)
 	start := time.Now()
-	sum, done := s.run(r, cold)
-	s.end(at, done)
+	sum, done := s.execute(r, cold)
+	s.closeRecord(at, done)
 	h.Set(HeaderWork, time.Since(start).String())
-	time.Sleep(time.Duration(f.LateMs) * time.Millisecond)
+	time.Sleep(time.Duration(f.ResponseDelayMs) * time.Millisecond)
 	if !done || rand.Float64() < f.Drop {
 		panic(http.ErrAbortHandler)
 	}
@@ -190,20 +190,20 @@
 		tag = strings.Repeat("?", len(tag)) // the answer to another request
 	}
 	h.Set(HeaderSum, strconv.FormatUint(sum, 16))
-	s.answer(w, r, tag, rand.Float64() < f.Cut)
+	s.respond(w, r, tag, rand.Float64() < f.Truncate)
 }
 
 // maxWaiting is how many requests wait for each slot at most.
-const maxWaiting = 8
+const maxWaitingPerSlot = 8
 
-func (s *Server) tooMany() bool {
+func (s *Server) queueFull() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.Queue && s.inFlight >= s.Slots*(1+maxWaiting)
+	return s.Queue && s.inFlight >= s.Slots*(1+maxWaitingPerSlot)
 }
 
 // begin takes a slot and opens a record; it returns the record's place.
-func (s *Server) begin(r *http.Request) (at int, cold bool) {
+func (s *Server) openRecord(r *http.Request) (at int, cold bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight++
@@ -214,32 +214,32 @@
 	}
 	s.records = append(s.records, Record{
 		Seq: len(s.records), Backend: s.Name, Tag: r.Header.Get(HeaderTag), Method: r.Method,
-		Region: r.Header.Get(request.HeaderRegion), Start: time.Now(), AtOnce: s.inFlight, Leaving: s.fault.Leaving,
+		Region: r.Header.Get(request.HeaderRegion), Start: time.Now(), Concurrent: s.inFlight, Leaving: s.fault.Leaving,
 	})
 	at = len(s.records) - 1
-	s.journal(&s.records[at])
+	s.writeJournal(&s.records[at])
 	return at, cold
 }
 
 // journal writes a record. The caller holds the lock.
-func (s *Server) journal(r *Record) {
+func (s *Server) writeJournal(r *Record) {
 	if s.Journal != nil {
 		_ = json.NewEncoder(s.Journal).Encode(r) // a lost line shows as a fault in the report
 	}
 }
 
 // end gives the slot back and closes the record.
-func (s *Server) end(at int, done bool) {
+func (s *Server) closeRecord(at int, done bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight--
 	s.records[at].End = time.Now()
-	s.records[at].Done = done
-	s.journal(&s.records[at])
+	s.records[at].Completed = done
+	s.writeJournal(&s.records[at])
 }
 
 // run reads the body and works, until done, cancelled or past the deadline.
-func (s *Server) run(r *http.Request, cold bool) (sum uint64, done bool) {
+func (s *Server) execute(r *http.Request, cold bool) (sum uint64, done bool) {
 	ctx := r.Context()
 	if ms, err := strconv.Atoi(r.Header.Get(request.HeaderDeadline)); err == nil {
 		var cancel context.CancelFunc
@@ -259,7 +259,7 @@
 		}
 	}
 	s.mu.Lock()
-	work := time.Duration(float64(s.Work)*(0.5+rand.Float64())) + time.Duration(s.fault.SlowMs)*time.Millisecond
+	work := time.Duration(float64(s.MeanWork)*(0.5+rand.Float64())) + time.Duration(s.fault.SlowMs)*time.Millisecond
 	if cold {
 		work += time.Duration(s.fault.ColdMs) * time.Millisecond
 	}
@@ -275,16 +275,16 @@
 }
 
 // maxSize bounds an answer's body, in bytes.
-const maxSize = 64 << 20
+const maxBodyBytes = 64 << 20
 
 // maxLength is the size up to which an answer says its length, in bytes; larger
 // ones are sent in chunks.
-const maxLength = 128 << 10
+const maxLengthDeclaredBytes = 128 << 10
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, tag string, cut bool) {
+func (s *Server) respond(w http.ResponseWriter, r *http.Request, tag string, cut bool) {
 	size, _ := strconv.Atoi(r.URL.Query().Get("size"))
-	size = min(max(size, len(tag)), maxSize)
-	if size <= maxLength {
+	size = min(max(size, len(tag)), maxBodyBytes)
+	if size <= maxLengthDeclaredBytes {
 		w.Header().Set("Content-Length", strconv.Itoa(size))
 	}
 	w.WriteHeader(http.StatusOK)
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -15,41 +15,41 @@
 )
 
 // Size is the shape of one user's fleet.
-type Size struct {
-	Regions  [3]string
-	Read     string // service for reading
-	Ledger   string // service whose commits may not be repeated
-	Upload   string // service for uploads
-	Latency  time.Duration
-	LinkCap  int
-	Slots    int
-	ReadN    int
-	LedgerN  int
-	UploadN  int
-	Deadline time.Duration // of reads and commits
+type Spec struct {
+	Regions        [3]string
+	ReadService    string // service for reading
+	LedgerService  string // service whose commits may not be repeated
+	UploadService  string // service for uploads
+	Latency        time.Duration
+	LinkCap        int
+	Slots          int
+	ReadBackends   int
+	LedgerBackends int
+	UploadBackends int
+	Deadline       time.Duration // of reads and commits
 }
 
 // Caroni is the fleet of Caroni Gavel.
-func Caroni() Size {
-	return Size{
-		Regions: [3]string{"north", "central", "south"}, Read: "catalogue", Ledger: "ledger", Upload: "media",
-		Latency: 12 * time.Millisecond, LinkCap: 24, Slots: 4, ReadN: 20, LedgerN: 12, UploadN: 12, Deadline: 2 * time.Second,
+func Caroni() Spec {
+	return Spec{
+		Regions: [3]string{"north", "central", "south"}, ReadService: "catalogue", LedgerService: "ledger", UploadService: "media",
+		Latency: 12 * time.Millisecond, LinkCap: 24, Slots: 4, ReadBackends: 20, LedgerBackends: 12, UploadBackends: 12, Deadline: 2 * time.Second,
 	}
 }
 
 // Kitakaze is the fleet of Kitakaze Roster Works.
-func Kitakaze() Size {
-	return Size{
-		Regions: [3]string{"ishikari", "kamikawa", "oshima"}, Read: "roster", Ledger: "assignment", Upload: "claims",
-		Latency: 35 * time.Millisecond, LinkCap: 24, Slots: 4, ReadN: 20, LedgerN: 12, UploadN: 12, Deadline: 2 * time.Second,
+func Kitakaze() Spec {
+	return Spec{
+		Regions: [3]string{"ishikari", "kamikawa", "oshima"}, ReadService: "roster", LedgerService: "assignment", UploadService: "claims",
+		Latency: 35 * time.Millisecond, LinkCap: 24, Slots: 4, ReadBackends: 20, LedgerBackends: 12, UploadBackends: 12, Deadline: 2 * time.Second,
 	}
 }
 
 // Backends is the number of backend servers.
-func (s *Size) Backends() int { return s.ReadN + s.LedgerN + s.UploadN }
+func (s *Spec) Backends() int { return s.ReadBackends + s.LedgerBackends + s.UploadBackends }
 
 // Halls returns the names of the halls, two in each region.
-func (s *Size) Halls() []string {
+func (s *Spec) Halls() []string {
 	var out []string
 	for _, r := range s.Regions {
 		out = append(out, r+"-1", r+"-2")
@@ -59,13 +59,13 @@
 
 // Hall returns the hall of an instance or backend server by its number; one after
 // the other takes the next hall.
-func (s *Size) Hall(i int) string {
+func (s *Spec) HallOf(i int) string {
 	h := s.Halls()
 	return h[i%len(h)]
 }
 
 // Client returns an address in the block of a hall's clients.
-func (s *Size) Client(hall int) string { return fmt.Sprintf("10.%d.0.7", hall%len(s.Halls())) }
+func (s *Spec) ClientAddress(hall int) string { return fmt.Sprintf("10.%d.0.7", hall%len(s.Halls())) }
 
 // UploadDeadline is the deadline of uploads.
 const UploadDeadline = 10 * time.Second
@@ -74,7 +74,7 @@
 const MaxUpload = 256 << 20
 
 // Resources returns the configuration, with backend servers at the addresses.
-func (s *Size) Resources(backends []netip.AddrPort) []version.Resource {
+func (s *Spec) Resources(backends []netip.AddrPort) []version.Resource {
 	var rs []version.Resource
 	for _, r := range s.Regions {
 		rs = append(rs, version.Resource{Key: version.Key{Kind: version.KindRegion, Name: r}, Region: &version.Region{}})
@@ -91,27 +91,27 @@
 	for i, a := range backends {
 		rs = append(rs, version.Resource{
 			Key:     version.Key{Kind: version.KindBackend, Name: s.BackendName(i)},
-			Backend: &version.Backend{Service: s.ServiceOf(i), Hall: s.Hall(i), Address: a, Slots: s.Slots},
+			Backend: &version.Backend{Service: s.ServiceOf(i), Hall: s.HallOf(i), Address: a, Slots: s.Slots},
 		})
 	}
 	return rs
 }
 
 // BackendName returns the name of a backend server by its number.
-func (s *Size) BackendName(i int) string { return fmt.Sprintf("%s-%d", s.ServiceOf(i), i) }
+func (s *Spec) BackendName(i int) string { return fmt.Sprintf("%s-%d", s.ServiceOf(i), i) }
 
 // ServiceOf returns the service of a backend server by its number.
-func (s *Size) ServiceOf(i int) string {
+func (s *Spec) ServiceOf(i int) string {
 	switch {
-	case i < s.ReadN:
-		return s.Read
-	case i < s.ReadN+s.LedgerN:
-		return s.Ledger
+	case i < s.ReadBackends:
+		return s.ReadService
+	case i < s.ReadBackends+s.LedgerBackends:
+		return s.LedgerService
 	}
-	return s.Upload
+	return s.UploadService
 }
 
-func (s *Size) services() []version.Resource {
+func (s *Spec) services() []version.Resource {
 	d := version.Duration(s.Deadline)
 	read := version.ServiceRoute{Prefix: "/", Methods: []string{"GET", "HEAD"}, Class: request.ClassRead, Repeatable: true, Deadline: d}
 	commit := version.ServiceRoute{Prefix: "/", Methods: []string{"POST"}, Class: request.ClassCommit, Deadline: d}
@@ -125,10 +125,10 @@
 			Service: &version.Service{Hosts: []string{name + ".example"}, Routes: routes},
 		}
 	}
-	return []version.Resource{service(s.Read, read), service(s.Ledger, commit, read), service(s.Upload, upload, read)}
+	return []version.Resource{service(s.ReadService, read), service(s.LedgerService, commit, read), service(s.UploadService, upload, read)}
 }
 
-func (s *Size) links() []version.Resource {
+func (s *Spec) links() []version.Resource {
 	var rs []version.Resource
 	for _, from := range s.Regions {
 		for _, to := range s.Regions {
--- a/standin/fleet/ports.go
+++ b/standin/fleet/ports.go
@@ -28,10 +28,10 @@
 var loopback = netip.AddrFrom4([4]byte{127, 0, 0, 1})
 
 // Take returns n adjoining loopback addresses that nothing listens on.
-func (p *Ports) Take(n int) ([]netip.AddrPort, error) { return p.TakeAt(loopback, n) }
+func (p *Ports) Allocate(n int) ([]netip.AddrPort, error) { return p.AllocateAt(loopback, n) }
 
 // TakeAt returns n adjoining ports of an IP number that nothing listens on.
-func (p *Ports) TakeAt(ip netip.Addr, n int) ([]netip.AddrPort, error) {
+func (p *Ports) AllocateAt(ip netip.Addr, n int) ([]netip.AddrPort, error) {
 	if p.next == 0 {
 		p.next = firstPort + rand.IntN(lastPort-firstPort)
 	}
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -19,15 +19,15 @@
 
 // The modes. What is held in Silent and OneWay is passed on once the mode ends.
 const (
-	Pass   Mode = iota
-	Slow        // each piece is late by SlowBy
-	Silent      // nothing is passed on
-	OneWay      // nothing is passed back
-	Refuse      // new connections are reset
+	Forward     Mode = iota
+	Delayed          // each piece is late by SlowBy
+	Blocked          // nothing is passed on
+	BlockedBack      // nothing is passed back
+	Refuse           // new connections are reset
 )
 
 // SlowBy is how late a slow link passes bytes on.
-const SlowBy = 80 * time.Millisecond
+const Delay = 80 * time.Millisecond
 
 // Link is one proxy. Use Start.
 type Link struct {
@@ -59,7 +59,7 @@
 }
 
 // Set changes the mode.
-func (k *Link) Set(m Mode) {
+func (k *Link) SetMode(m Mode) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.mode = m
@@ -68,7 +68,7 @@
 }
 
 // Cut resets all connections.
-func (k *Link) Cut() {
+func (k *Link) ResetAll() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for c := range k.conns {
@@ -82,7 +82,7 @@
 	k.mu.Lock()
 	_ = k.listener.Close()
 	k.mu.Unlock()
-	k.Cut()
+	k.ResetAll()
 }
 
 // Up ends Down, at the same address.
@@ -100,7 +100,7 @@
 
 // Mute makes the connections that are open now silent for good, both ways and without
 // a reset. New ones work.
-func (k *Link) Mute() {
+func (k *Link) Blackhole() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for c := range k.conns {
@@ -108,7 +108,7 @@
 	}
 }
 
-func (k *Link) muted(c net.Conn) bool {
+func (k *Link) blackholed(c net.Conn) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.conns[c]
@@ -120,8 +120,8 @@
 	_ = k.listener.Close()
 	k.closed = true
 	k.mu.Unlock()
-	k.Set(Pass)
-	k.Cut()
+	k.SetMode(Forward)
+	k.ResetAll()
 }
 
 func reset(c net.Conn) {
@@ -149,13 +149,13 @@
 			reset(in)
 			continue
 		}
-		k.hold(in, out)
-		go k.pass(out, in, false)
-		go k.pass(in, out, true)
+		k.track(in, out)
+		go k.forward(out, in, false)
+		go k.forward(in, out, true)
 	}
 }
 
-func (k *Link) hold(cs ...net.Conn) {
+func (k *Link) track(cs ...net.Conn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, c := range cs {
@@ -164,14 +164,14 @@
 }
 
 // await waits until bytes may go on, back or forth.
-func (k *Link) await(back bool) {
+func (k *Link) waitUnblocked(back bool) {
 	for {
 		k.mu.Lock()
 		mode, changed, closed := k.mode, k.changed, k.closed
 		k.mu.Unlock()
-		held := mode == Silent || mode == OneWay && back
-		if mode == Slow {
-			time.Sleep(SlowBy)
+		held := mode == Blocked || mode == BlockedBack && back
+		if mode == Delayed {
+			time.Sleep(Delay)
 		}
 		if !held || closed {
 			return
@@ -181,12 +181,12 @@
 }
 
 // pass copies from one side to the other until one of them ends.
-func (k *Link) pass(to, from net.Conn, back bool) {
+func (k *Link) forward(to, from net.Conn, back bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !k.muted(from) {
-			k.await(back)
+		if n > 0 && !k.blackholed(from) {
+			k.waitUnblocked(back)
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				err = werr
 			}
@@ -194,8 +194,8 @@
 		if err == nil {
 			continue
 		}
-		k.await(back)
-		if k.muted(from) {
+		k.waitUnblocked(back)
+		if k.blackholed(from) {
 			return // the other side hears nothing of it; Close ends it
 		}
 		if err == io.EOF {
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -26,24 +26,24 @@
 	Rate float64 `json:"rate"`
 	// LoseAnswers is the share of commits whose answer is lost after the
 	// write took effect, 0 to 1.
-	LoseAnswers float64 `json:"loseAnswers"`
+	LoseResponses float64 `json:"loseAnswers"`
 	// LagMs is how far the list of instances lags, in milliseconds.
 	LagMs int `json:"lagMs"`
 }
 
 // Server is the stand-in. The zero value is ready to use.
 type Server struct {
-	mu       sync.Mutex
-	tables   map[string]map[string]platform.Row
-	revision int64
-	objects  map[string][]byte
-	lists    []datedList // oldest first
-	fault    Fault
-	limit    *rate.Limiter
-	counts   map[string]int64
+	mu            sync.Mutex
+	tables        map[string]map[string]platform.Row
+	revision      int64
+	objects       map[string][]byte
+	instanceLists []instanceList // oldest first
+	fault         Fault
+	limiter       *rate.Limiter
+	counts        map[string]int64
 }
 
-type datedList struct {
+type instanceList struct {
 	since time.Time
 	list  []platform.Instance
 }
@@ -53,9 +53,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
-	s.limit = nil
+	s.limiter = nil
 	if f.Rate > 0 {
-		s.limit = rate.NewLimiter(rate.Limit(f.Rate), max(1, int(f.Rate)))
+		s.limiter = rate.NewLimiter(rate.Limit(f.Rate), max(1, int(f.Rate)))
 	}
 }
 
@@ -63,7 +63,7 @@
 func (s *Server) SetInstances(list []platform.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lists = append(s.lists, datedList{since: time.Now(), list: list})
+	s.instanceLists = append(s.instanceLists, instanceList{since: time.Now(), list: list})
 }
 
 // Counts returns the calls served so far, by kind.
@@ -93,20 +93,20 @@
 		}
 	})
 	mux.HandleFunc("GET /standin/count", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Counts()) })
-	mux.HandleFunc("GET /v1/tables/{table}/{key}", s.faulty("get", s.get))
-	mux.HandleFunc("GET /v1/tables/{table}", s.faulty("scan", s.scan))
-	mux.HandleFunc("POST /v1/commit", s.faulty("commit", s.commit))
-	mux.HandleFunc("GET /v1/objects/{name}", s.faulty("getObject", s.getObject))
-	mux.HandleFunc("PUT /v1/objects/{name}", s.faulty("putObject", s.putObject))
-	mux.HandleFunc("GET /v1/instances", s.faulty("instances", s.instances))
+	mux.HandleFunc("GET /v1/tables/{table}/{key}", s.withFault("get", s.get))
+	mux.HandleFunc("GET /v1/tables/{table}", s.withFault("scan", s.scan))
+	mux.HandleFunc("POST /v1/commit", s.withFault("commit", s.commit))
+	mux.HandleFunc("GET /v1/objects/{name}", s.withFault("getObject", s.getObject))
+	mux.HandleFunc("PUT /v1/objects/{name}", s.withFault("putObject", s.putObject))
+	mux.HandleFunc("GET /v1/instances", s.withFault("instances", s.instances))
 	return mux
 }
 
 // faulty wraps a call in the present fault.
-func (s *Server) faulty(kind string, h http.HandlerFunc) http.HandlerFunc {
+func (s *Server) withFault(kind string, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		f, limit := s.fault, s.limit
+		f, limit := s.fault, s.limiter
 		if s.counts == nil {
 			s.counts = make(map[string]int64)
 		}
@@ -157,7 +157,7 @@
 	}
 	s.mu.Lock()
 	ok := s.apply(ops)
-	lose := s.fault.LoseAnswers
+	lose := s.fault.LoseResponses
 	s.mu.Unlock()
 	if rand.Float64() < lose {
 		panic(http.ErrAbortHandler)
@@ -224,7 +224,7 @@
 	s.mu.Lock()
 	then := time.Now().Add(-time.Duration(s.fault.LagMs) * time.Millisecond)
 	list := []platform.Instance{}
-	for _, l := range s.lists {
+	for _, l := range s.instanceLists {
 		if !l.since.After(then) {
 			list = l.list
 		}
--- a/standin/program/program.go
+++ b/standin/program/program.go
@@ -19,7 +19,7 @@
 )
 
 // stopBound is the longest that a planned stop may take.
-const stopBound = 40 * time.Second
+const maxStopTime = 40 * time.Second
 
 // Build builds the commands of this module that match a pattern, such as
 // shalewick/cmd/..., into a folder. Race builds them with the race detector,
@@ -57,24 +57,24 @@
 		_ = f.Close()
 		close(p.done)
 	}()
-	t.Cleanup(func() { p.end(t, name) })
+	t.Cleanup(func() { p.cleanup(t, name) })
 	return p
 }
 
 // broken are the words that the runtime writes when a program is broken.
-var broken = []string{"DATA RACE", "panic:", "fatal error:"}
+var crashMarkers = []string{"DATA RACE", "panic:", "fatal error:"}
 
 // logEnd is how much of a log is printed, in bytes.
-const logEnd = 4000
+const logTailBytes = 4000
 
-func (p *Process) end(t testing.TB, name string) {
+func (p *Process) cleanup(t testing.TB, name string) {
 	p.Kill()
 	b := p.Log(t)
-	for _, word := range broken {
+	for _, word := range crashMarkers {
 		assert.Check(t, !bytes.Contains(b, []byte(word)), "see the log of %s", name)
 	}
 	if t.Failed() {
-		t.Logf("log of %s:\n%s", name, b[max(0, len(b)-logEnd):])
+		t.Logf("log of %s:\n%s", name, b[max(0, len(b)-logTailBytes):])
 	}
 }
 
@@ -86,7 +86,7 @@
 }
 
 // ID returns the number of the process.
-func (p *Process) ID() int { return p.cmd.Process.Pid }
+func (p *Process) PID() int { return p.cmd.Process.Pid }
 
 // Done is closed when the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
@@ -101,10 +101,10 @@
 func (p *Process) Signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
 // Freeze makes the process stand still until Thaw.
-func (p *Process) Freeze() { p.Signal(syscall.SIGSTOP) }
+func (p *Process) Suspend() { p.Signal(syscall.SIGSTOP) }
 
 // Thaw lets a frozen process go on.
-func (p *Process) Thaw() { p.Signal(syscall.SIGCONT) }
+func (p *Process) Resume() { p.Signal(syscall.SIGCONT) }
 
 // Stop ends the process as planned and returns how long it took.
 func (p *Process) Stop(t testing.TB) time.Duration {
@@ -113,7 +113,7 @@
 	p.Signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
-	case <-time.After(stopBound):
+	case <-time.After(maxStopTime):
 		t.Fatal("a planned stop did not end")
 	}
 	return time.Since(start)
--- a/standin/server/badness_test.go
+++ b/standin/server/badness_test.go
@@ -20,9 +20,9 @@
 	testRequests = 200
 )
 
-func startServer(t *testing.T, bad Badness) *Server {
+func startServer(t *testing.T, bad Defect) *Server {
 	t.Helper()
-	s := &Server{Name: "i", Names: request.OwnNames, Slots: 8, Queue: 100, Work: testWork, Software: "2.0", Bad: bad, Seed: 7}
+	s := &Server{Name: "i", Names: request.OwnNames, Slots: 8, Queue: 100, Work: testWork, Software: "2.0", Defect: bad, Seed: 7}
 	assert.NilError(t, s.Start())
 	t.Cleanup(s.Kill)
 	return s
@@ -62,45 +62,45 @@
 // and what is counted.
 func TestShareOfAnswersFails(t *testing.T) {
 	begun := time.Now()
-	s := startServer(t, Badness{Fails: 0.4})
+	s := startServer(t, Defect{FailureFraction: 0.4})
 	got := failures(t, s, "/a")
 	assert.Assert(t, len(got) > testRequests*3/10 && len(got) < testRequests/2, "%d of %d", len(got), testRequests)
-	assert.DeepEqual(t, failures(t, startServer(t, Badness{Fails: 0.4}), "/a"), got)
-	assert.Equal(t, len(s.BadAnswers()), len(got))
-	assert.Equal(t, len(s.Arrivals()), testRequests)
+	assert.DeepEqual(t, failures(t, startServer(t, Defect{FailureFraction: 0.4}), "/a"), got)
+	assert.Equal(t, len(s.DefectiveResponses()), len(got))
+	assert.Equal(t, len(s.ArrivalTimes()), testRequests)
 	sum := 0
-	for _, n := range s.PerSecond(begun, 60) {
+	for _, n := range s.ArrivalsPerSecond(begun, 60) {
 		sum += n
 	}
 	assert.Equal(t, sum, testRequests)
 }
 
 func TestSlowedShareTakesLonger(t *testing.T) {
-	s := startServer(t, Badness{Slower: 8, Share: 0.5})
+	s := startServer(t, Defect{SlowdownFactor: 8, SlowFraction: 0.5})
 	slow := 0
 	for i := range 40 {
 		if _, took := ask(t, s, fmt.Sprint(i), "/a"); took >= 8*testWork {
 			slow++
 		}
 	}
-	assert.Assert(t, slow >= len(s.BadAnswers()) && len(s.BadAnswers()) > 10 && len(s.BadAnswers()) < 30, "%d of 40, %d slowed", slow, len(s.BadAnswers()))
-	assert.Assert(t, !s.BadAnswers()[0].Failed)
+	assert.Assert(t, slow >= len(s.DefectiveResponses()) && len(s.DefectiveResponses()) > 10 && len(s.DefectiveResponses()) < 30, "%d of 40, %d slowed", slow, len(s.DefectiveResponses()))
+	assert.Assert(t, !s.DefectiveResponses()[0].Failed)
 }
 
 func TestBadnessHasAnOnsetAndAPath(t *testing.T) {
-	s := startServer(t, Badness{Fails: 1, Path: "/b/"})
-	s.SetBadness(s.Bad, time.Now())
+	s := startServer(t, Defect{FailureFraction: 1, PathPrefix: "/b/"})
+	s.SetDefect(s.Defect, time.Now())
 	assert.Equal(t, len(failures(t, s, "/a/x")), 0)
 	assert.Equal(t, len(failures(t, s, "/b/x")), testRequests)
-	s.SetBadness(Badness{Fails: 1, After: time.Hour}, time.Now())
+	s.SetDefect(Defect{FailureFraction: 1, Onset: time.Hour}, time.Now())
 	assert.Equal(t, len(failures(t, s, "/a/x")), 0)
-	s.SetBadness(Badness{Fails: 1, After: time.Hour}, time.Now().Add(-time.Hour))
+	s.SetDefect(Defect{FailureFraction: 1, Onset: time.Hour}, time.Now().Add(-time.Hour))
 	assert.Equal(t, len(failures(t, s, "/a/x")), testRequests)
 }
 
 // TestBadOnlyWhenBusy asks one at a time, and then many at once.
 func TestBadOnlyWhenBusy(t *testing.T) {
-	s := startServer(t, Badness{Fails: 1, WhenBusy: 3})
+	s := startServer(t, Defect{FailureFraction: 1, MinRunning: 3})
 	assert.Equal(t, len(failures(t, s, "/a")), 0)
 	var all sync.WaitGroup
 	for c := range 6 {
@@ -111,12 +111,12 @@
 		})
 	}
 	all.Wait()
-	assert.Assert(t, len(s.BadAnswers()) > 0)
+	assert.Assert(t, len(s.DefectiveResponses()) > 0)
 }
 
 // TestKillCutsWhatIsInFlight kills the backend server while it works.
 func TestKillCutsWhatIsInFlight(t *testing.T) {
-	s := startServer(t, Badness{Slower: 100})
+	s := startServer(t, Defect{SlowdownFactor: 100})
 	time.AfterFunc(20*time.Millisecond, s.Kill)
 	req, err := http.NewRequest(http.MethodPost, "http://"+s.Address()+"/a", nil)
 	assert.NilError(t, err)
@@ -128,7 +128,7 @@
 }
 
 func TestAnnouncementNamesTheVersion(t *testing.T) {
-	s := startServer(t, Badness{})
+	s := startServer(t, Defect{})
 	want := fmt.Sprintf(`{"address":%q,"info":{"service":"s","zone":"z","slots":8,"version":"2.0"},"status":{"state":"ready","sequence":1,"coldRemainingS":0}}`, s.Address())
-	assert.Equal(t, s.Announcement(Row{Service: "s", Zone: "z", State: "ready"}), want)
+	assert.Equal(t, s.RowValue(Row{Service: "s", Zone: "z", State: "ready"}), want)
 }
--- a/standin/server/notice.go
+++ b/standin/server/notice.go
@@ -10,9 +10,9 @@
 
 // Arrival is a request that came, whatever became of it.
 type Arrival struct {
-	ID    string
-	At    time.Time
-	Start int // how often the backend server had been started again
+	ID       string
+	At       time.Time
+	Restarts int // how often the backend server had been started again
 }
 
 // Notice is an answer in which the backend server said that it leaves, asked for a backoff, or named
@@ -20,30 +20,30 @@
 type Notice struct {
 	ID         string // of the request
 	At         time.Time
-	Start      int // how often the backend server had been started again
+	Restarts   int // how often the backend server had been started again
 	Leaving    bool
 	RetryAfter time.Duration
 	Limit      float64 // requests a second; zero: it named none
 }
 
 // Leave makes each answer from now on say that the backend server leaves. It serves on.
-func (s *Server) Leave() {
+func (s *Server) SetLeaving() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaves = true
+	s.leaving = true
 }
 
 // TurnAway makes the backend server refuse everything for a time, asking for a backoff in each
 // refusal. Its load reports say that it is idle, as it is.
-func (s *Server) TurnAway(d, retryAfter time.Duration) {
+func (s *Server) RejectAll(d, retryAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = time.Now().Add(d)
+	s.rejectUntil = time.Now().Add(d)
 	s.retryAfter = retryAfter
 }
 
 // HeaderName is a header of the stand-in's own: answers that name a rate limit say whose it is.
-const HeaderName = "Standin-Name"
+const HeaderServerName = "Standin-Name"
 
 // SetLimit makes each answer from now on name a rate limit in requests a second; zero: none.
 func (s *Server) SetLimit(limit float64) {
@@ -54,11 +54,11 @@
 
 // notice returns the header lines that tell of the backend server's notices, for the answer
 // to a request, and notes them.
-func (s *Server) notice(id string, f Fault) (lines string) {
+func (s *Server) noticeHeaders(id string, f Fault) (lines string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := Notice{ID: id, At: time.Now(), Start: s.started, Leaving: s.leaves, Limit: s.limit}
-	if f == Shed && n.At.Before(s.away) {
+	n := Notice{ID: id, At: time.Now(), Restarts: s.restarts, Leaving: s.leaving, Limit: s.limit}
+	if f == Shed && n.At.Before(s.rejectUntil) {
 		n.RetryAfter = s.retryAfter
 	}
 	if n.Leaving {
@@ -68,24 +68,24 @@
 		lines += fmt.Sprintf("Retry-After: %g\r\n", n.RetryAfter.Seconds())
 	}
 	if n.Limit > 0 {
-		lines += fmt.Sprintf("%s: %g\r\n%s: %s\r\n", s.Names.Limit, n.Limit, HeaderName, s.Name)
+		lines += fmt.Sprintf("%s: %g\r\n%s: %s\r\n", s.Names.Limit, n.Limit, HeaderServerName, s.Name)
 	}
 	if lines != "" {
-		s.noticed = append(s.noticed, n)
+		s.notices = append(s.notices, n)
 	}
 	return lines
 }
 
 // Came returns the requests that came, by rising time, also those that were refused.
-func (s *Server) Came() []Arrival {
+func (s *Server) Arrivals() []Arrival {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.sent)
+	return slices.Clone(s.arrivals)
 }
 
 // Notices returns the answers with a notice, by rising time.
 func (s *Server) Notices() []Notice {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.noticed)
+	return slices.Clone(s.notices)
 }
--- a/standin/server/row.go
+++ b/standin/server/row.go
@@ -6,16 +6,16 @@
 
 // Row is what a backend server says of itself in the users' table.
 type Row struct {
-	Address string // "": its own
-	Service string
-	Zone    string
-	State   string // "ready" takes work
-	Cold    float64
-	Born    bool // the row says when the backend server was started
+	Address          string // "": its own
+	Service          string
+	Zone             string
+	State            string // "ready" takes work
+	ColdRemainingS   float64
+	IncludeStartTime bool // the row says when the backend server was started
 }
 
 // Announcement returns the value of the backend server's row.
-func (s *Server) Announcement(r Row) string {
+func (s *Server) RowValue(r Row) string {
 	type info struct {
 		Service string `json:"service"`
 		Zone    string `json:"zone"`
@@ -31,9 +31,9 @@
 		r.Address = s.Address()
 	}
 	born := int64(0)
-	if r.Born {
+	if r.IncludeStartTime {
 		s.mu.Lock()
-		born = s.born.UnixMilli()
+		born = s.startedAt.UnixMilli()
 		s.mu.Unlock()
 	}
 	text, err := json.Marshal(struct {
@@ -42,7 +42,7 @@
 		Info    info   `json:"info"`
 		Status  status `json:"status"`
 	}{
-		r.Address, born, info{r.Service, r.Zone, s.Slots, s.Software}, status{r.State, 1, r.Cold},
+		r.Address, born, info{r.Service, r.Zone, s.Slots, s.Software}, status{r.State, 1, r.ColdRemainingS},
 	})
 	if err != nil {
 		panic(err) // it holds nothing that can't be encoded
--- a/standin/server/serve.go
+++ b/standin/server/serve.go
@@ -21,14 +21,14 @@
 		if err != nil {
 			return
 		}
-		if s.hold(c) {
+		if s.track(c) {
 			go s.serve(c)
 		}
 	}
 }
 
 // hold counts a connection and keeps it for Kill. It reports whether it is served.
-func (s *Server) hold(c net.Conn) bool {
+func (s *Server) track(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.opened++
@@ -36,42 +36,42 @@
 		_ = c.Close()
 		return false
 	}
-	s.open[c] = true
+	s.conns[c] = true
 	return true
 }
 
-func (s *Server) letGo(c net.Conn) {
+func (s *Server) closeConn(c net.Conn) {
 	_ = c.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, c)
+	delete(s.conns, c)
 }
 
 func (s *Server) serve(c net.Conn) {
-	defer s.letGo(c)
+	defer s.closeConn(c)
 	r := bufio.NewReader(c)
 	for {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		if !s.answer(c, r, req) {
+		if !s.handle(c, r, req) {
 			return
 		}
 	}
 }
 
 // queueStep is the time between two looks at whether a slot is free.
-const queueStep = time.Millisecond
+const queuePollInterval = time.Millisecond
 
 // begin takes a fault and, unless it means that nothing runs, a slot, for which
 // it may wait.
-func (s *Server) begin(req *http.Request) (f Fault, load string, ok bool) {
+func (s *Server) acquireSlot(req *http.Request) (f Fault, load string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f, load, ok = s.arrive(req)
+	f, load, ok = s.admit(req)
 	if !ok || s.running < s.Slots {
-		return f, load, ok && s.take()
+		return f, load, ok && s.takeSlot()
 	}
 	if s.waiting >= s.Queue {
 		return Shed, load, false
@@ -79,74 +79,74 @@
 	s.waiting++
 	for s.running >= s.Slots {
 		s.mu.Unlock()
-		time.Sleep(queueStep)
+		time.Sleep(queuePollInterval)
 		s.mu.Lock()
 	}
 	s.waiting--
-	return f, load, s.take()
+	return f, load, s.takeSlot()
 }
 
-func (s *Server) take() bool {
+func (s *Server) takeSlot() bool {
 	s.running++
-	s.most = max(s.most, s.running)
+	s.maxRunning = max(s.maxRunning, s.running)
 	return true
 }
 
 // arrive takes the fault of a request, and reports whether it may run.
-func (s *Server) arrive(req *http.Request) (f Fault, load string, ok bool) {
+func (s *Server) admit(req *http.Request) (f Fault, load string, ok bool) {
 	if len(s.faults) > 0 {
 		f, s.faults = s.faults[0], s.faults[1:]
 	}
 	load = fmt.Sprintf("%d,%d,%d", s.running, s.waiting, s.Slots)
-	if s.Pace != "" {
-		load += "," + s.Pace
+	if s.Slowdown != "" {
+		load += "," + s.Slowdown
 	}
 	if want := req.Header.Get(s.Names.Target); want != "" && want != s.Name {
-		return Moved, load, false
+		return Misdirected, load, false
 	}
 	now := time.Now()
-	s.sent = append(s.sent, Arrival{ID: req.Header.Get(s.Names.ID), At: now, Start: s.started})
-	if now.Before(s.cold) {
-		s.arrivals = append(s.arrivals, now)
+	s.arrivals = append(s.arrivals, Arrival{ID: req.Header.Get(s.Names.ID), At: now, Restarts: s.restarts})
+	if now.Before(s.coldUntil) {
+		s.coldArrivals = append(s.coldArrivals, now)
 	}
-	if now.Before(s.away) {
+	if now.Before(s.rejectUntil) {
 		return Shed, load, false
 	}
-	return f, load, f != Shed && f != ShedLate && f != Moved && f != Early
+	return f, load, f != Shed && f != ShedSlowly && f != Misdirected && f != RejectEarly
 }
 
-func (s *Server) work(object string) time.Duration {
+func (s *Server) workTime(object string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if object == "" || s.seen[object] {
+	if object == "" || s.seenObjects[object] {
 		return s.Work
 	}
-	s.seen[object] = true
-	return max(s.First, s.Work)
+	s.seenObjects[object] = true
+	return max(s.UncachedWork, s.Work)
 }
 
 // answer serves one request and reports whether the connection goes on.
-func (s *Server) answer(c net.Conn, r *bufio.Reader, req *http.Request) bool {
+func (s *Server) handle(c net.Conn, r *bufio.Reader, req *http.Request) bool {
 	id := req.Header.Get(s.Names.ID)
-	f, load, ok := s.begin(req)
+	f, load, ok := s.acquireSlot(req)
 	if !ok {
-		if f != Early {
+		if f != RejectEarly {
 			_, _ = io.Copy(io.Discard, req.Body)
 		}
-		if f == ShedLate {
-			time.Sleep(lateShed)
+		if f == ShedSlowly {
+			time.Sleep(shedDelay)
 		}
 		status := "503 Service Unavailable"
-		if f == Moved {
+		if f == Misdirected {
 			status = "421 Misdirected Request"
 		}
-		fmt.Fprintf(c, "HTTP/1.1 %s\r\n%s: %s\r\n%s: 1\r\n%s: %s\r\n%sContent-Length: 0\r\n\r\n", status, s.Names.ID, id, s.Names.NotRun, s.Names.Load, load, s.notice(id, f))
+		fmt.Fprintf(c, "HTTP/1.1 %s\r\n%s: %s\r\n%s: 1\r\n%s: %s\r\n%sContent-Length: 0\r\n\r\n", status, s.Names.ID, id, s.Names.NotRun, s.Names.Load, load, s.noticeHeaders(id, f))
 		_, err := io.Copy(io.Discard, req.Body)
 		return err == nil
 	}
-	body, err := s.readAll(req.Body)
+	body, err := s.readBody(req.Body)
 	if err != nil {
-		s.end()
+		s.releaseSlot()
 		return false
 	}
 	s.mu.Lock()
@@ -155,28 +155,28 @@
 		Object: req.Header.Get(s.Names.Affinity), Header: req.Header,
 	})
 	s.mu.Unlock()
-	if s.Crashes != nil && s.Crashes(req) {
+	if s.CrashOn != nil && s.CrashOn(req) {
 		s.crash()
 		return false
 	}
-	how := s.conduct(id, req.URL.Path)
-	work := time.Duration(how.slower * float64(s.work(req.Header.Get(s.Names.Affinity))))
-	left := s.wait(c, r, work)
-	s.end()
+	how := s.outcome(id, req.URL.Path)
+	work := time.Duration(how.slowdown * float64(s.workTime(req.Header.Get(s.Names.Affinity))))
+	left := s.simulateWork(c, r, work)
+	s.releaseSlot()
 	if left {
 		return false
 	}
-	if how.bad() {
-		s.noteBad(id, how)
+	if how.defective() {
+		s.recordDefective(id, how)
 	}
-	if how.fails && f == None {
-		f = Broken
+	if how.fails && f == NoFault {
+		f = InternalError
 	}
-	return s.write(c, f, id, load)
+	return s.respond(c, f, id, load)
 }
 
 // readAll reads a body, slowly if the backend server does so.
-func (s *Server) readAll(r io.Reader) (body []byte, err error) {
+func (s *Server) readBody(r io.Reader) (body []byte, err error) {
 	s.mu.Lock()
 	pause := s.ReadPause
 	s.mu.Unlock()
@@ -197,14 +197,14 @@
 	}
 }
 
-func (s *Server) end() {
+func (s *Server) releaseSlot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
 }
 
 // wait works for a time, and reports whether the client left meanwhile.
-func (s *Server) wait(c net.Conn, r *bufio.Reader, d time.Duration) bool {
+func (s *Server) simulateWork(c net.Conn, r *bufio.Reader, d time.Duration) bool {
 	_ = c.SetReadDeadline(time.Now().Add(d))
 	_, err := r.Peek(1)
 	_ = c.SetReadDeadline(time.Time{})
@@ -212,51 +212,51 @@
 		return false
 	}
 	s.mu.Lock()
-	s.closed++
+	s.disconnects++
 	s.mu.Unlock()
 	return true
 }
 
 // Body is the body of the answer to a request.
-func Body(id string) string { return "answer to " + id }
+func ResponseBody(id string) string { return "answer to " + id }
 
-func (s *Server) write(c net.Conn, f Fault, id, load string) bool {
-	text := s.text(id, load)
+func (s *Server) respond(c net.Conn, f Fault, id, load string) bool {
+	text := s.response(id, load)
 	switch f {
-	case Cut:
+	case Truncated:
 		_, _ = io.WriteString(c, text[:len(text)-3])
 		return false
-	case Unframed, UnframedCut:
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: seal-%s\r\n\r\n%s", s.Names.ID, id, s.Names.Seal, id, Body(id))
-		if tcp, ok := c.(*net.TCPConn); ok && f == UnframedCut {
+	case CloseDelimited, CloseDelimitedReset:
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: seal-%s\r\n\r\n%s", s.Names.ID, id, s.Names.Seal, id, ResponseBody(id))
+		if tcp, ok := c.(*net.TCPConn); ok && f == CloseDelimitedReset {
 			time.Sleep(20 * time.Millisecond) // so that what was written arrives
 			_ = tcp.SetLinger(0)
 		}
 		return false
-	case Surplus:
-		_, _ = io.WriteString(c, s.text("of-another", load)+text)
+	case ExtraBefore:
+		_, _ = io.WriteString(c, s.response("of-another", load)+text)
 		return true
-	case SurplusAfter:
-		_, _ = io.WriteString(c, text+s.text("of-another", load))
+	case ExtraAfter:
+		_, _ = io.WriteString(c, text+s.response("of-another", load))
 		return true
-	case Lost:
+	case ResetAfterRun:
 		if tcp, ok := c.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
 		return false
-	case Broken:
+	case InternalError:
 		text = strings.Replace(text, "200 OK", "500 Internal Server Error", 1)
-	case Silent:
+	case NoResponse:
 		_, _ = io.Copy(io.Discard, c)
 		return false
-	case NotAnswer:
+	case NotHTTP:
 		_, _ = io.WriteString(c, "this is no answer\r\n\r\n")
 		return false
 	}
 	if _, err := io.WriteString(c, text); err != nil {
 		return false
 	}
-	_, err := c.Write(padding(s.Size))
+	_, err := c.Write(padding(s.PaddingBytes))
 	return err == nil
 }
 
@@ -265,20 +265,20 @@
 	if size == 0 {
 		return nil
 	}
-	onePadding.Do(func() { paddingBytes = bytes.Repeat([]byte{'x'}, mostSize) })
+	paddingOnce.Do(func() { paddingBytes = bytes.Repeat([]byte{'x'}, maxPaddingBytes) })
 	return paddingBytes[:size]
 }
 
 // mostSize bounds Server.Size.
-const mostSize = 16 << 20
+const maxPaddingBytes = 16 << 20
 
 var (
-	onePadding   sync.Once
+	paddingOnce  sync.Once
 	paddingBytes []byte
 )
 
-func (s *Server) text(id, load string) string {
-	body := Body(id)
+func (s *Server) response(id, load string) string {
+	body := ResponseBody(id)
 	return "HTTP/1.1 200 OK\r\n" + s.Names.ID + ": " + id + "\r\n" + s.Names.Seal + ": seal-" + id + "\r\n" +
-		s.Names.Load + ": " + load + "\r\n" + s.notice(id, None) + "Keep-Alive: timeout=10\r\nContent-Length: " + strconv.Itoa(len(body)+s.Size) + "\r\n\r\n" + body
+		s.Names.Load + ": " + load + "\r\n" + s.noticeHeaders(id, NoFault) + "Keep-Alive: timeout=10\r\nContent-Length: " + strconv.Itoa(len(body)+s.PaddingBytes) + "\r\n\r\n" + body
 }
--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -22,24 +22,24 @@
 
 // The faults.
 const (
-	None         Fault = iota
-	Cut                // the answer ends in the middle
-	Unframed           // the answer has no length and ends with its connection
-	UnframedCut        // the same, but the connection is reset
-	Surplus            // an answer to another request comes first
-	SurplusAfter       // a second answer comes after the whole one
-	Lost               // the request runs and the connection is reset
-	Silent             // the request runs and no answer comes
-	Early              // refused before the body is in
-	NotAnswer          // bytes that are no answer
-	Shed               // refused without running it
-	ShedLate           // the same, after lateShed
-	Broken             // it runs, and the answer is the backend server's own failure
-	Moved              // another backend server has the address
+	NoFault             Fault = iota
+	Truncated                 // the answer ends in the middle
+	CloseDelimited            // the answer has no length and ends with its connection
+	CloseDelimitedReset       // the same, but the connection is reset
+	ExtraBefore               // an answer to another request comes first
+	ExtraAfter                // a second answer comes after the whole one
+	ResetAfterRun             // the request runs and the connection is reset
+	NoResponse                // the request runs and no answer comes
+	RejectEarly               // refused before the body is in
+	NotHTTP                   // bytes that are no answer
+	Shed                      // refused without running it
+	ShedSlowly                // the same, after lateShed
+	InternalError             // it runs, and the answer is the backend server's own failure
+	Misdirected               // another backend server has the address
 )
 
 // lateShed is how long ShedLate takes to refuse.
-const lateShed = 150 * time.Millisecond
+const shedDelay = 150 * time.Millisecond
 
 // Run is one request that ran.
 type Run struct {
@@ -49,48 +49,48 @@
 
 // Server is one backend server. The fields up to Seed are set before Start.
 type Server struct {
-	Name  string
-	Names request.Names
-	Slots int
-	Queue int           // requests that may wait for a slot
-	Work  time.Duration // for an object that was seen
-	First time.Duration // for one that was not
-	Size  int           // bytes that are added to each answer
+	Name         string
+	Names        request.Names
+	Slots        int
+	Queue        int           // requests that may wait for a slot
+	Work         time.Duration // for an object that was seen
+	UncachedWork time.Duration // for one that was not
+	PaddingBytes int           // bytes that are added to each answer
 	// ReadPause is the pause after each byte of a body; zero: it reads at once.
 	ReadPause time.Duration
-	Pace      string  // the fourth figure of its load reports; "": they have none
-	Software  string  // the version of the software that it runs
-	Bad       Badness // of that version
-	Seed      uint64  // which answers are bad
+	Slowdown  string // the fourth figure of its load reports; "": they have none
+	Software  string // the version of the software that it runs
+	Defect    Defect // of that version
+	Seed      uint64 // which answers are bad
 	// Crashes, if set, says which requests end the process that runs them, crashAfter
 	// after it began. OnCrash, if set, is told of the end.
-	Crashes func(*http.Request) bool
+	CrashOn func(*http.Request) bool
 	OnCrash func()
 
-	mu         sync.Mutex
-	listener   net.Listener
-	born       time.Time
-	faults     []Fault
-	runs       []Run
-	seen       map[string]bool
-	running    int
-	waiting    int
-	most       int
-	cold       time.Time   // until when it counts what arrives
-	arrivals   []time.Time // while it was cold
-	closed     int         // connections whose client left before the answer
-	opened     int
-	badFrom    time.Time // from when Bad.After counts
-	sent       []Arrival // what came
-	noticed    []Notice  // the answers with a notice
-	started    int       // how often it was started again
-	leaves     bool      // each answer says so
-	away       time.Time // until when it turns all away
-	retryAfter time.Duration
-	limit      float64 // each answer names it, in requests a second; zero: none
-	bad        []BadAnswer
-	open       map[net.Conn]bool
-	killed     bool
+	mu           sync.Mutex
+	listener     net.Listener
+	startedAt    time.Time
+	faults       []Fault
+	runs         []Run
+	seenObjects  map[string]bool
+	running      int
+	waiting      int
+	maxRunning   int
+	coldUntil    time.Time   // until when it counts what arrives
+	coldArrivals []time.Time // while it was cold
+	disconnects  int         // connections whose client left before the answer
+	opened       int
+	defectFrom   time.Time // from when Bad.After counts
+	arrivals     []Arrival // what came
+	notices      []Notice  // the answers with a notice
+	restarts     int       // how often it was started again
+	leaving      bool      // each answer says so
+	rejectUntil  time.Time // until when it turns all away
+	retryAfter   time.Duration
+	limit        float64 // each answer names it, in requests a second; zero: none
+	defective    []DefectiveResponse
+	conns        map[net.Conn]bool
+	killed       bool
 }
 
 // Start starts the backend server on loopback.
@@ -100,10 +100,10 @@
 		return err
 	}
 	s.listener = l
-	s.seen = make(map[string]bool)
-	s.open = make(map[net.Conn]bool)
-	s.badFrom = time.Now()
-	s.born = s.badFrom
+	s.seenObjects = make(map[string]bool)
+	s.conns = make(map[net.Conn]bool)
+	s.defectFrom = time.Now()
+	s.startedAt = s.defectFrom
 	go s.accept(l)
 	return nil
 }
@@ -119,11 +119,11 @@
 	}
 	s.listener = l
 	s.killed = false
-	s.seen = make(map[string]bool)
-	s.open = make(map[net.Conn]bool)
-	s.born = time.Now()
-	s.started++
-	s.leaves, s.away, s.limit = false, time.Time{}, 0
+	s.seenObjects = make(map[string]bool)
+	s.conns = make(map[net.Conn]bool)
+	s.startedAt = time.Now()
+	s.restarts++
+	s.leaving, s.rejectUntil, s.limit = false, time.Time{}, 0
 	go s.accept(l)
 	return nil
 }
@@ -148,17 +148,17 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.killed = true
-	for c := range s.open {
+	for c := range s.conns {
 		_ = c.Close()
 	}
 }
 
 // crashAfter is how long a request runs that ends the process.
-const crashAfter = 20 * time.Millisecond
+const crashDelay = 20 * time.Millisecond
 
 // crash ends the backend server after a moment, as the request that it runs makes it.
 func (s *Server) crash() {
-	time.Sleep(crashAfter)
+	time.Sleep(crashDelay)
 	s.Kill()
 	if s.OnCrash != nil {
 		s.OnCrash()
@@ -166,7 +166,7 @@
 }
 
 // Next sets the faults of the next requests, one each.
-func (s *Server) Next(f ...Fault) {
+func (s *Server) InjectFaults(f ...Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
@@ -194,20 +194,20 @@
 }
 
 // Chill makes the backend server cold for a time.
-func (s *Server) Chill(d time.Duration) {
+func (s *Server) SetCold(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cold = time.Now().Add(d)
+	s.coldUntil = time.Now().Add(d)
 }
 
 // BusiestColdSecond returns the largest number of requests that arrived within a
 // second while the backend server was cold.
-func (s *Server) BusiestColdSecond() int {
+func (s *Server) MaxColdArrivalsPerSecond() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	most, from := 0, 0
-	for i, at := range s.arrivals {
-		for at.Sub(s.arrivals[from]) >= time.Second {
+	for i, at := range s.coldArrivals {
+		for at.Sub(s.coldArrivals[from]) >= time.Second {
 			from++
 		}
 		most = max(most, i-from+1)
@@ -223,10 +223,10 @@
 }
 
 // Left returns how many clients left before their answer.
-func (s *Server) Left() int {
+func (s *Server) Disconnects() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.closed
+	return s.disconnects
 }
 
 // Connections returns how many connections were opened.
--- a/standin/tablestore/serve.go
+++ b/standin/tablestore/serve.go
@@ -12,44 +12,44 @@
 )
 
 // struck returns the trouble for a caller.
-func (s *Store) struck(r *http.Request) Trouble {
+func (s *Store) faultFor(r *http.Request) Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
-	if len(s.trouble.Only) > 0 && !slices.Contains(s.trouble.Only, host) {
-		return Trouble{}
+	if len(s.fault.Callers) > 0 && !slices.Contains(s.fault.Callers, host) {
+		return Fault{}
 	}
-	return s.trouble
+	return s.fault
 }
 
 // headerEra is in all answers. It rises by one each time that the store comes back from an older copy.
-const headerEra = "Store-Era"
+const headerEpoch = "Store-Era"
 
 // tellEra adds an era to an answer; zero: none.
-func tellEra(w http.ResponseWriter, era int64) {
+func setEpochHeader(w http.ResponseWriter, era int64) {
 	if era != 0 {
-		w.Header().Set(headerEra, strconv.FormatInt(era, 10))
+		w.Header().Set(headerEpoch, strconv.FormatInt(era, 10))
 	}
 }
 
 // present returns the era.
-func (s *Store) present() int64 {
+func (s *Store) currentEpoch() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.era
+	return s.epoch
 }
 
 func (s *Store) serve(w http.ResponseWriter, r *http.Request) {
-	tellEra(w, s.present())
-	if !s.count(r) {
+	setEpochHeader(w, s.currentEpoch())
+	if !s.admit(r) {
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	t := s.struck(r)
+	t := s.faultFor(r)
 	if t.Delay > 0 {
 		time.Sleep(t.Delay)
 	}
-	if s.fail(w, r, t) {
+	if s.injectFault(w, r, t) {
 		return
 	}
 	switch r.URL.Path {
@@ -65,26 +65,26 @@
 }
 
 // count counts a call, and reports whether the rates allow it.
-func (s *Store) count(r *http.Request) bool {
+func (s *Store) admit(r *http.Request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls[r.URL.Path]++
 	if table := r.URL.Query().Get("table"); table != "" {
-		s.asked[table]++
+		s.tableReads[table]++
 	}
 	if r.URL.Path == pathWrite {
-		return s.writes.take(time.Now())
+		return s.writeLimit.allow(time.Now())
 	}
-	return s.reads.take(time.Now())
+	return s.readLimit.allow(time.Now())
 }
 
 // fail ends a call that trouble strikes, and reports whether it does.
-func (s *Store) fail(w http.ResponseWriter, r *http.Request, t Trouble) bool {
+func (s *Store) injectFault(w http.ResponseWriter, r *http.Request, t Fault) bool {
 	switch {
-	case t.Silent:
+	case t.Unresponsive:
 		select {
 		case <-r.Context().Done():
-		case <-s.released:
+		case <-s.closing:
 		}
 		panic(http.ErrAbortHandler)
 	case t.Reset:
@@ -96,12 +96,12 @@
 	return false
 }
 
-func (s *Store) serveGet(w http.ResponseWriter, r *http.Request, t Trouble) {
+func (s *Store) serveGet(w http.ResponseWriter, r *http.Request, t Fault) {
 	q := r.URL.Query()
 	s.mu.Lock()
-	at := max(0, s.version-t.Behind)
+	at := max(0, s.version-t.ReadLag)
 	rows := s.rows(q.Get("table"), at)
-	tellEra(w, s.era)
+	setEpochHeader(w, s.epoch)
 	s.mu.Unlock()
 	limit, err := strconv.Atoi(q.Get("limit"))
 	if err != nil || limit <= 0 {
@@ -110,7 +110,7 @@
 	from := q.Get("from")
 	rows = slices.DeleteFunc(rows, func(r Row) bool { return r.Key < from })
 	more := len(rows) > limit
-	answer(w, map[string]any{"rows": rows[:min(limit, len(rows))], "more": more, "ver": at, "now_s": s.Clock().Seconds()})
+	respond(w, map[string]any{"rows": rows[:min(limit, len(rows))], "more": more, "ver": at, "now_s": s.Clock().Seconds()})
 }
 
 func (s *Store) serveFeed(w http.ResponseWriter, r *http.Request) {
@@ -120,11 +120,11 @@
 	over := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		changed, version, floor, hold := s.changed, s.version, s.floor, s.trouble.Hold
-		tellEra(w, s.era)
+		changed, version, floor, hold := s.changed, s.version, s.compactedTo, s.fault.HoldFeeds
+		setEpochHeader(w, s.epoch)
 		rows := []Row{}
-		for _, x := range s.log {
-			if x.Table == q.Get("table") && x.Ver > after && !hold {
+		for _, x := range s.history {
+			if x.Table == q.Get("table") && x.Version > after && !hold {
 				rows = append(rows, x)
 			}
 		}
@@ -134,7 +134,7 @@
 			return
 		}
 		if len(rows) > 0 {
-			answer(w, map[string]any{"rows": rows, "ver": version, "now_s": s.Clock().Seconds()})
+			respond(w, map[string]any{"rows": rows, "ver": version, "now_s": s.Clock().Seconds()})
 			return
 		}
 		if after > version {
@@ -143,18 +143,18 @@
 		}
 		select {
 		case <-changed:
-			if s.fail(w, r, s.struck(r)) { // trouble strikes questions that are held, too
+			if s.injectFault(w, r, s.faultFor(r)) { // trouble strikes questions that are held, too
 				return
 			}
 		case <-over:
 			if hold {
 				version = after
 			}
-			answer(w, map[string]any{"rows": rows, "ver": version, "now_s": s.Clock().Seconds()})
+			respond(w, map[string]any{"rows": rows, "ver": version, "now_s": s.Clock().Seconds()})
 			return
 		case <-r.Context().Done():
 			return
-		case <-s.released:
+		case <-s.closing:
 			return
 		}
 	}
@@ -167,12 +167,12 @@
 const readOnlyTable = "servers"
 
 type transaction struct {
-	Expected []Row `json:"expectedRevision"`
-	Put      []Row `json:"put"`
-	Delete   []Row `json:"delete"`
-	Across   bool  `json:"across"`
+	Expected    []Row `json:"expectedRevision"`
+	Put         []Row `json:"put"`
+	Delete      []Row `json:"delete"`
+	AcrossParts bool  `json:"across"`
 
-	era int64 // in which it was carried out
+	epoch int64 // in which it was carried out
 }
 
 // check returns the status with which a transaction is refused, or 0.
@@ -181,7 +181,7 @@
 	for _, r := range slices.Concat(x.Expected, x.Put, x.Delete) {
 		parts[r.Part] = true
 	}
-	if len(parts) > 1 && !x.Across {
+	if len(parts) > 1 && !x.AcrossParts {
 		return http.StatusBadRequest
 	}
 	for _, r := range slices.Concat(x.Put, x.Delete) {
@@ -192,7 +192,7 @@
 	return 0
 }
 
-func (s *Store) serveTransaction(w http.ResponseWriter, r *http.Request, t Trouble) {
+func (s *Store) serveTransaction(w http.ResponseWriter, r *http.Request, t Fault) {
 	var x transaction
 	if json.NewDecoder(r.Body).Decode(&x) != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -203,16 +203,16 @@
 		return
 	}
 	time.Sleep(t.WriteDelay)
-	if t.Late > 0 {
-		time.AfterFunc(t.Late, func() { s.commit(&x) })
+	if t.CommitDelay > 0 {
+		time.AfterFunc(t.CommitDelay, func() { s.commit(&x) })
 		panic(http.ErrAbortHandler)
 	}
 	version, present, ok := s.commit(&x)
-	tellEra(w, x.era)
+	setEpochHeader(w, x.epoch)
 	if ok {
-		s.noteWriter(r, &x)
+		s.recordWriter(r, &x)
 	}
-	if t.Lose {
+	if t.LoseResponses {
 		panic(http.ErrAbortHandler)
 	}
 	if !ok {
@@ -221,7 +221,7 @@
 		_ = json.NewEncoder(w).Encode(map[string]any{"rows": present, "ver": version, "now_s": s.Clock().Seconds()}) // the caller may be gone
 		return
 	}
-	answer(w, map[string]any{"ver": version, "now_s": s.Clock().Seconds()})
+	respond(w, map[string]any{"ver": version, "now_s": s.Clock().Seconds()})
 }
 
 // commit carries a transaction out if all that it expects is there; otherwise it
@@ -230,7 +230,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ok = true
-	x.era = s.era
+	x.epoch = s.epoch
 	for _, e := range x.Expected {
 		found := Row{Table: e.Table, Part: e.Part, Key: e.Key}
 		for _, r := range s.rows(e.Table, s.version) {
@@ -239,24 +239,24 @@
 			}
 		}
 		present = append(present, found)
-		ok = ok && found.Ver == e.Ver
+		ok = ok && found.Version == e.Version
 	}
 	if !ok {
 		return s.version, present, false
 	}
 	s.version++
 	for _, r := range x.Put {
-		r.Ver = s.version
+		r.Version = s.version
 		s.append(r)
 	}
 	for _, r := range x.Delete {
-		r.Ver, r.Gone = s.version, true
+		r.Version, r.Deleted = s.version, true
 		s.append(r)
 	}
 	return s.version, nil, true
 }
 
-func answer(w http.ResponseWriter, v any) {
+func respond(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v) // a caller that is gone needs no answer
 }
--- a/standin/tablestore/store.go
+++ b/standin/tablestore/store.go
@@ -22,64 +22,64 @@
 
 // Row is a row as the store writes it.
 type Row struct {
-	Table string `json:"table"`
-	Part  string `json:"part"`
-	Key   string `json:"privateKey"`
-	Value []byte `json:"value,omitempty"`
-	Ver   int64  `json:"ver"`
-	Gone  bool   `json:"gone,omitempty"`
+	Table   string `json:"table"`
+	Part    string `json:"part"`
+	Key     string `json:"privateKey"`
+	Value   []byte `json:"value,omitempty"`
+	Version int64  `json:"ver"`
+	Deleted bool   `json:"gone,omitempty"`
 
-	at time.Time // when it was written
+	writtenAt time.Time // when it was written
 }
 
 // Trouble says how the store misbehaves. The zero value is a well one.
-type Trouble struct {
-	Status int           // answers this to everything, if not zero
-	Silent bool          // answers nothing
-	Reset  bool          // breaks each call off
-	Delay  time.Duration // before each answer
+type Fault struct {
+	Status       int           // answers this to everything, if not zero
+	Unresponsive bool          // answers nothing
+	Reset        bool          // breaks each call off
+	Delay        time.Duration // before each answer
 	// WriteDelay is how long writes take to be carried out.
-	WriteDelay time.Duration
-	Lose       bool // carries writes out and breaks the call off
+	WriteDelay    time.Duration
+	LoseResponses bool // carries writes out and breaks the call off
 	// Late breaks writes off and carries them out so much later, if what they
 	// expect still holds.
-	Late time.Duration
+	CommitDelay time.Duration
 	// Hold hides changes from feeds.
-	Hold bool
+	HoldFeeds bool
 	// Behind is the number of versions that reads are behind.
-	Behind int64
+	ReadLag int64
 	// Only lists the callers, by IP number, that Trouble strikes; empty: all.
-	Only []string
+	Callers []string
 }
 
 // Store is the stand-in.
 type Store struct {
-	mu       sync.Mutex
-	version  int64
-	era      int64 // in all answers; zero: in none
-	floor    int64 // the history up to here is forgotten
-	log      []Row
-	trouble  Trouble
-	changed  chan struct{}
-	calls    map[string]int
-	asked    map[string]int // calls that read, by table
-	began    time.Time
-	server   *httptest.Server
-	released chan struct{}
-	reads    rate
-	writes   rate
-	writers  map[string]string // by table and key
+	mu          sync.Mutex
+	version     int64
+	epoch       int64 // in all answers; zero: in none
+	compactedTo int64 // the history up to here is forgotten
+	history     []Row
+	fault       Fault
+	changed     chan struct{}
+	calls       map[string]int
+	tableReads  map[string]int // calls that read, by table
+	startedAt   time.Time
+	server      *httptest.Server
+	closing     chan struct{}
+	readLimit   rateLimit
+	writeLimit  rateLimit
+	writers     map[string]string // by table and key
 }
 
 // rate bounds calls a second; zero is no bound.
-type rate struct {
+type rateLimit struct {
 	perSecond int
 	second    int64
 	used      int
 }
 
 // take uses one call, or reports that none is left in this second.
-func (r *rate) take(now time.Time) bool {
+func (r *rateLimit) allow(now time.Time) bool {
 	if second := now.Unix(); second != r.second {
 		r.second, r.used = second, 0
 	}
@@ -90,8 +90,8 @@
 // Start starts a store on loopback.
 func Start() *Store {
 	s := &Store{
-		changed: make(chan struct{}), calls: make(map[string]int), asked: make(map[string]int),
-		released: make(chan struct{}), began: time.Now(), writers: make(map[string]string),
+		changed: make(chan struct{}), calls: make(map[string]int), tableReads: make(map[string]int),
+		closing: make(chan struct{}), startedAt: time.Now(), writers: make(map[string]string),
 	}
 	s.server = httptest.NewServer(http.HandlerFunc(s.serve))
 	return s
@@ -102,25 +102,25 @@
 
 // Close ends the store.
 func (s *Store) Close() {
-	close(s.released)
+	close(s.closing)
 	s.server.CloseClientConnections()
 	s.server.Close()
 }
 
 // Set makes the store misbehave, or well again.
-func (s *Store) Set(t Trouble) {
+func (s *Store) SetFault(t Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trouble = t
-	s.wake()
+	s.fault = t
+	s.notifyFeeds()
 }
 
 // SetRates bounds the calls that read and that write, in calls a second over all
 // callers; zero is no bound.
-func (s *Store) SetRates(reads, writes int) {
+func (s *Store) SetRateLimits(reads, writes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reads.perSecond, s.writes.perSecond = reads, writes
+	s.readLimit.perSecond, s.writeLimit.perSecond = reads, writes
 }
 
 // Put writes a row, as the operator or a backend server would.
@@ -128,16 +128,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
-	s.append(Row{Table: table, Key: key, Value: []byte(value), Ver: s.version})
+	s.append(Row{Table: table, Key: key, Value: []byte(value), Version: s.version})
 	return s.version
 }
 
 // Drop removes a row.
-func (s *Store) Drop(table, key string) int64 {
+func (s *Store) Delete(table, key string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
-	s.append(Row{Table: table, Key: key, Ver: s.version, Gone: true})
+	s.append(Row{Table: table, Key: key, Version: s.version, Deleted: true})
 	return s.version
 }
 
@@ -145,31 +145,31 @@
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.floor = s.version
-	s.wake()
+	s.compactedTo = s.version
+	s.notifyFeeds()
 }
 
 // GoBack makes the store come back from a copy of some time ago: what was written since is gone, its
 // versions are given out again, and the era rises.
-func (s *Store) GoBack(age time.Duration) {
+func (s *Store) RestoreBackup(age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	from := time.Now().Add(-age)
-	s.log = slices.DeleteFunc(s.log, func(r Row) bool { return r.at.After(from) })
+	s.history = slices.DeleteFunc(s.history, func(r Row) bool { return r.writtenAt.After(from) })
 	s.version = 0
-	for _, r := range s.log {
-		s.version = max(s.version, r.Ver)
+	for _, r := range s.history {
+		s.version = max(s.version, r.Version)
 	}
-	s.floor = min(s.floor, s.version)
-	s.era++
-	s.wake()
+	s.compactedTo = min(s.compactedTo, s.version)
+	s.epoch++
+	s.notifyFeeds()
 }
 
 // SetEra sets the era in all answers; zero: none has it.
-func (s *Store) SetEra(era int64) {
+func (s *Store) SetEpoch(era int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.era = era
+	s.epoch = era
 }
 
 // Calls returns the number of calls of a path.
@@ -180,17 +180,17 @@
 }
 
 // Asked returns the number of calls that read a table or asked for its changes.
-func (s *Store) Asked(table string) int {
+func (s *Store) TableReads(table string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.asked[table]
+	return s.tableReads[table]
 }
 
 // clockStart is what the steady clock showed at the start.
 const clockStart = 1000 * time.Second
 
 // Clock returns the steady clock that answers carry.
-func (s *Store) Clock() time.Duration { return clockStart + time.Since(s.began) }
+func (s *Store) Clock() time.Duration { return clockStart + time.Since(s.startedAt) }
 
 // Value returns the value of a row, and whether it is there.
 func (s *Store) Value(table, key string) ([]byte, bool) {
@@ -212,7 +212,7 @@
 }
 
 // noteWriter notes who carried a transaction out.
-func (s *Store) noteWriter(r *http.Request, x *transaction) {
+func (s *Store) recordWriter(r *http.Request, x *transaction) {
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,12 +222,12 @@
 }
 
 func (s *Store) append(r Row) {
-	r.at = time.Now()
-	s.log = append(s.log, r)
-	s.wake()
+	r.writtenAt = time.Now()
+	s.history = append(s.history, r)
+	s.notifyFeeds()
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyFeeds() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -235,14 +235,14 @@
 // rows returns the rows of a table as of a version, by rising key.
 func (s *Store) rows(table string, at int64) []Row {
 	last := make(map[string]Row)
-	for _, r := range s.log {
-		if r.Table == table && r.Ver <= at {
+	for _, r := range s.history {
+		if r.Table == table && r.Version <= at {
 			last[r.Key] = r
 		}
 	}
 	var out []Row
 	for _, r := range last {
-		if !r.Gone {
+		if !r.Deleted {
 			out = append(out, r)
 		}
 	}
--- a/standin/tablestore/store_test.go
+++ b/standin/tablestore/store_test.go
@@ -55,7 +55,7 @@
 	s := Start()
 	t.Cleanup(s.Close)
 	absent := func(key string) map[string]any { return map[string]any{"table": "t", "privateKey": key, "ver": 0} }
-	s.Set(Trouble{Late: 150 * time.Millisecond})
+	s.SetFault(Fault{CommitDelay: 150 * time.Millisecond})
 	for _, key := range []string{"a", "b"} {
 		status, _ := write(t, s, map[string]any{"expectedRevision": []any{absent(key)}, "put": []any{put(key)}})
 		assert.Equal(t, status, 0)
@@ -72,7 +72,7 @@
 func TestCallsBeyondTheRatesAreRefused(t *testing.T) {
 	s := Start()
 	t.Cleanup(s.Close)
-	s.SetRates(0, 2)
+	s.SetRateLimits(0, 2)
 	refused := 0
 	for range 12 {
 		if status, _ := write(t, s, map[string]any{"put": []any{put("k")}}); status == http.StatusTooManyRequests {
@@ -103,5 +103,5 @@
 		res.Body.Close()
 		assert.Assert(t, out["now_s"].(float64) >= first+passed, path)
 	}
-	assert.Equal(t, s.Asked("t"), 2)
+	assert.Equal(t, s.TableReads("t"), 2)
 }
