--- a/standin/tablestore/serve.go
+++ b/standin/tablestore/serve.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// struck returns the trouble for a caller.
+// faultFor returns the fault that applies to the sender of a request.
 func (s *Store) faultFor(r *http.Request) Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -22,17 +22,18 @@
 	return s.fault
 }
 
-// headerEra is in all answers. It rises by one each time that the store comes back from an older copy.
+// headerEpoch carries the epoch of the store in each response. The epoch rises by one each time that
+// the store is restored from a backup.
 const headerEpoch = "Store-Era"
 
-// tellEra adds an era to an answer; zero: none.
-func setEpochHeader(w http.ResponseWriter, era int64) {
-	if era != 0 {
-		w.Header().Set(headerEpoch, strconv.FormatInt(era, 10))
+// setEpochHeader adds the epoch to a response; zero adds no header.
+func setEpochHeader(w http.ResponseWriter, epoch int64) {
+	if epoch != 0 {
+		w.Header().Set(headerEpoch, strconv.FormatInt(epoch, 10))
 	}
 }
 
-// present returns the era.
+// currentEpoch returns the epoch of the store.
 func (s *Store) currentEpoch() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,26 +46,26 @@
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	t := s.faultFor(r)
-	if t.Delay > 0 {
-		time.Sleep(t.Delay)
+	f := s.faultFor(r)
+	if f.Delay > 0 {
+		time.Sleep(f.Delay)
 	}
-	if s.injectFault(w, r, t) {
+	if s.injectFault(w, r, f) {
 		return
 	}
 	switch r.URL.Path {
 	case "/v1/rows-get":
-		s.serveGet(w, r, t)
+		s.serveGet(w, r, f)
 	case "/v1/rows-feed":
 		s.serveFeed(w, r)
 	case pathWrite:
-		s.serveTransaction(w, r, t)
+		s.serveTransaction(w, r, f)
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
 }
 
-// count counts a call, and reports whether the rates allow it.
+// admit counts a call and reports whether the rate limits allow it.
 func (s *Store) admit(r *http.Request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,28 +79,29 @@
 	return s.readLimit.allow(time.Now())
 }
 
-// fail ends a call that trouble strikes, and reports whether it does.
-func (s *Store) injectFault(w http.ResponseWriter, r *http.Request, t Fault) bool {
+// injectFault fails a call as the fault demands. It reports whether it wrote a response, and panics
+// with http.ErrAbortHandler if it resets the connection.
+func (s *Store) injectFault(w http.ResponseWriter, r *http.Request, f Fault) bool {
 	switch {
-	case t.Unresponsive:
+	case f.Unresponsive:
 		select {
 		case <-r.Context().Done():
 		case <-s.closing:
 		}
 		panic(http.ErrAbortHandler)
-	case t.Reset:
+	case f.Reset:
 		panic(http.ErrAbortHandler)
-	case t.Status != 0:
-		w.WriteHeader(t.Status)
+	case f.Status != 0:
+		w.WriteHeader(f.Status)
 		return true
 	}
 	return false
 }
 
-func (s *Store) serveGet(w http.ResponseWriter, r *http.Request, t Fault) {
+func (s *Store) serveGet(w http.ResponseWriter, r *http.Request, f Fault) {
 	q := r.URL.Query()
 	s.mu.Lock()
-	at := max(0, s.version-t.ReadLag)
+	at := max(0, s.version-f.ReadLag)
 	rows := s.rows(q.Get("table"), at)
 	setEpochHeader(w, s.epoch)
 	s.mu.Unlock()
@@ -117,10 +119,10 @@
 	q := r.URL.Query()
 	after, _ := strconv.ParseInt(q.Get("after"), 10, 64)
 	wait, _ := strconv.ParseInt(q.Get("waitMs"), 10, 64)
-	over := time.After(time.Duration(wait) * time.Millisecond)
+	timeout := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		changed, version, floor, hold := s.changed, s.version, s.compactedTo, s.fault.HoldFeeds
+		changed, version, compactedTo, hold := s.changed, s.version, s.compactedTo, s.fault.HoldFeeds
 		setEpochHeader(w, s.epoch)
 		rows := []Row{}
 		for _, x := range s.history {
@@ -129,7 +131,7 @@
 			}
 		}
 		s.mu.Unlock()
-		if after < floor {
+		if after < compactedTo {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
@@ -138,15 +140,15 @@
 			return
 		}
 		if after > version {
-			w.WriteHeader(http.StatusGone) // the store has gone back
+			w.WriteHeader(http.StatusGone) // the store was restored from a backup
 			return
 		}
 		select {
 		case <-changed:
-			if s.injectFault(w, r, s.faultFor(r)) { // trouble strikes questions that are held, too
+			if s.injectFault(w, r, s.faultFor(r)) { // a fault also fails requests that wait already
 				return
 			}
-		case <-over:
+		case <-timeout:
 			if hold {
 				version = after
 			}
@@ -160,10 +162,10 @@
 	}
 }
 
-// pathWrite is the path of the call that writes.
+// pathWrite is the path of write transactions.
 const pathWrite = "/v1/rows-tx"
 
-// readOnlyTable is the table that the system may not write.
+// readOnlyTable is the table of the backend servers, which clients may not write.
 const readOnlyTable = "servers"
 
 type transaction struct {
@@ -172,10 +174,10 @@
 	Delete      []Row `json:"delete"`
 	AcrossParts bool  `json:"across"`
 
-	epoch int64 // in which it was carried out
+	epoch int64 // of the store at commit
 }
 
-// check returns the status with which a transaction is refused, or 0.
+// check returns the status with which an invalid transaction is refused, or 0.
 func (x *transaction) check() int {
 	parts := make(map[string]bool)
 	for _, r := range slices.Concat(x.Expected, x.Put, x.Delete) {
@@ -192,7 +194,7 @@
 	return 0
 }
 
-func (s *Store) serveTransaction(w http.ResponseWriter, r *http.Request, t Fault) {
+func (s *Store) serveTransaction(w http.ResponseWriter, r *http.Request, f Fault) {
 	var x transaction
 	if json.NewDecoder(r.Body).Decode(&x) != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -202,9 +204,9 @@
 		w.WriteHeader(status)
 		return
 	}
-	time.Sleep(t.WriteDelay)
-	if t.CommitDelay > 0 {
-		time.AfterFunc(t.CommitDelay, func() { s.commit(&x) })
+	time.Sleep(f.WriteDelay)
+	if f.CommitDelay > 0 {
+		time.AfterFunc(f.CommitDelay, func() { s.commit(&x) })
 		panic(http.ErrAbortHandler)
 	}
 	version, present, ok := s.commit(&x)
@@ -212,20 +214,20 @@
 	if ok {
 		s.recordWriter(r, &x)
 	}
-	if t.LoseResponses {
+	if f.LoseResponses {
 		panic(http.ErrAbortHandler)
 	}
 	if !ok {
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(http.StatusPreconditionFailed)
-		_ = json.NewEncoder(w).Encode(map[string]any{"rows": present, "ver": version, "now_s": s.Clock().Seconds()}) // the caller may be gone
+		_ = json.NewEncoder(w).Encode(map[string]any{"rows": present, "ver": version, "now_s": s.Clock().Seconds()}) // the client may have disconnected
 		return
 	}
 	respond(w, map[string]any{"ver": version, "now_s": s.Clock().Seconds()})
 }
 
-// commit carries a transaction out if all that it expects is there; otherwise it
-// returns the rows as they are.
+// commit carries out a transaction if all rows have the versions that it expects. Otherwise it
+// changes nothing and returns the present state of these rows.
 func (s *Store) commit(x *transaction) (version int64, present []Row, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -258,5 +260,5 @@
 
 func respond(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // a caller that is gone needs no answer
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
--- a/standin/tablestore/store.go
+++ b/standin/tablestore/store.go
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package tablestore is a stand-in of the store of the users' platform: rows in
-tables under a version that rises with each transaction, and a feed of what
-changed; calls beyond its rates are refused. It misbehaves on demand: refuses,
-resets, is silent, is slow, loses answers of writes or carries them out late,
-forgets its history, reads behind, turns some callers away, and comes back from an older copy.
-It is for tests.
+Package tablestore is a test double of the table store of the users' platform. It keeps rows in
+tables under a version that rises with each transaction, serves a feed of changes, and rejects calls
+beyond its rate limits.
+
+It injects faults on demand: error responses, resets, no responses, delays, lost responses to writes,
+late commits, a compacted history, stale reads, faults for some clients only, and a restore from a
+backup.
 */
 package tablestore
 
@@ -20,7 +21,7 @@
 	"time"
 )
 
-// Row is a row as the store writes it.
+// Row is a row in the store's JSON form.
 type Row struct {
 	Table   string `json:"table"`
 	Part    string `json:"part"`
@@ -29,56 +30,56 @@
 	Version int64  `json:"ver"`
 	Deleted bool   `json:"gone,omitempty"`
 
-	writtenAt time.Time // when it was written
+	writtenAt time.Time
 }
 
-// Trouble says how the store misbehaves. The zero value is a well one.
+// Fault describes how the store misbehaves. The zero value injects no fault.
 type Fault struct {
-	Status       int           // answers this to everything, if not zero
-	Unresponsive bool          // answers nothing
-	Reset        bool          // breaks each call off
-	Delay        time.Duration // before each answer
-	// WriteDelay is how long writes take to be carried out.
+	Status       int           // of every response, if not zero
+	Unresponsive bool          // calls get no response until the client gives up
+	Reset        bool          // resets the connection of each call
+	Delay        time.Duration // before each response
+	// WriteDelay is the additional delay before a transaction is carried out.
 	WriteDelay    time.Duration
-	LoseResponses bool // carries writes out and breaks the call off
-	// Late breaks writes off and carries them out so much later, if what they
-	// expect still holds.
+	LoseResponses bool // carries transactions out and resets the connection
+	// CommitDelay resets the connection of each transaction and commits it after this time, if its
+	// conditions still hold.
 	CommitDelay time.Duration
-	// Hold hides changes from feeds.
+	// HoldFeeds hides changes from feeds while it is set.
 	HoldFeeds bool
-	// Behind is the number of versions that reads are behind.
+	// ReadLag is the number of versions by which reads lag behind.
 	ReadLag int64
-	// Only lists the callers, by IP number, that Trouble strikes; empty: all.
+	// Callers lists the IP addresses of the clients that the fault affects; empty: all.
 	Callers []string
 }
 
-// Store is the stand-in.
+// Store is a table store on loopback. Use Start.
 type Store struct {
 	mu          sync.Mutex
 	version     int64
-	epoch       int64 // in all answers; zero: in none
-	compactedTo int64 // the history up to here is forgotten
+	epoch       int64 // in all responses; zero: in none
+	compactedTo int64 // history up to this version was dropped
 	history     []Row
 	fault       Fault
 	changed     chan struct{}
 	calls       map[string]int
-	tableReads  map[string]int // calls that read, by table
+	tableReads  map[string]int // calls that read rows or changes, by table
 	startedAt   time.Time
 	server      *httptest.Server
 	closing     chan struct{}
 	readLimit   rateLimit
 	writeLimit  rateLimit
-	writers     map[string]string // by table and key
+	writers     map[string]string // IP address of the last writer, by table/key
 }
 
-// rate bounds calls a second; zero is no bound.
+// rateLimit limits calls a second; zero is no limit.
 type rateLimit struct {
 	perSecond int
 	second    int64
 	used      int
 }
 
-// take uses one call, or reports that none is left in this second.
+// allow counts one call and reports whether the limit of the present second allows it.
 func (r *rateLimit) allow(now time.Time) bool {
 	if second := now.Unix(); second != r.second {
 		r.second, r.used = second, 0
@@ -97,33 +98,33 @@
 	return s
 }
 
-// Address is where the store listens.
+// Address returns the host and port at which the store listens.
 func (s *Store) Address() string { return s.server.Listener.Addr().String() }
 
-// Close ends the store.
+// Close stops the store and resets its connections.
 func (s *Store) Close() {
 	close(s.closing)
 	s.server.CloseClientConnections()
 	s.server.Close()
 }
 
-// Set makes the store misbehave, or well again.
-func (s *Store) SetFault(t Fault) {
+// SetFault replaces the present fault. The zero value ends it.
+func (s *Store) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fault = t
+	s.fault = f
 	s.notifyFeeds()
 }
 
-// SetRates bounds the calls that read and that write, in calls a second over all
-// callers; zero is no bound.
+// SetRateLimits limits the calls that read and those that write, in calls a second of all clients
+// together; zero is no limit.
 func (s *Store) SetRateLimits(reads, writes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.readLimit.perSecond, s.writeLimit.perSecond = reads, writes
 }
 
-// Put writes a row, as the operator or a backend server would.
+// Put writes a row as the operator or a backend server would, and returns its version.
 func (s *Store) Put(table, key string, value string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,7 +133,7 @@
 	return s.version
 }
 
-// Drop removes a row.
+// Delete deletes a row and returns the version of its tombstone.
 func (s *Store) Delete(table, key string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,7 +142,7 @@
 	return s.version
 }
 
-// Compact forgets the history: feeds that are behind get 410.
+// Compact drops the history: feeds that ask for changes after an older version get status 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,13 +150,13 @@
 	s.notifyFeeds()
 }
 
-// GoBack makes the store come back from a copy of some time ago: what was written since is gone, its
-// versions are given out again, and the era rises.
+// RestoreBackup restores the store to its state of some time ago: later writes are lost, their
+// versions are assigned again, and the epoch rises.
 func (s *Store) RestoreBackup(age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	from := time.Now().Add(-age)
-	s.history = slices.DeleteFunc(s.history, func(r Row) bool { return r.writtenAt.After(from) })
+	backupTime := time.Now().Add(-age)
+	s.history = slices.DeleteFunc(s.history, func(r Row) bool { return r.writtenAt.After(backupTime) })
 	s.version = 0
 	for _, r := range s.history {
 		s.version = max(s.version, r.Version)
@@ -165,34 +166,34 @@
 	s.notifyFeeds()
 }
 
-// SetEra sets the era in all answers; zero: none has it.
-func (s *Store) SetEpoch(era int64) {
+// SetEpoch sets the epoch in all responses; zero: responses carry none.
+func (s *Store) SetEpoch(epoch int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.epoch = era
+	s.epoch = epoch
 }
 
-// Calls returns the number of calls of a path.
+// Calls returns the number of calls of a path, rejected ones included.
 func (s *Store) Calls(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[path]
 }
 
-// Asked returns the number of calls that read a table or asked for its changes.
+// TableReads returns the number of calls that read a table or its feed of changes.
 func (s *Store) TableReads(table string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tableReads[table]
 }
 
-// clockStart is what the steady clock showed at the start.
+// clockStart is the reading of the monotonic clock at Start.
 const clockStart = 1000 * time.Second
 
-// Clock returns the steady clock that answers carry.
+// Clock returns the reading of the monotonic clock that responses carry.
 func (s *Store) Clock() time.Duration { return clockStart + time.Since(s.startedAt) }
 
-// Value returns the value of a row, and whether it is there.
+// Value returns the value of a row, and whether the row exists.
 func (s *Store) Value(table, key string) ([]byte, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,14 +205,14 @@
 	return nil, false
 }
 
-// Writer returns the IP number of the caller that wrote a row last, "" if none did.
+// Writer returns the IP address of the client that wrote a row last, "" if none did.
 func (s *Store) Writer(table, key string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.writers[table+"/"+key]
 }
 
-// noteWriter notes who carried a transaction out.
+// recordWriter records the client of a transaction as the last writer of its rows.
 func (s *Store) recordWriter(r *http.Request, x *transaction) {
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
 	s.mu.Lock()
@@ -227,12 +228,13 @@
 	s.notifyFeeds()
 }
 
+// notifyFeeds wakes the feeds that wait for a change. The caller holds the lock.
 func (s *Store) notifyFeeds() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// rows returns the rows of a table as of a version, by rising key.
+// rows returns the rows of a table as of a version, sorted by key. The caller holds the lock.
 func (s *Store) rows(table string, at int64) []Row {
 	last := make(map[string]Row)
 	for _, r := range s.history {
--- a/standin/tablestore/store_test.go
+++ b/standin/tablestore/store_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func write(t *testing.T, s *Store, x map[string]any) (int, map[string]any) {
+func commit(t *testing.T, s *Store, x map[string]any) (int, map[string]any) {
 	t.Helper()
 	b, err := json.Marshal(x)
 	assert.NilError(t, err)
@@ -22,42 +22,42 @@
 	}
 	defer res.Body.Close()
 	var out map[string]any
-	_ = json.NewDecoder(res.Body).Decode(&out) // some answers have no body
+	_ = json.NewDecoder(res.Body).Decode(&out) // some responses have no body
 	return res.StatusCode, out
 }
 
-func put(key string) map[string]any {
+func putOp(key string) map[string]any {
 	return map[string]any{"table": "t", "privateKey": key, "value": "dg=="}
 }
 
-func TestConditionsAreChecked(t *testing.T) {
+func TestTransactionChecksExpectedVersions(t *testing.T) {
 	s := Start()
 	t.Cleanup(s.Close)
 	absent := map[string]any{"table": "t", "privateKey": "k", "ver": 0}
-	status, _ := write(t, s, map[string]any{"expectedRevision": []any{absent}, "put": []any{put("k")}})
+	status, _ := commit(t, s, map[string]any{"expectedRevision": []any{absent}, "put": []any{putOp("k")}})
 	assert.Equal(t, status, http.StatusOK)
-	status, out := write(t, s, map[string]any{"expectedRevision": []any{absent}, "put": []any{put("k")}})
+	status, out := commit(t, s, map[string]any{"expectedRevision": []any{absent}, "put": []any{putOp("k")}})
 	assert.Equal(t, status, http.StatusPreconditionFailed)
 	assert.Equal(t, len(out["rows"].([]any)), 1)
-	status, _ = write(t, s, map[string]any{"put": []any{map[string]any{"table": "servers", "privateKey": "x"}}})
+	status, _ = commit(t, s, map[string]any{"put": []any{map[string]any{"table": "servers", "privateKey": "x"}}})
 	assert.Equal(t, status, http.StatusForbidden)
-	part := put("p")
+	part := putOp("p")
 	part["part"] = "other"
-	status, _ = write(t, s, map[string]any{"put": []any{put("q"), part}})
+	status, _ = commit(t, s, map[string]any{"put": []any{putOp("q"), part}})
 	assert.Equal(t, status, http.StatusBadRequest, "two parts")
-	status, _ = write(t, s, map[string]any{"put": []any{put("q"), part}, "across": true})
+	status, _ = commit(t, s, map[string]any{"put": []any{putOp("q"), part}, "across": true})
 	assert.Equal(t, status, http.StatusOK)
 }
 
-// TestLateWriteKeepsItsCondition checks that a write whose answer was lost is
-// carried out later only if what it expects still holds.
-func TestLateWriteKeepsItsCondition(t *testing.T) {
+// TestLateCommitChecksExpectedVersions guards against a delayed transaction, whose response was lost,
+// that overwrites a row which changed meanwhile.
+func TestLateCommitChecksExpectedVersions(t *testing.T) {
 	s := Start()
 	t.Cleanup(s.Close)
 	absent := func(key string) map[string]any { return map[string]any{"table": "t", "privateKey": key, "ver": 0} }
 	s.SetFault(Fault{CommitDelay: 150 * time.Millisecond})
 	for _, key := range []string{"a", "b"} {
-		status, _ := write(t, s, map[string]any{"expectedRevision": []any{absent(key)}, "put": []any{put(key)}})
+		status, _ := commit(t, s, map[string]any{"expectedRevision": []any{absent(key)}, "put": []any{putOp(key)}})
 		assert.Equal(t, status, 0)
 	}
 	s.Put("t", "b", "other")
@@ -69,39 +69,39 @@
 	assert.Equal(t, string(b), "other")
 }
 
-func TestCallsBeyondTheRatesAreRefused(t *testing.T) {
+func TestRateLimitRejectsCalls(t *testing.T) {
 	s := Start()
 	t.Cleanup(s.Close)
 	s.SetRateLimits(0, 2)
 	refused := 0
 	for range 12 {
-		if status, _ := write(t, s, map[string]any{"put": []any{put("k")}}); status == http.StatusTooManyRequests {
+		if status, _ := commit(t, s, map[string]any{"put": []any{putOp("k")}}); status == http.StatusTooManyRequests {
 			refused++
 		}
 	}
 	assert.Assert(t, refused >= 8, "%d refused", refused) // the calls may fall into two seconds
 }
 
-// TestAnswersCarryASteadyClock checks that each answer about rows tells a clock that
-// runs as the process's does.
-func TestAnswersCarryASteadyClock(t *testing.T) {
+// TestResponsesCarryMonotonicClock checks that the clock in responses advances at the rate of the
+// test's own clock, for transactions, reads and feeds.
+func TestResponsesCarryMonotonicClock(t *testing.T) {
 	s := Start()
 	t.Cleanup(s.Close)
 	clock := func() float64 {
-		_, out := write(t, s, map[string]any{"put": []any{put("k")}})
+		_, out := commit(t, s, map[string]any{"put": []any{putOp("k")}})
 		return out["now_s"].(float64)
 	}
-	begun, first := time.Now(), clock()
+	start, first := time.Now(), clock()
 	time.Sleep(200 * time.Millisecond)
-	passed := clock() - first
-	assert.Assert(t, passed >= 0.2 && passed <= time.Since(begun).Seconds()+0.001, "%g s", passed)
+	elapsed := clock() - first
+	assert.Assert(t, elapsed >= 0.2 && elapsed <= time.Since(start).Seconds()+0.001, "%g s", elapsed)
 	for _, path := range []string{"/v1/rows-get?table=t", "/v1/rows-feed?table=t&after=0&waitMs=1"} {
 		res, err := http.Get("http://" + s.Address() + path)
 		assert.NilError(t, err)
 		var out map[string]any
 		assert.NilError(t, json.NewDecoder(res.Body).Decode(&out))
 		res.Body.Close()
-		assert.Assert(t, out["now_s"].(float64) >= first+passed, path)
+		assert.Assert(t, out["now_s"].(float64) >= first+elapsed, path)
 	}
 	assert.Equal(t, s.TableReads("t"), 2)
 }
