--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 
-// Package fleet makes configurations of the users' sizes, for tests and the
-// demonstration: six halls in three regions, about 20 backend servers for reading
-// and a dozen each for the ledger and for uploads.
+// Package fleet generates configurations of the size of the users' fleets, for tests and the
+// demonstration: six halls in three regions, about 20 backend servers for reads
+// and a dozen each for commits and for uploads.
 package fleet
 
 import (
@@ -14,12 +14,12 @@
 	"shalewick/version"
 )
 
-// Size is the shape of one user's fleet.
+// Spec describes the fleet of one user.
 type Spec struct {
 	Regions        [3]string
-	ReadService    string // service for reading
-	LedgerService  string // service whose commits may not be repeated
-	UploadService  string // service for uploads
+	ReadService    string // name of the service for reads
+	LedgerService  string // name of the service whose commits must not be retried
+	UploadService  string // name of the service for uploads
 	Latency        time.Duration
 	LinkCap        int
 	Slots          int
@@ -29,7 +29,7 @@
 	Deadline       time.Duration // of reads and commits
 }
 
-// Caroni is the fleet of Caroni Gavel.
+// Caroni returns the fleet of Caroni Gavel.
 func Caroni() Spec {
 	return Spec{
 		Regions: [3]string{"north", "central", "south"}, ReadService: "catalogue", LedgerService: "ledger", UploadService: "media",
@@ -37,7 +37,7 @@
 	}
 }
 
-// Kitakaze is the fleet of Kitakaze Roster Works.
+// Kitakaze returns the fleet of Kitakaze Roster Works.
 func Kitakaze() Spec {
 	return Spec{
 		Regions: [3]string{"ishikari", "kamikawa", "oshima"}, ReadService: "roster", LedgerService: "assignment", UploadService: "claims",
@@ -45,7 +45,7 @@
 	}
 }
 
-// Backends is the number of backend servers.
+// Backends returns the number of backend servers.
 func (s *Spec) Backends() int { return s.ReadBackends + s.LedgerBackends + s.UploadBackends }
 
 // Halls returns the names of the halls, two in each region.
@@ -57,23 +57,23 @@
 	return out
 }
 
-// Hall returns the hall of an instance or backend server by its number; one after
-// the other takes the next hall.
+// HallOf returns the hall of an instance or backend server by its number. Numbers are assigned to
+// the halls in turn.
 func (s *Spec) HallOf(i int) string {
 	h := s.Halls()
 	return h[i%len(h)]
 }
 
-// Client returns an address in the block of a hall's clients.
+// ClientAddress returns an IP address in the client block of a hall, given by its number.
 func (s *Spec) ClientAddress(hall int) string { return fmt.Sprintf("10.%d.0.7", hall%len(s.Halls())) }
 
 // UploadDeadline is the deadline of uploads.
 const UploadDeadline = 10 * time.Second
 
-// MaxUpload bounds an upload, in bytes.
+// MaxUpload is the maximum size of an upload, in bytes.
 const MaxUpload = 256 << 20
 
-// Resources returns the configuration, with backend servers at the addresses.
+// Resources returns the configuration, with a backend server at each of the addresses.
 func (s *Spec) Resources(backends []netip.AddrPort) []version.Resource {
 	var rs []version.Resource
 	for _, r := range s.Regions {
--- a/standin/fleet/ports.go
+++ b/standin/fleet/ports.go
@@ -10,27 +10,26 @@
 	"github.com/juju/errors"
 )
 
-// Ports below those that the kernel gives to outgoing connections, so that a
-// free one stays free until its server starts.
+// The range lies below the ephemeral ports of the kernel, so that no outgoing connection takes a
+// free port before its server starts.
 const (
 	firstPort = 12000
 	lastPort  = 32000
 	portTries = 100
 )
 
-// Ports gives out loopback addresses, none of them twice. The zero value is
-// ready to use.
+// Ports allocates addresses, each of them once. The zero value is ready to use.
 type Ports struct {
 	next int
 }
 
-// loopback is the usual loopback address.
+// loopback is the default loopback address.
 var loopback = netip.AddrFrom4([4]byte{127, 0, 0, 1})
 
-// Take returns n adjoining loopback addresses that nothing listens on.
+// Allocate returns n loopback addresses with consecutive ports on which nothing listens.
 func (p *Ports) Allocate(n int) ([]netip.AddrPort, error) { return p.AllocateAt(loopback, n) }
 
-// TakeAt returns n adjoining ports of an IP number that nothing listens on.
+// AllocateAt returns n addresses at an IP address with consecutive ports on which nothing listens.
 func (p *Ports) AllocateAt(ip netip.Addr, n int) ([]netip.AddrPort, error) {
 	if p.next == 0 {
 		p.next = firstPort + rand.IntN(lastPort-firstPort)
@@ -48,7 +47,7 @@
 			return addresses, nil
 		}
 	}
-	return nil, errors.Errorf("no %d adjoining free ports", n)
+	return nil, errors.Errorf("no range of %d free ports found", n)
 }
 
 func allFree(addresses []netip.AddrPort) bool {
--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package link is a loopback proxy that stands in for the network between two
-processes. It passes bytes on, late, not at all, or one way only, cuts or refuses
-connections, and lets those that are open fall silent for good. It is for tests.
+Package link is a loopback TCP proxy that simulates the network between two processes in tests. It
+forwards bytes, delays or blocks them, in both directions or back only, resets connections or
+rejects new ones, and blackholes those that are open.
 */
 package link
 
@@ -14,19 +14,19 @@
 	"time"
 )
 
-// Mode says what the link does.
+// Mode says how the link treats bytes and connections.
 type Mode int
 
-// The modes. What is held in Silent and OneWay is passed on once the mode ends.
+// The modes. Bytes that are blocked are forwarded once the mode ends.
 const (
 	Forward     Mode = iota
-	Delayed          // each piece is late by SlowBy
-	Blocked          // nothing is passed on
-	BlockedBack      // nothing is passed back
+	Delayed          // each read is forwarded after Delay
+	Blocked          // nothing is forwarded
+	BlockedBack      // nothing is forwarded from the target to the client
 	Refuse           // new connections are reset
 )
 
-// SlowBy is how late a slow link passes bytes on.
+// Delay is the delay of each read in the mode Delayed.
 const Delay = 80 * time.Millisecond
 
 // Link is one proxy. Use Start.
@@ -36,11 +36,11 @@
 	mu       sync.Mutex
 	mode     Mode
 	changed  chan struct{}
-	conns    map[net.Conn]bool // set once they fell silent for good
+	conns    map[net.Conn]bool // open connections; true once blackholed
 	closed   bool
 }
 
-// Start starts a link from listen, an IP number and port, to target.
+// Start starts a link from listen, an IP address and port, to target.
 func Start(listen, target string) (*Link, error) {
 	l, err := net.Listen("tcp4", listen)
 	if err != nil {
@@ -51,14 +51,14 @@
 	return k, nil
 }
 
-// Address is where the link listens.
+// Address returns the IP address and port at which the link listens.
 func (k *Link) Address() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.listener.Addr().String()
 }
 
-// Set changes the mode.
+// SetMode changes the mode.
 func (k *Link) SetMode(m Mode) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -67,7 +67,7 @@
 	k.changed = make(chan struct{})
 }
 
-// Cut resets all connections.
+// ResetAll resets all connections.
 func (k *Link) ResetAll() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -76,8 +76,8 @@
 	}
 }
 
-// Down makes new connections refused and resets those that are open, as the end of the
-// process behind the link does.
+// Down stops listening, so that new connections are refused, and resets the open ones, as when the
+// process behind the link ends.
 func (k *Link) Down() {
 	k.mu.Lock()
 	_ = k.listener.Close()
@@ -85,7 +85,7 @@
 	k.ResetAll()
 }
 
-// Up ends Down, at the same address.
+// Up listens again at the same address.
 func (k *Link) Up() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// Mute makes the connections that are open now silent for good, both ways and without
-// a reset. New ones work.
+// Blackhole drops everything on the connections that are open now, for good, in both directions and
+// without a reset. New connections work.
 func (k *Link) Blackhole() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -114,7 +114,7 @@
 	return k.conns[c]
 }
 
-// Close ends the link.
+// Close stops listening and resets all connections.
 func (k *Link) Close() {
 	k.mu.Lock()
 	_ = k.listener.Close()
@@ -163,24 +163,25 @@
 	}
 }
 
-// await waits until bytes may go on, back or forth.
+// waitUnblocked waits until the mode lets bytes through, and for Delay in the mode Delayed. back is
+// the direction from the target to the client.
 func (k *Link) waitUnblocked(back bool) {
 	for {
 		k.mu.Lock()
 		mode, changed, closed := k.mode, k.changed, k.closed
 		k.mu.Unlock()
-		held := mode == Blocked || mode == BlockedBack && back
+		blocked := mode == Blocked || mode == BlockedBack && back
 		if mode == Delayed {
 			time.Sleep(Delay)
 		}
-		if !held || closed {
+		if !blocked || closed {
 			return
 		}
 		<-changed
 	}
 }
 
-// pass copies from one side to the other until one of them ends.
+// forward copies from one side to the other until one of them ends.
 func (k *Link) forward(to, from net.Conn, back bool) {
 	buf := make([]byte, 16<<10)
 	for {
@@ -196,10 +197,10 @@
 		}
 		k.waitUnblocked(back)
 		if k.blackholed(from) {
-			return // the other side hears nothing of it; Close ends it
+			return // the other side gets no FIN or reset; Close ends it
 		}
 		if err == io.EOF {
-			_ = to.(*net.TCPConn).CloseWrite() // the other direction goes on
+			_ = to.(*net.TCPConn).CloseWrite() // the other direction stays open
 		} else {
 			reset(to)
 			reset(from)
--- a/standin/program/program.go
+++ b/standin/program/program.go
@@ -1,8 +1,7 @@
 // SPDX-License-Identifier: MIT
 
-// Package program runs the commands under test as processes, and does to them
-// from outside what an operator or a fault does: signals, freezes and kills.
-// Only tests use it.
+// Package program runs the commands under test as processes, and signals, suspends and kills them as
+// an operator or a fault does. Only tests use it.
 package program
 
 import (
@@ -18,12 +17,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// stopBound is the longest that a planned stop may take.
+// maxStopTime is how long a process may take to stop after SIGTERM.
 const maxStopTime = 40 * time.Second
 
-// Build builds the commands of this module that match a pattern, such as
-// shalewick/cmd/..., into a folder. Race builds them with the race detector,
-// which makes them several times slower.
+// Build builds the commands of this module that match a pattern, such as shalewick/cmd/..., into a
+// directory. With race they are built with the race detector, which makes them several times slower.
 func Build(dir, pattern string, race bool) error {
 	args := []string{"build", "-o", dir}
 	if race {
@@ -43,8 +41,9 @@
 	done chan struct{}
 }
 
-// Start starts a command. It is killed when the test ends, which fails if its
-// log shows that it broke, and then prints the end of the log.
+// Start starts a command with its output in a log file. When the test ends, the process is killed.
+// The test fails if the log shows a crash or a data race, and prints the end of the log if it has
+// failed.
 func Start(t testing.TB, path, name string, args ...string) *Process {
 	t.Helper()
 	p := &Process{cmd: exec.Command(path, args...), log: filepath.Join(t.TempDir(), name+".log"), done: make(chan struct{})}
@@ -61,52 +60,52 @@
 	return p
 }
 
-// broken are the words that the runtime writes when a program is broken.
+// crashMarkers are texts that the Go runtime writes for a data race, a panic or a fatal error.
 var crashMarkers = []string{"DATA RACE", "panic:", "fatal error:"}
 
-// logEnd is how much of a log is printed, in bytes.
+// logTailBytes is how much of the end of a log is printed.
 const logTailBytes = 4000
 
 func (p *Process) cleanup(t testing.TB, name string) {
 	p.Kill()
 	b := p.Log(t)
-	for _, word := range crashMarkers {
-		assert.Check(t, !bytes.Contains(b, []byte(word)), "see the log of %s", name)
+	for _, marker := range crashMarkers {
+		assert.Check(t, !bytes.Contains(b, []byte(marker)), "see the log of %s", name)
 	}
 	if t.Failed() {
 		t.Logf("log of %s:\n%s", name, b[max(0, len(b)-logTailBytes):])
 	}
 }
 
-// Log returns what the process has written.
+// Log returns the output of the process so far.
 func (p *Process) Log(t testing.TB) []byte {
 	b, err := os.ReadFile(p.log)
 	assert.Check(t, err)
 	return b
 }
 
-// ID returns the number of the process.
+// PID returns the process id.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Kill ends the process at once.
+// Kill kills the process and waits for its end.
 func (p *Process) Kill() {
-	_ = p.cmd.Process.Kill() // it may have ended
+	_ = p.cmd.Process.Kill() // fails only if the process has ended
 	<-p.done
 }
 
-// Signal sends a signal. A process that has ended gets none.
+// Signal sends a signal. It does nothing if the process has ended.
 func (p *Process) Signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// Freeze makes the process stand still until Thaw.
+// Suspend stops the process with SIGSTOP until Resume.
 func (p *Process) Suspend() { p.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Resume continues a suspended process.
 func (p *Process) Resume() { p.Signal(syscall.SIGCONT) }
 
-// Stop ends the process as planned and returns how long it took.
+// Stop ends the process with SIGTERM and returns how long it took to stop.
 func (p *Process) Stop(t testing.TB) time.Duration {
 	t.Helper()
 	start := time.Now()
@@ -114,18 +113,18 @@
 	select {
 	case <-p.done:
 	case <-time.After(maxStopTime):
-		t.Fatal("a planned stop did not end")
+		t.Fatalf("the process did not stop within %s of SIGTERM", maxStopTime)
 	}
 	return time.Since(start)
 }
 
-// Eventually waits for a condition, for a bounded time.
-func Eventually(t testing.TB, bound time.Duration, what string, ok func() bool) {
+// Eventually waits until a condition holds, and fails the test if it doesn't within the timeout.
+func Eventually(t testing.TB, timeout time.Duration, what string, ok func() bool) {
 	t.Helper()
-	limit := time.Now().Add(bound)
+	deadline := time.Now().Add(timeout)
 	for !ok() {
-		if time.Now().After(limit) {
-			t.Fatalf("not within %s: %s", bound, what)
+		if time.Now().After(deadline) {
+			t.Fatalf("not within %s: %s", timeout, what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/standin/server/badness.go
+++ b/standin/server/badness.go
@@ -12,39 +12,41 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Badness says how a bad version of the software misbehaves. All conditions that are
-// set must hold for an answer to be bad. The zero value is a good version.
+// Defect describes how a defective version of the software misbehaves. A response is defective if
+// all conditions that are set hold. The zero value is a correct version.
 type Defect struct {
-	// Fails is the share of answers that are the backend server's own failure.
+	// FailureFraction is the fraction of responses that have status 500.
 	FailureFraction float64
-	// Slower is how many times as long the work of a slowed answer takes. Zero: none
-	// is slowed.
+	// SlowdownFactor is how many times as long the work of a slow response takes. Zero: none is
+	// slow.
 	SlowdownFactor float64
-	// Share is the share of answers that are slowed. Zero: all, if Slower is set.
+	// SlowFraction is the fraction of responses that are slow. Zero: all, if SlowdownFactor is set.
 	SlowFraction float64
-	// After is the onset, since Start or since the time that SetBadness was told.
+	// Onset is the time from Start, or from the time given to SetDefect, until responses are
+	// defective.
 	Onset time.Duration
-	// WhenBusy is the least number of running requests, with the one that is answered.
+	// MinRunning is the smallest number of running requests, including the one that is handled, at
+	// which responses are defective.
 	MinRunning int
-	// Path limits it to requests below this path.
+	// PathPrefix limits the defect to requests whose path begins with it.
 	PathPrefix string
 }
 
-// BadAnswer is one answer that was bad.
+// DefectiveResponse describes a response that was failed or slow.
 type DefectiveResponse struct {
 	ID     string
-	At     time.Time // of the answer
-	Failed bool      // otherwise it was slowed
+	At     time.Time // of the response
+	Failed bool      // status 500; otherwise it was slow
 }
 
-// SetBadness makes the software bad, or good again. Its onset counts from a time.
-func (s *Server) SetDefect(b Defect, from time.Time) {
+// SetDefect replaces the defect, whose onset counts from a time. The zero value ends it.
+func (s *Server) SetDefect(d Defect, from time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.Defect, s.defectFrom = b, from
+	s.Defect, s.defectFrom = d, from
 }
 
-// Arrivals returns the times at which requests came, also of those that were refused.
+// ArrivalTimes returns the times at which requests arrived, rejected ones included.
 func (s *Server) ArrivalTimes() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +57,7 @@
 	return out
 }
 
-// Between returns how many times lie from one time up to another.
+// CountBetween returns how many of the times lie in [from, to).
 func CountBetween(times []time.Time, from, to time.Time) (n int) {
 	for _, at := range times {
 		if !at.Before(from) && at.Before(to) {
@@ -65,7 +67,7 @@
 	return n
 }
 
-// PerSecond returns how many requests came in each of n seconds from a time on.
+// ArrivalsPerSecond returns how many requests arrived in each of the n seconds that follow a time.
 func (s *Server) ArrivalsPerSecond(from time.Time, n int) []int {
 	out := make([]int, n)
 	for _, at := range s.ArrivalTimes() {
@@ -77,47 +79,47 @@
 	return out
 }
 
-// BadAnswers returns the answers that were bad, by rising time.
+// DefectiveResponses returns the responses that were failed or slow, in order of time.
 func (s *Server) DefectiveResponses() []DefectiveResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.defective)
 }
 
-// conduct is how one answer turns out.
+// outcome says whether one response fails, and how long its work takes.
 type outcome struct {
 	fails    bool
-	slowdown float64 // times the usual work
+	slowdown float64 // factor on the time of work
 }
 
-// conduct returns how the answer to a request that runs turns out. It depends on
-// the seed and the id of the request, not on the order in which requests come.
+// outcome returns the outcome of a request that runs. It depends on the seed and the id of the
+// request, not on the order in which requests arrive.
 func (s *Server) outcome(id, path string) outcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b := &s.Defect
-	if time.Since(s.defectFrom) < b.Onset || s.running < b.MinRunning || !strings.HasPrefix(path, b.PathPrefix) {
+	d := &s.Defect
+	if time.Since(s.defectFrom) < d.Onset || s.running < d.MinRunning || !strings.HasPrefix(path, d.PathPrefix) {
 		return outcome{slowdown: 1}
 	}
-	c := outcome{fails: s.hashFraction(id, "fails") < b.FailureFraction, slowdown: 1}
-	slowed := b.SlowFraction == 0 || s.hashFraction(id, "slow") < b.SlowFraction
-	if b.SlowdownFactor > 0 && slowed {
-		c.slowdown = b.SlowdownFactor
+	o := outcome{fails: s.hashFraction(id, "fails") < d.FailureFraction, slowdown: 1}
+	slow := d.SlowFraction == 0 || s.hashFraction(id, "slow") < d.SlowFraction
+	if d.SlowdownFactor > 0 && slow {
+		o.slowdown = d.SlowdownFactor
 	}
-	return c
+	return o
 }
 
-func (c outcome) defective() bool { return c.fails || c.slowdown > 1 }
+func (o outcome) defective() bool { return o.fails || o.slowdown > 1 }
 
-// chance returns a number from 0 up to 1 that is always the same for a request.
-func (s *Server) hashFraction(id, what string) float64 {
-	h := xxhash.Sum64String(strconv.FormatUint(s.Seed, 16) + "/" + what + "/" + id)
+// hashFraction returns a number in [0, 1) that is always the same for a request, seed and purpose.
+func (s *Server) hashFraction(id, purpose string) float64 {
+	h := xxhash.Sum64String(strconv.FormatUint(s.Seed, 16) + "/" + purpose + "/" + id)
 	return float64(h>>11) / (1 << 53)
 }
 
-// noteBad notes a bad answer that was written.
-func (s *Server) recordDefective(id string, c outcome) {
+// recordDefective records a defective response.
+func (s *Server) recordDefective(id string, o outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.defective = append(s.defective, DefectiveResponse{ID: id, At: time.Now(), Failed: c.fails})
+	s.defective = append(s.defective, DefectiveResponse{ID: id, At: time.Now(), Failed: o.fails})
 }
--- a/standin/server/badness_test.go
+++ b/standin/server/badness_test.go
@@ -20,37 +20,37 @@
 	testRequests = 200
 )
 
-func startServer(t *testing.T, bad Defect) *Server {
+func startServer(t *testing.T, defect Defect) *Server {
 	t.Helper()
-	s := &Server{Name: "i", Names: request.OwnNames, Slots: 8, Queue: 100, Work: testWork, Software: "2.0", Defect: bad, Seed: 7}
+	s := &Server{Name: "i", Names: request.OwnNames, Slots: 8, Queue: 100, Work: testWork, Software: "2.0", Defect: defect, Seed: 7}
 	assert.NilError(t, s.Start())
 	t.Cleanup(s.Kill)
 	return s
 }
 
-// ask sends a request and returns the status and the time that the answer took.
-func ask(t *testing.T, s *Server, id, path string) (int, time.Duration) {
+// get sends a request and returns the status and the response time.
+func get(t *testing.T, s *Server, id, path string) (int, time.Duration) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+s.Address()+path, nil)
 	assert.NilError(t, err)
 	req.Header.Set(s.Names.ID, id)
-	begun := time.Now()
+	start := time.Now()
 	res, err := http.DefaultClient.Do(req)
 	assert.NilError(t, err)
 	defer res.Body.Close()
 	_, err = io.ReadAll(res.Body)
 	assert.NilError(t, err)
 	assert.Equal(t, res.Header.Get(s.Names.Seal), "seal-"+id)
-	return res.StatusCode, time.Since(begun)
+	return res.StatusCode, time.Since(start)
 }
 
-// failures sends requests and returns the ids of those that failed.
+// failures sends testRequests requests and returns the ids of those that failed.
 func failures(t *testing.T, s *Server, path string) []string {
 	t.Helper()
 	var out []string
 	for i := range testRequests {
 		id := fmt.Sprintf("x%d", i)
-		if status, _ := ask(t, s, id, path); status != http.StatusOK {
+		if status, _ := get(t, s, id, path); status != http.StatusOK {
 			assert.Equal(t, status, http.StatusInternalServerError)
 			out = append(out, id)
 		}
@@ -58,10 +58,10 @@
 	return out
 }
 
-// TestShareOfAnswersFails checks the share, that it is the same for the same seed,
-// and what is counted.
-func TestShareOfAnswersFails(t *testing.T) {
-	begun := time.Now()
+// TestFailureFraction checks the fraction of failed responses, that a seed always fails the same
+// requests, and the counts of responses and arrivals.
+func TestFailureFraction(t *testing.T) {
+	start := time.Now()
 	s := startServer(t, Defect{FailureFraction: 0.4})
 	got := failures(t, s, "/a")
 	assert.Assert(t, len(got) > testRequests*3/10 && len(got) < testRequests/2, "%d of %d", len(got), testRequests)
@@ -69,25 +69,25 @@
 	assert.Equal(t, len(s.DefectiveResponses()), len(got))
 	assert.Equal(t, len(s.ArrivalTimes()), testRequests)
 	sum := 0
-	for _, n := range s.ArrivalsPerSecond(begun, 60) {
+	for _, n := range s.ArrivalsPerSecond(start, 60) {
 		sum += n
 	}
 	assert.Equal(t, sum, testRequests)
 }
 
-func TestSlowedShareTakesLonger(t *testing.T) {
+func TestSlowFraction(t *testing.T) {
 	s := startServer(t, Defect{SlowdownFactor: 8, SlowFraction: 0.5})
 	slow := 0
 	for i := range 40 {
-		if _, took := ask(t, s, fmt.Sprint(i), "/a"); took >= 8*testWork {
+		if _, took := get(t, s, fmt.Sprint(i), "/a"); took >= 8*testWork {
 			slow++
 		}
 	}
-	assert.Assert(t, slow >= len(s.DefectiveResponses()) && len(s.DefectiveResponses()) > 10 && len(s.DefectiveResponses()) < 30, "%d of 40, %d slowed", slow, len(s.DefectiveResponses()))
+	assert.Assert(t, slow >= len(s.DefectiveResponses()) && len(s.DefectiveResponses()) > 10 && len(s.DefectiveResponses()) < 30, "%d of 40, %d recorded as slow", slow, len(s.DefectiveResponses()))
 	assert.Assert(t, !s.DefectiveResponses()[0].Failed)
 }
 
-func TestBadnessHasAnOnsetAndAPath(t *testing.T) {
+func TestDefectOnsetAndPathPrefix(t *testing.T) {
 	s := startServer(t, Defect{FailureFraction: 1, PathPrefix: "/b/"})
 	s.SetDefect(s.Defect, time.Now())
 	assert.Equal(t, len(failures(t, s, "/a/x")), 0)
@@ -98,24 +98,25 @@
 	assert.Equal(t, len(failures(t, s, "/a/x")), testRequests)
 }
 
-// TestBadOnlyWhenBusy asks one at a time, and then many at once.
-func TestBadOnlyWhenBusy(t *testing.T) {
+// TestDefectMinRunning sends requests one at a time, which must not fail, and then six at once.
+func TestDefectMinRunning(t *testing.T) {
 	s := startServer(t, Defect{FailureFraction: 1, MinRunning: 3})
 	assert.Equal(t, len(failures(t, s, "/a")), 0)
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	for c := range 6 {
-		all.Go(func() {
+		clients.Go(func() {
 			for i := range 20 {
-				ask(t, s, fmt.Sprintf("c%d-%d", c, i), "/a")
+				get(t, s, fmt.Sprintf("c%d-%d", c, i), "/a")
 			}
 		})
 	}
-	all.Wait()
+	clients.Wait()
 	assert.Assert(t, len(s.DefectiveResponses()) > 0)
 }
 
-// TestKillCutsWhatIsInFlight kills the backend server while it works.
-func TestKillCutsWhatIsInFlight(t *testing.T) {
+// TestKillBreaksRequestsInFlight kills the backend server while a request runs, which must get no
+// response.
+func TestKillBreaksRequestsInFlight(t *testing.T) {
 	s := startServer(t, Defect{SlowdownFactor: 100})
 	time.AfterFunc(20*time.Millisecond, s.Kill)
 	req, err := http.NewRequest(http.MethodPost, "http://"+s.Address()+"/a", nil)
@@ -127,7 +128,7 @@
 	assert.Assert(t, err != nil)
 }
 
-func TestAnnouncementNamesTheVersion(t *testing.T) {
+func TestRowValueIncludesVersion(t *testing.T) {
 	s := startServer(t, Defect{})
 	want := fmt.Sprintf(`{"address":%q,"info":{"service":"s","zone":"z","slots":8,"version":"2.0"},"status":{"state":"ready","sequence":1,"coldRemainingS":0}}`, s.Address())
 	assert.Equal(t, s.RowValue(Row{Service: "s", Zone: "z", State: "ready"}), want)
--- a/standin/server/notice.go
+++ b/standin/server/notice.go
@@ -8,33 +8,34 @@
 	"time"
 )
 
-// Arrival is a request that came, whatever became of it.
+// Arrival is a request that arrived, whether it ran or was rejected.
 type Arrival struct {
 	ID       string
 	At       time.Time
-	Restarts int // how often the backend server had been started again
+	Restarts int // restarts of the backend server before it
 }
 
-// Notice is an answer in which the backend server said that it leaves, asked for a backoff, or named
-// a rate limit.
+// Notice is a response in which the backend server announced that it is leaving, asked for a
+// backoff, or named a rate limit.
 type Notice struct {
 	ID         string // of the request
 	At         time.Time
-	Restarts   int // how often the backend server had been started again
+	Restarts   int // restarts of the backend server before it
 	Leaving    bool
 	RetryAfter time.Duration
-	Limit      float64 // requests a second; zero: it named none
+	Limit      float64 // requests a second; zero: none named
 }
 
-// Leave makes each answer from now on say that the backend server leaves. It serves on.
+// SetLeaving makes each response from now on announce that the backend server is leaving. It still
+// accepts requests.
 func (s *Server) SetLeaving() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
 }
 
-// TurnAway makes the backend server refuse everything for a time, asking for a backoff in each
-// refusal. Its load reports say that it is idle, as it is.
+// RejectAll makes the backend server reject all requests for a time, with a Retry-After in each
+// response. Its load reports show it idle, as nothing runs.
 func (s *Server) RejectAll(d, retryAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,18 +43,18 @@
 	s.retryAfter = retryAfter
 }
 
-// HeaderName is a header of the stand-in's own: answers that name a rate limit say whose it is.
+// HeaderServerName carries the name of the backend server in responses that name a rate limit.
 const HeaderServerName = "Standin-Name"
 
-// SetLimit makes each answer from now on name a rate limit in requests a second; zero: none.
+// SetLimit makes each response from now on name a rate limit in requests a second; zero: none.
 func (s *Server) SetLimit(limit float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limit = limit
 }
 
-// notice returns the header lines that tell of the backend server's notices, for the answer
-// to a request, and notes them.
+// noticeHeaders returns the header lines of the notices that apply to the response to a request, and
+// records them.
 func (s *Server) noticeHeaders(id string, f Fault) (lines string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,14 +77,14 @@
 	return lines
 }
 
-// Came returns the requests that came, by rising time, also those that were refused.
+// Arrivals returns the requests that arrived, in order of time, rejected ones included.
 func (s *Server) Arrivals() []Arrival {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.arrivals)
 }
 
-// Notices returns the answers with a notice, by rising time.
+// Notices returns the responses with a notice, in order of time.
 func (s *Server) Notices() []Notice {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/server/row.go
+++ b/standin/server/row.go
@@ -4,17 +4,17 @@
 
 import "encoding/json"
 
-// Row is what a backend server says of itself in the users' table.
+// Row describes the row of a backend server in the users' table of backend servers.
 type Row struct {
-	Address          string // "": its own
+	Address          string // "": Server.Address
 	Service          string
 	Zone             string
-	State            string // "ready" takes work
+	State            string // "ready": accepts requests
 	ColdRemainingS   float64
-	IncludeStartTime bool // the row says when the backend server was started
+	IncludeStartTime bool // adds the time of the last start
 }
 
-// Announcement returns the value of the backend server's row.
+// RowValue returns the value of the backend server's row, in JSON.
 func (s *Server) RowValue(r Row) string {
 	type info struct {
 		Service string `json:"service"`
@@ -30,10 +30,10 @@
 	if r.Address == "" {
 		r.Address = s.Address()
 	}
-	born := int64(0)
+	startedAtMs := int64(0)
 	if r.IncludeStartTime {
 		s.mu.Lock()
-		born = s.startedAt.UnixMilli()
+		startedAtMs = s.startedAt.UnixMilli()
 		s.mu.Unlock()
 	}
 	text, err := json.Marshal(struct {
@@ -42,10 +42,10 @@
 		Info    info   `json:"info"`
 		Status  status `json:"status"`
 	}{
-		r.Address, born, info{r.Service, r.Zone, s.Slots, s.Software}, status{r.State, 1, r.ColdRemainingS},
+		r.Address, startedAtMs, info{r.Service, r.Zone, s.Slots, s.Software}, status{r.State, 1, r.ColdRemainingS},
 	})
 	if err != nil {
-		panic(err) // it holds nothing that can't be encoded
+		panic(err) // all its fields can be encoded
 	}
 	return string(text)
 }
--- a/standin/server/serve.go
+++ b/standin/server/serve.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// hold counts a connection and keeps it for Kill. It reports whether it is served.
+// track counts a connection and records it for Kill. It reports whether the connection is served.
 func (s *Server) track(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,11 +61,11 @@
 	}
 }
 
-// queueStep is the time between two looks at whether a slot is free.
+// queuePollInterval is the interval at which a queued request checks for a free slot.
 const queuePollInterval = time.Millisecond
 
-// begin takes a fault and, unless it means that nothing runs, a slot, for which
-// it may wait.
+// acquireSlot takes the next fault and, unless the request is rejected, a slot, for which it may
+// wait. It returns the load report at arrival, and whether the request runs.
 func (s *Server) acquireSlot(req *http.Request) (f Fault, load string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,13 +86,15 @@
 	return f, load, s.takeSlot()
 }
 
+// takeSlot takes a free slot and returns true. The caller holds the lock.
 func (s *Server) takeSlot() bool {
 	s.running++
 	s.maxRunning = max(s.maxRunning, s.running)
 	return true
 }
 
-// arrive takes the fault of a request, and reports whether it may run.
+// admit takes the next fault, records the arrival unless the request is for another backend server,
+// and reports whether the request may run. The caller holds the lock.
 func (s *Server) admit(req *http.Request) (f Fault, load string, ok bool) {
 	if len(s.faults) > 0 {
 		f, s.faults = s.faults[0], s.faults[1:]
@@ -101,7 +103,7 @@
 	if s.Slowdown != "" {
 		load += "," + s.Slowdown
 	}
-	if want := req.Header.Get(s.Names.Target); want != "" && want != s.Name {
+	if target := req.Header.Get(s.Names.Target); target != "" && target != s.Name {
 		return Misdirected, load, false
 	}
 	now := time.Now()
@@ -115,6 +117,8 @@
 	return f, load, f != Shed && f != ShedSlowly && f != Misdirected && f != RejectEarly
 }
 
+// workTime returns how long the work for an object takes: UncachedWork for the first request, Work
+// for the following ones.
 func (s *Server) workTime(object string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,7 +129,7 @@
 	return max(s.UncachedWork, s.Work)
 }
 
-// answer serves one request and reports whether the connection goes on.
+// handle serves one request and reports whether the connection stays open.
 func (s *Server) handle(c net.Conn, r *bufio.Reader, req *http.Request) bool {
 	id := req.Header.Get(s.Names.ID)
 	f, load, ok := s.acquireSlot(req)
@@ -159,23 +163,23 @@
 		s.crash()
 		return false
 	}
-	how := s.outcome(id, req.URL.Path)
-	work := time.Duration(how.slowdown * float64(s.workTime(req.Header.Get(s.Names.Affinity))))
-	left := s.simulateWork(c, r, work)
+	o := s.outcome(id, req.URL.Path)
+	work := time.Duration(o.slowdown * float64(s.workTime(req.Header.Get(s.Names.Affinity))))
+	disconnected := s.simulateWork(c, r, work)
 	s.releaseSlot()
-	if left {
+	if disconnected {
 		return false
 	}
-	if how.defective() {
-		s.recordDefective(id, how)
+	if o.defective() {
+		s.recordDefective(id, o)
 	}
-	if how.fails && f == NoFault {
+	if o.fails && f == NoFault {
 		f = InternalError
 	}
 	return s.respond(c, f, id, load)
 }
 
-// readAll reads a body, slowly if the backend server does so.
+// readBody reads a body, with a pause after each byte if ReadPause is set.
 func (s *Server) readBody(r io.Reader) (body []byte, err error) {
 	s.mu.Lock()
 	pause := s.ReadPause
@@ -203,7 +207,7 @@
 	s.running--
 }
 
-// wait works for a time, and reports whether the client left meanwhile.
+// simulateWork waits for the time of work, and reports whether the client disconnected meanwhile.
 func (s *Server) simulateWork(c net.Conn, r *bufio.Reader, d time.Duration) bool {
 	_ = c.SetReadDeadline(time.Now().Add(d))
 	_, err := r.Peek(1)
@@ -217,9 +221,10 @@
 	return true
 }
 
-// Body is the body of the answer to a request.
+// ResponseBody returns the body of the response to a request.
 func ResponseBody(id string) string { return "answer to " + id }
 
+// respond writes the response, with its fault, and reports whether the connection stays open.
 func (s *Server) respond(c net.Conn, f Fault, id, load string) bool {
 	text := s.response(id, load)
 	switch f {
@@ -229,7 +234,7 @@
 	case CloseDelimited, CloseDelimitedReset:
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: seal-%s\r\n\r\n%s", s.Names.ID, id, s.Names.Seal, id, ResponseBody(id))
 		if tcp, ok := c.(*net.TCPConn); ok && f == CloseDelimitedReset {
-			time.Sleep(20 * time.Millisecond) // so that what was written arrives
+			time.Sleep(20 * time.Millisecond) // lets the client receive the body before the reset
 			_ = tcp.SetLinger(0)
 		}
 		return false
@@ -260,7 +265,7 @@
 	return err == nil
 }
 
-// padding returns so many bytes, the same memory each time.
+// padding returns a number of bytes, from memory that all responses share.
 func padding(size int) []byte {
 	if size == 0 {
 		return nil
@@ -269,7 +274,7 @@
 	return paddingBytes[:size]
 }
 
-// mostSize bounds Server.Size.
+// maxPaddingBytes is the maximum of Server.PaddingBytes.
 const maxPaddingBytes = 16 << 20
 
 var (
@@ -277,6 +282,7 @@
 	paddingBytes []byte
 )
 
+// response returns the response without its padding.
 func (s *Server) response(id, load string) string {
 	body := ResponseBody(id)
 	return "HTTP/1.1 200 OK\r\n" + s.Names.ID + ": " + id + "\r\n" + s.Names.Seal + ": seal-" + id + "\r\n" +
--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package server is a stand-in of the users' backend servers: slots and a queue, a seal
-on each answer, refusals that say that nothing ran, work that is quicker for
-objects seen lately, a cold start in which arrivals are counted. It misbehaves on
-demand. It keeps a journal of what ran. It is for tests.
+Package server is a test double of the users' backend servers. It has slots and a queue, puts a seal
+on each response, marks rejections of requests that did not run, works faster on objects that it has
+served before, and counts arrivals during a cold start. It injects faults on demand and records the
+requests that ran.
 */
 package server
 
@@ -17,54 +17,54 @@
 	"shalewick/request"
 )
 
-// Fault says how the next answers misbehave.
+// Fault is a fault of one response.
 type Fault int
 
 // The faults.
 const (
 	NoFault             Fault = iota
-	Truncated                 // the answer ends in the middle
-	CloseDelimited            // the answer has no length and ends with its connection
-	CloseDelimitedReset       // the same, but the connection is reset
-	ExtraBefore               // an answer to another request comes first
-	ExtraAfter                // a second answer comes after the whole one
+	Truncated                 // the response ends before its last bytes
+	CloseDelimited            // the response has no length and ends with its connection
+	CloseDelimitedReset       // the same, but with a reset
+	ExtraBefore               // a response to another request precedes the right one
+	ExtraAfter                // a response to another request follows the right one
 	ResetAfterRun             // the request runs and the connection is reset
-	NoResponse                // the request runs and no answer comes
-	RejectEarly               // refused before the body is in
-	NotHTTP                   // bytes that are no answer
-	Shed                      // refused without running it
-	ShedSlowly                // the same, after lateShed
-	InternalError             // it runs, and the answer is the backend server's own failure
-	Misdirected               // another backend server has the address
+	NoResponse                // the request runs and gets no response
+	RejectEarly               // rejected before the body is read
+	NotHTTP                   // the response is not HTTP
+	Shed                      // rejected without running
+	ShedSlowly                // the same, after shedDelay
+	InternalError             // the request runs and gets status 500
+	Misdirected               // rejected as sent to the wrong backend server
 )
 
-// lateShed is how long ShedLate takes to refuse.
+// shedDelay is the delay of a rejection with ShedSlowly.
 const shedDelay = 150 * time.Millisecond
 
-// Run is one request that ran.
+// Run describes a request that ran.
 type Run struct {
 	ID, Method, Path, Body, Object string
 	Header                         http.Header
 }
 
-// Server is one backend server. The fields up to Seed are set before Start.
+// Server is one backend server. The fields up to OnCrash are set before Start.
 type Server struct {
 	Name         string
 	Names        request.Names
 	Slots        int
-	Queue        int           // requests that may wait for a slot
-	Work         time.Duration // for an object that was seen
-	UncachedWork time.Duration // for one that was not
-	PaddingBytes int           // bytes that are added to each answer
-	// ReadPause is the pause after each byte of a body; zero: it reads at once.
+	Queue        int           // maximum number of requests that wait for a slot
+	Work         time.Duration // time of work for an object that was served before
+	UncachedWork time.Duration // time of work for other objects, if longer than Work
+	PaddingBytes int           // added to the body of each complete response
+	// ReadPause is the pause after each byte of a body that is read; zero: none.
 	ReadPause time.Duration
-	Slowdown  string // the fourth figure of its load reports; "": they have none
-	Software  string // the version of the software that it runs
-	Defect    Defect // of that version
-	Seed      uint64 // which answers are bad
-	// Crashes, if set, says which requests end the process that runs them, crashAfter
-	// after it began. OnCrash, if set, is told of the end.
+	Slowdown  string // fourth field of load reports: slowdown of the host; "": omitted
+	Software  string // version that it runs
+	Defect    Defect // of Software
+	Seed      uint64 // selects the responses that are defective
+	// CrashOn, if set, selects the requests that crash the process, crashDelay after they begin.
 	CrashOn func(*http.Request) bool
+	// OnCrash, if set, is called after the crash.
 	OnCrash func()
 
 	mu           sync.Mutex
@@ -76,18 +76,18 @@
 	running      int
 	waiting      int
 	maxRunning   int
-	coldUntil    time.Time   // until when it counts what arrives
-	coldArrivals []time.Time // while it was cold
-	disconnects  int         // connections whose client left before the answer
-	opened       int
-	defectFrom   time.Time // from when Bad.After counts
-	arrivals     []Arrival // what came
-	notices      []Notice  // the answers with a notice
-	restarts     int       // how often it was started again
-	leaving      bool      // each answer says so
-	rejectUntil  time.Time // until when it turns all away
+	coldUntil    time.Time   // arrivals are counted until then
+	coldArrivals []time.Time // before coldUntil
+	disconnects  int         // clients that disconnected before the response
+	opened       int         // connections
+	defectFrom   time.Time   // when Defect.Onset begins to count
+	arrivals     []Arrival
+	notices      []Notice
+	restarts     int
+	leaving      bool      // set by SetLeaving
+	rejectUntil  time.Time // set by RejectAll
 	retryAfter   time.Duration
-	limit        float64 // each answer names it, in requests a second; zero: none
+	limit        float64 // in requests a second, in each response; zero: none
 	defective    []DefectiveResponse
 	conns        map[net.Conn]bool
 	killed       bool
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// Restart starts the backend server again after Kill, at its address and under its name,
-// knowing nothing of before. What it ran stays in Runs.
+// Restart starts the backend server after Kill with the same address and name. It loses its state,
+// except for the records of requests, connections and responses.
 func (s *Server) Restart() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,21 +128,21 @@
 	return nil
 }
 
-// Address is where the backend server listens.
+// Address returns the host and port at which the backend server listens.
 func (s *Server) Address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.listener.Addr().String()
 }
 
-// Close ends the backend server. Connections that are open are served on.
+// Close stops listening. Open connections are still served.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_ = s.listener.Close()
 }
 
-// Kill ends the backend server at once, with all that is in flight.
+// Kill stops listening and closes all connections, with the requests in flight.
 func (s *Server) Kill() {
 	s.Close()
 	s.mu.Lock()
@@ -153,10 +153,10 @@
 	}
 }
 
-// crashAfter is how long a request runs that ends the process.
+// crashDelay is how long a request runs before it crashes the process.
 const crashDelay = 20 * time.Millisecond
 
-// crash ends the backend server after a moment, as the request that it runs makes it.
+// crash kills the backend server after crashDelay.
 func (s *Server) crash() {
 	time.Sleep(crashDelay)
 	s.Kill()
@@ -165,71 +165,71 @@
 	}
 }
 
-// Next sets the faults of the next requests, one each.
+// InjectFaults sets the faults of the next requests, one for each request.
 func (s *Server) InjectFaults(f ...Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// SetWork sets the time of work from now on.
+// SetWork sets Work.
 func (s *Server) SetWork(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.Work = d
 }
 
-// SetReadPause sets the pause after each byte of a body from now on.
+// SetReadPause sets ReadPause.
 func (s *Server) SetReadPause(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ReadPause = d
 }
 
-// SetQueue sets how many requests may wait for a slot from now on.
+// SetQueue sets Queue.
 func (s *Server) SetQueue(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.Queue = n
 }
 
-// Chill makes the backend server cold for a time.
+// SetCold makes the backend server cold for a time: its arrivals are counted.
 func (s *Server) SetCold(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.coldUntil = time.Now().Add(d)
 }
 
-// BusiestColdSecond returns the largest number of requests that arrived within a
-// second while the backend server was cold.
+// MaxColdArrivalsPerSecond returns the largest number of requests that arrived within a second while
+// the backend server was cold.
 func (s *Server) MaxColdArrivalsPerSecond() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	most, from := 0, 0
+	maxCount, first := 0, 0
 	for i, at := range s.coldArrivals {
-		for at.Sub(s.coldArrivals[from]) >= time.Second {
-			from++
+		for at.Sub(s.coldArrivals[first]) >= time.Second {
+			first++
 		}
-		most = max(most, i-from+1)
+		maxCount = max(maxCount, i-first+1)
 	}
-	return most
+	return maxCount
 }
 
-// Runs returns what ran.
+// Runs returns the requests that ran, also those before a restart.
 func (s *Server) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Run(nil), s.runs...)
 }
 
-// Left returns how many clients left before their answer.
+// Disconnects returns the number of clients that disconnected before their response.
 func (s *Server) Disconnects() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.disconnects
 }
 
-// Connections returns how many connections were opened.
+// Connections returns the number of connections that were opened.
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/tablestore/serve.go
+++ b/standin/tablestore/serve.go
@@ -80,7 +80,7 @@
 }
 
 // injectFault fails a call as the fault demands. It reports whether it wrote a response, and panics
-// with http.ErrAbortHandler if it resets the connection.
+// with http.ErrAbortHandler to close the connection without one.
 func (s *Store) injectFault(w http.ResponseWriter, r *http.Request, f Fault) bool {
 	switch {
 	case f.Unresponsive:
--- a/standin/tablestore/store.go
+++ b/standin/tablestore/store.go
@@ -5,7 +5,7 @@
 tables under a version that rises with each transaction, serves a feed of changes, and rejects calls
 beyond its rate limits.
 
-It injects faults on demand: error responses, resets, no responses, delays, lost responses to writes,
+It injects faults on demand: error responses, closed connections, no responses, delays, lost responses to writes,
 late commits, a compacted history, stale reads, faults for some clients only, and a restore from a
 backup.
 */
@@ -37,12 +37,12 @@
 type Fault struct {
 	Status       int           // of every response, if not zero
 	Unresponsive bool          // calls get no response until the client gives up
-	Reset        bool          // resets the connection of each call
+	Reset        bool          // closes the connection of each call without a response
 	Delay        time.Duration // before each response
 	// WriteDelay is the additional delay before a transaction is carried out.
 	WriteDelay    time.Duration
-	LoseResponses bool // carries transactions out and resets the connection
-	// CommitDelay resets the connection of each transaction and commits it after this time, if its
+	LoseResponses bool // carries transactions out and closes the connection
+	// CommitDelay closes the connection of each transaction and commits it after this time, if its
 	// conditions still hold.
 	CommitDelay time.Duration
 	// HoldFeeds hides changes from feeds while it is set.
