--- a/standin/backend/server.go
+++ b/standin/backend/server.go
@@ -21,60 +21,61 @@
 	"shalewick/request"
 )
 
-// Headers between the load tool and the stand-in.
+// Headers between the load generator and the simulated backend server.
 const (
 	HeaderTag = "Load-Tag"
 	HeaderSum = "Load-Sum"
-	// HeaderWork tells how long the work took.
+	// HeaderWork carries the duration of the work.
 	HeaderWork = "Load-Work"
 )
 
-// Fault is how the stand-in is told to misbehave. Shares are 0 to 1. The zero
-// value is none.
+// Fault describes how the backend server misbehaves. Shares are fractions from 0 to 1. The zero
+// value injects no fault.
 type Fault struct {
-	SlowMs          int     `json:"slowMs"`       // added to each request's work
-	Shed            float64 `json:"shed"`         // refused without running
-	RetryAfterS     int     `json:"retryAfterS"`  // rest that each refusal asks for
-	Limit           float64 `json:"limit"`        // names it in each answer, in requests a second; 0: none
-	Leaving         bool    `json:"leaving"`      // says that it is leaving
-	ReportIdle      bool    `json:"lieIdle"`      // reports no load
-	ResponseDelayMs int     `json:"lateMs"`       // answer held back after the work
-	Truncate        float64 `json:"cut"`          // answers cut short
-	WrongID         float64 `json:"wrongId"`      // answers with another request's id
-	Drop            float64 `json:"drop"`         // connections closed in place of an answer
-	ColdRequests    int     `json:"coldRequests"` // how many next requests are cold
+	SlowMs          int     `json:"slowMs"`       // added to the work of each request
+	Shed            float64 `json:"shed"`         // requests rejected without running
+	RetryAfterS     int     `json:"retryAfterS"`  // Retry-After of each rejection; 0: none
+	Limit           float64 `json:"limit"`        // rate limit that each response names, in requests a second; 0: none
+	Leaving         bool    `json:"leaving"`      // reports the state leaving
+	ReportIdle      bool    `json:"lieIdle"`      // reports no requests in flight
+	ResponseDelayMs int     `json:"lateMs"`       // delay of each response after the work
+	Truncate        float64 `json:"cut"`          // responses truncated to half their length
+	WrongID         float64 `json:"wrongId"`      // responses with a wrong request id
+	Drop            float64 `json:"drop"`         // connections closed without a response
+	ColdRequests    int     `json:"coldRequests"` // number of requests still to come that are cold
 	ColdMs          int     `json:"coldMs"`       // added to the work of a cold request
 }
 
-// Record is one request that was run.
+// Record describes a request that was run.
 type Record struct {
-	Seq        int       `json:"seq"` // its place among the backend server's records
+	Seq        int       `json:"seq"` // index among the records of the backend server
 	Backend    string    `json:"backend"`
 	Tag        string    `json:"tag"`
 	Method     string    `json:"method"`
 	Region     string    `json:"region"` // of the instance that sent it
 	Start      time.Time `json:"start"`
 	End        time.Time `json:"end"`
-	Concurrent int       `json:"atOnce"`  // requests that ran at the start, this one included
-	Leaving    bool      `json:"leaving"` // had said that it was leaving, at the start
-	Completed  bool      `json:"done"`    // the work was finished, not cancelled
+	Concurrent int       `json:"atOnce"`  // requests in flight at the start, including this one
+	Leaving    bool      `json:"leaving"` // whether the backend server was leaving at the start
+	Completed  bool      `json:"done"`    // the work was finished, and not cancelled
 }
 
-// Server is one stand-in. Name, Slots and Work are set before use.
+// Server is one simulated backend server. Name, Slots, MeanWork, Queue and Journal are set before
+// use.
 type Server struct {
 	Name     string
 	Slots    int
-	MeanWork time.Duration // mean time of work for one request
-	// Queue makes requests beyond the slots wait, as a real backend server does,
-	// up to maxWaiting for each slot; more are shed. Without it they run.
+	MeanWork time.Duration // mean duration of the work of a request
+	// Queue makes requests beyond the slots wait, as a real backend server does, up to
+	// maxWaitingPerSlot for each slot; further ones are shed. Without it they run at once.
 	Queue bool
-	// Journal, if set, gets each record as a JSON line when the request
-	// begins and again when it ends, so that records outlive a kill.
+	// Journal, if set, gets each record as a JSON line when the request begins and again when it
+	// ends, so that records survive a kill of the process.
 	Journal io.Writer
 
-	slots    chan struct{} // taken slots, with Queue
+	slots    chan struct{} // one element for each occupied slot; used with Queue
 	mu       sync.Mutex
-	boot     string
+	bootID   string
 	fault    Fault
 	inFlight int
 	peak     int
@@ -89,26 +90,26 @@
 	s.mu.Unlock()
 }
 
-// Peak returns the most requests that ran at once.
+// Peak returns the maximum number of requests that ran at once.
 func (s *Server) Peak() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.peak
 }
 
-// Refused returns how many requests were refused without running.
+// Refused returns the number of requests that were rejected without running.
 func (s *Server) Refused() int { return int(s.refused.Load()) }
 
-// Records returns a copy of what was run.
+// Records returns a copy of the records.
 func (s *Server) Records() []Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Record(nil), s.records...)
 }
 
-// Handler returns the HTTP form.
+// Handler returns the HTTP handler of the backend server.
 func (s *Server) Handler() http.Handler {
-	s.boot = strconv.FormatUint(rand.Uint64(), 36)
+	s.bootID = strconv.FormatUint(rand.Uint64(), 36)
 	s.slots = make(chan struct{}, s.Slots)
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /standin/fault", func(w http.ResponseWriter, r *http.Request) {
@@ -134,7 +135,7 @@
 	return mux
 }
 
-// state is the stand-in's own word on itself.
+// state returns the state that the backend server reports.
 func (f *Fault) state() string {
 	if f.Leaving {
 		return conn.StateLeaving
@@ -147,12 +148,12 @@
 
 func (s *Server) probe(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	rep := conn.Report{State: s.fault.state(), Boot: s.boot, InFlight: s.inFlight, Slots: s.Slots}
+	report := conn.Report{State: s.fault.state(), Boot: s.bootID, InFlight: s.inFlight, Slots: s.Slots}
 	if s.fault.ReportIdle {
-		rep.InFlight = 0
+		report.InFlight = 0
 	}
 	s.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(rep)
+	_ = json.NewEncoder(w).Encode(report)
 }
 
 func (s *Server) serveWork(w http.ResponseWriter, r *http.Request) {
@@ -161,7 +162,7 @@
 	s.mu.Unlock()
 	h := w.Header()
 	h.Set(request.HeaderState, f.state())
-	h.Set(request.HeaderBoot, s.boot)
+	h.Set(request.HeaderBoot, s.bootID)
 	h.Set(request.HeaderID, r.Header.Get(request.HeaderID))
 	if f.Limit > 0 {
 		h.Set(request.OwnNames.Limit, strconv.FormatFloat(f.Limit, 'g', -1, 64))
@@ -175,10 +176,10 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	at, cold := s.openRecord(r)
+	index, cold := s.openRecord(r)
 	start := time.Now()
 	sum, done := s.execute(r, cold)
-	s.closeRecord(at, done)
+	s.closeRecord(index, done)
 	h.Set(HeaderWork, time.Since(start).String())
 	time.Sleep(time.Duration(f.ResponseDelayMs) * time.Millisecond)
 	if !done || rand.Float64() < f.Drop {
@@ -187,13 +188,13 @@
 	tag := r.Header.Get(HeaderTag)
 	if rand.Float64() < f.WrongID {
 		h.Set(request.HeaderID, "not-"+r.Header.Get(request.HeaderID))
-		tag = strings.Repeat("?", len(tag)) // the answer to another request
+		tag = strings.Repeat("?", len(tag)) // as in the response to another request
 	}
 	h.Set(HeaderSum, strconv.FormatUint(sum, 16))
 	s.respond(w, r, tag, rand.Float64() < f.Truncate)
 }
 
-// maxWaiting is how many requests wait for each slot at most.
+// maxWaitingPerSlot is the maximum number of queued requests for each slot.
 const maxWaitingPerSlot = 8
 
 func (s *Server) queueFull() bool {
@@ -202,8 +203,9 @@
 	return s.Queue && s.inFlight >= s.Slots*(1+maxWaitingPerSlot)
 }
 
-// begin takes a slot and opens a record; it returns the record's place.
-func (s *Server) openRecord(r *http.Request) (at int, cold bool) {
+// openRecord counts a request in flight and opens its record. It returns the index of the record,
+// and whether the request is cold.
+func (s *Server) openRecord(r *http.Request) (index int, cold bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight++
@@ -216,29 +218,30 @@
 		Seq: len(s.records), Backend: s.Name, Tag: r.Header.Get(HeaderTag), Method: r.Method,
 		Region: r.Header.Get(request.HeaderRegion), Start: time.Now(), Concurrent: s.inFlight, Leaving: s.fault.Leaving,
 	})
-	at = len(s.records) - 1
-	s.writeJournal(&s.records[at])
-	return at, cold
+	index = len(s.records) - 1
+	s.writeJournal(&s.records[index])
+	return index, cold
 }
 
-// journal writes a record. The caller holds the lock.
+// writeJournal writes a record to the journal. The caller holds the lock.
 func (s *Server) writeJournal(r *Record) {
 	if s.Journal != nil {
-		_ = json.NewEncoder(s.Journal).Encode(r) // a lost line shows as a fault in the report
+		_ = json.NewEncoder(s.Journal).Encode(r) // the report shows a lost line as a fault
 	}
 }
 
-// end gives the slot back and closes the record.
-func (s *Server) closeRecord(at int, done bool) {
+// closeRecord ends a request in flight and completes its record.
+func (s *Server) closeRecord(index int, done bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight--
-	s.records[at].End = time.Now()
-	s.records[at].Completed = done
-	s.writeJournal(&s.records[at])
+	s.records[index].End = time.Now()
+	s.records[index].Completed = done
+	s.writeJournal(&s.records[index])
 }
 
-// run reads the body and works, until done, cancelled or past the deadline.
+// execute reads the body and simulates the work. It reports whether the work was finished before the
+// request was cancelled or its deadline passed.
 func (s *Server) execute(r *http.Request, cold bool) (sum uint64, done bool) {
 	ctx := r.Context()
 	if ms, err := strconv.Atoi(r.Header.Get(request.HeaderDeadline)); err == nil {
@@ -274,14 +277,14 @@
 	}
 }
 
-// maxSize bounds an answer's body, in bytes.
+// maxBodyBytes is the maximum size of a response's body.
 const maxBodyBytes = 64 << 20
 
-// maxLength is the size up to which an answer says its length, in bytes; larger
-// ones are sent in chunks.
+// maxLengthDeclaredBytes is the size up to which a response has a Content-Length; larger ones are
+// chunked.
 const maxLengthDeclaredBytes = 128 << 10
 
-func (s *Server) respond(w http.ResponseWriter, r *http.Request, tag string, cut bool) {
+func (s *Server) respond(w http.ResponseWriter, r *http.Request, tag string, truncate bool) {
 	size, _ := strconv.Atoi(r.URL.Query().Get("size"))
 	size = min(max(size, len(tag)), maxBodyBytes)
 	if size <= maxLengthDeclaredBytes {
@@ -289,7 +292,7 @@
 	}
 	w.WriteHeader(http.StatusOK)
 	body := io.MultiReader(strings.NewReader(tag), filler{})
-	if cut {
+	if truncate {
 		_, _ = io.CopyN(w, body, int64(size/2))
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
@@ -297,7 +300,7 @@
 	_, _ = io.CopyN(w, body, int64(size))
 }
 
-// filler is an endless source of dots.
+// filler is an endless reader of dots.
 type filler struct{}
 
 func (filler) Read(p []byte) (int, error) {
--- a/standin/platform/doc.go
+++ b/standin/platform/doc.go
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package platform is the stand-in for the users' platform: tables, objects and
-the list of instances, kept in memory and served in the HTTP form that package
-process/platform describes. It is for tests and the demonstration only.
+Package platform simulates the users' platform for tests and the demonstration. It keeps tables,
+objects and the list of instances in memory, and serves them in the HTTP form that package
+process/platform describes.
 
-It can be told over HTTP to fail:
+It is controlled over HTTP:
 
-	PUT /standin/fault       a Fault; replaces the present one
-	PUT /standin/instances   the true list of instances
-	GET /standin/count       calls served so far, by kind
+	PUT /standin/fault       replaces the present Fault
+	PUT /standin/instances   sets the present list of instances
+	GET /standin/count       number of calls so far, by kind
 */
 package platform
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -17,21 +17,21 @@
 	"shalewick/process/platform"
 )
 
-// Fault is how the stand-in is told to misbehave. The zero value is none.
+// Fault describes how the platform misbehaves. The zero value injects no fault.
 type Fault struct {
 	Down bool `json:"down"`
-	// SlowMs delays each call, in milliseconds.
+	// SlowMs is the delay of each call, in milliseconds.
 	SlowMs int `json:"slowMs"`
-	// Rate bounds the calls a second; zero means no bound.
+	// Rate is the maximum number of calls a second; zero means no limit.
 	Rate float64 `json:"rate"`
-	// LoseAnswers is the share of commits whose answer is lost after the
-	// write took effect, 0 to 1.
+	// LoseResponses is the fraction of commits whose response is lost after the write took effect,
+	// from 0 to 1.
 	LoseResponses float64 `json:"loseAnswers"`
-	// LagMs is how far the list of instances lags, in milliseconds.
+	// LagMs is how far the list of instances that is served lags behind, in milliseconds.
 	LagMs int `json:"lagMs"`
 }
 
-// Server is the stand-in. The zero value is ready to use.
+// Server is a simulated platform. The zero value is ready to use.
 type Server struct {
 	mu            sync.Mutex
 	tables        map[string]map[string]platform.Row
@@ -43,6 +43,7 @@
 	counts        map[string]int64
 }
 
+// instanceList is a list of instances and the time from which it holds.
 type instanceList struct {
 	since time.Time
 	list  []platform.Instance
@@ -59,14 +60,14 @@
 	}
 }
 
-// SetInstances sets the true list of instances.
+// SetInstances sets the present list of instances.
 func (s *Server) SetInstances(list []platform.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.instanceLists = append(s.instanceLists, instanceList{since: time.Now(), list: list})
 }
 
-// Counts returns the calls served so far, by kind.
+// Counts returns the number of calls so far, by kind, failed ones included.
 func (s *Server) Counts() map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +78,7 @@
 	return out
 }
 
-// Handler returns the HTTP form.
+// Handler returns the HTTP handler of the platform.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /standin/fault", func(w http.ResponseWriter, r *http.Request) {
@@ -102,11 +103,11 @@
 	return mux
 }
 
-// faulty wraps a call in the present fault.
+// withFault counts the calls to a handler and applies the present fault to them.
 func (s *Server) withFault(kind string, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		f, limit := s.fault, s.limiter
+		f, limiter := s.fault, s.limiter
 		if s.counts == nil {
 			s.counts = make(map[string]int64)
 		}
@@ -117,7 +118,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		if limit != nil && !limit.Allow() {
+		if limiter != nil && !limiter.Allow() {
 			w.WriteHeader(http.StatusTooManyRequests)
 			return
 		}
@@ -169,7 +170,8 @@
 	writeJSON(w, struct{}{})
 }
 
-// apply carries out all ops or none. The caller holds the lock.
+// apply carries out all operations, or none if the revision of a row differs from the expected one.
+// The caller holds the lock.
 func (s *Server) apply(ops []platform.Op) bool {
 	for _, op := range ops {
 		if op.Revision != platform.AnyRevision && s.tables[op.Table][op.Key].Revision != op.Revision {
@@ -219,13 +221,13 @@
 	s.mu.Unlock()
 }
 
-// instances answers with the list as it was LagMs ago.
+// instances serves the list of instances as it was LagMs ago.
 func (s *Server) instances(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	then := time.Now().Add(-time.Duration(s.fault.LagMs) * time.Millisecond)
+	servedAt := time.Now().Add(-time.Duration(s.fault.LagMs) * time.Millisecond)
 	list := []platform.Instance{}
 	for _, l := range s.instanceLists {
-		if !l.since.After(then) {
+		if !l.since.After(servedAt) {
 			list = l.list
 		}
 	}
@@ -243,5 +245,5 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // a caller that is gone needs no answer
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
