--- a/standin/program/program.go
+++ b/standin/program/program.go
@@ -113,7 +113,7 @@
 	select {
 	case <-p.done:
 	case <-time.After(maxStopTime):
-		t.Fatalf("the process did not stop within %s of SIGTERM", maxStopTime)
+		t.Fatal("the process did not stop in time after SIGTERM")
 	}
 	return time.Since(start)
 }
--- a/standin/server/notice.go
+++ b/standin/server/notice.go
@@ -34,8 +34,8 @@
 	s.leaving = true
 }
 
-// RejectAll makes the backend server reject all requests for a time, with a Retry-After in each
-// response. Its load reports show it idle, as nothing runs.
+// RejectAll makes the backend server reject all requests for a time, and to ask for a backoff of
+// retryAfter in each response, if it isn't zero. Its load reports show it idle, as nothing runs.
 func (s *Server) RejectAll(d, retryAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/tablestore/serve.go
+++ b/standin/tablestore/serve.go
@@ -16,7 +16,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
-	if len(s.fault.Callers) > 0 && !slices.Contains(s.fault.Callers, host) {
+	if len(s.fault.Clients) > 0 && !slices.Contains(s.fault.Clients, host) {
 		return Fault{}
 	}
 	return s.fault
@@ -177,7 +177,7 @@
 	epoch int64 // of the store at commit
 }
 
-// check returns the status with which an invalid transaction is refused, or 0.
+// check returns the status with which an invalid transaction is rejected, or 0.
 func (x *transaction) check() int {
 	parts := make(map[string]bool)
 	for _, r := range slices.Concat(x.Expected, x.Put, x.Delete) {
--- a/standin/tablestore/store.go
+++ b/standin/tablestore/store.go
@@ -5,9 +5,9 @@
 tables under a version that rises with each transaction, serves a feed of changes, and rejects calls
 beyond its rate limits.
 
-It injects faults on demand: error responses, closed connections, no responses, delays, lost responses to writes,
-late commits, a compacted history, stale reads, faults for some clients only, and a restore from a
-backup.
+It injects faults on demand: error responses, closed connections, no responses, delays, lost responses
+to writes, late commits, a compacted history, stale reads, and a restore from a backup. Faults can be
+limited to some clients.
 */
 package tablestore
 
@@ -49,8 +49,8 @@
 	HoldFeeds bool
 	// ReadLag is the number of versions by which reads lag behind.
 	ReadLag int64
-	// Callers lists the IP addresses of the clients that the fault affects; empty: all.
-	Callers []string
+	// Clients lists the IP addresses of the clients that the fault affects; empty: all.
+	Clients []string
 }
 
 // Store is a table store on loopback. Use Start.
@@ -101,7 +101,7 @@
 // Address returns the host and port at which the store listens.
 func (s *Store) Address() string { return s.server.Listener.Addr().String() }
 
-// Close stops the store and resets its connections.
+// Close stops the store and closes its connections.
 func (s *Store) Close() {
 	close(s.closing)
 	s.server.CloseClientConnections()
--- a/standin/tablestore/store_test.go
+++ b/standin/tablestore/store_test.go
@@ -73,13 +73,13 @@
 	s := Start()
 	t.Cleanup(s.Close)
 	s.SetRateLimits(0, 2)
-	refused := 0
+	rejected := 0
 	for range 12 {
 		if status, _ := commit(t, s, map[string]any{"put": []any{putOp("k")}}); status == http.StatusTooManyRequests {
-			refused++
+			rejected++
 		}
 	}
-	assert.Assert(t, refused >= 8, "%d refused", refused) // the calls may fall into two seconds
+	assert.Assert(t, rejected >= 8, "%d rejected", rejected) // the calls may fall into two seconds
 }
 
 // TestResponsesCarryMonotonicClock checks that the clock in responses advances at the rate of the
