--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -47,7 +47,8 @@
 	Header                         http.Header
 }
 
-// Server is one backend server. The fields up to OnCrash are set before Start.
+// Server is one backend server. The fields up to Seed are set before Start, CrashOn and
+// OnCrash before the first request.
 type Server struct {
 	Name         string
 	Names        request.Names
