--- a/standin/link/link.go
+++ b/standin/link/link.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package link is a loopback proxy that stands in for the network between two
-processes. It passes bytes on, late, not at all, or one way only, cuts or refuses
-connections, and lets those that are open fall silent for good. It is for tests.
+Package link is a loopback TCP proxy that simulates the network between two processes in tests. It
+forwards bytes, delays or blocks them, in both directions or back only, resets connections or
+rejects new ones, and blackholes those that are open.
 */
 package link
 
@@ -14,20 +14,20 @@
 	"time"
 )
 
-// Mode says what the link does.
+// Mode says how the link treats bytes and connections.
 type Mode int
 
-// The modes. What is held in Silent and OneWay is passed on once the mode ends.
+// The modes. Bytes that are blocked are forwarded once the mode ends.
 const (
-	Pass   Mode = iota
-	Slow        // each piece is late by SlowBy
-	Silent      // nothing is passed on
-	OneWay      // nothing is passed back
-	Refuse      // new connections are reset
+	Forward     Mode = iota
+	Delayed          // each read is forwarded after Delay
+	Blocked          // nothing is forwarded
+	BlockedBack      // nothing is forwarded from the target to the client
+	Refuse           // new connections are reset
 )
 
-// SlowBy is how late a slow link passes bytes on.
-const SlowBy = 80 * time.Millisecond
+// Delay is the delay of each read in the mode Delayed.
+const Delay = 80 * time.Millisecond
 
 // Link is one proxy. Use Start.
 type Link struct {
@@ -36,11 +36,11 @@
 	mu       sync.Mutex
 	mode     Mode
 	changed  chan struct{}
-	conns    map[net.Conn]bool // set once they fell silent for good
+	conns    map[net.Conn]bool // open connections; true once blackholed
 	closed   bool
 }
 
-// Start starts a link from listen, an IP number and port, to target.
+// Start starts a link from listen, an IP address and port, to target.
 func Start(listen, target string) (*Link, error) {
 	l, err := net.Listen("tcp4", listen)
 	if err != nil {
@@ -51,15 +51,15 @@
 	return k, nil
 }
 
-// Address is where the link listens.
+// Address returns the IP address and port at which the link listens.
 func (k *Link) Address() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.listener.Addr().String()
 }
 
-// Set changes the mode.
-func (k *Link) Set(m Mode) {
+// SetMode changes the mode.
+func (k *Link) SetMode(m Mode) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.mode = m
@@ -67,8 +67,8 @@
 	k.changed = make(chan struct{})
 }
 
-// Cut resets all connections.
-func (k *Link) Cut() {
+// ResetAll resets all connections.
+func (k *Link) ResetAll() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for c := range k.conns {
@@ -76,16 +76,16 @@
 	}
 }
 
-// Down makes new connections refused and resets those that are open, as the end of the
-// process behind the link does.
+// Down stops listening, so that new connections are refused, and resets the open ones, as when the
+// process behind the link ends.
 func (k *Link) Down() {
 	k.mu.Lock()
 	_ = k.listener.Close()
 	k.mu.Unlock()
-	k.Cut()
+	k.ResetAll()
 }
 
-// Up ends Down, at the same address.
+// Up listens again at the same address.
 func (k *Link) Up() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -98,9 +98,9 @@
 	return nil
 }
 
-// Mute makes the connections that are open now silent for good, both ways and without
-// a reset. New ones work.
-func (k *Link) Mute() {
+// Blackhole drops everything on the connections that are open now, for good, in both directions and
+// without a reset. New connections work.
+func (k *Link) Blackhole() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for c := range k.conns {
@@ -108,20 +108,20 @@
 	}
 }
 
-func (k *Link) muted(c net.Conn) bool {
+func (k *Link) blackholed(c net.Conn) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.conns[c]
 }
 
-// Close ends the link.
+// Close stops listening and resets all connections.
 func (k *Link) Close() {
 	k.mu.Lock()
 	_ = k.listener.Close()
 	k.closed = true
 	k.mu.Unlock()
-	k.Set(Pass)
-	k.Cut()
+	k.SetMode(Forward)
+	k.ResetAll()
 }
 
 func reset(c net.Conn) {
@@ -149,13 +149,13 @@
 			reset(in)
 			continue
 		}
-		k.hold(in, out)
-		go k.pass(out, in, false)
-		go k.pass(in, out, true)
+		k.track(in, out)
+		go k.forward(out, in, false)
+		go k.forward(in, out, true)
 	}
 }
 
-func (k *Link) hold(cs ...net.Conn) {
+func (k *Link) track(cs ...net.Conn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, c := range cs {
@@ -163,30 +163,31 @@
 	}
 }
 
-// await waits until bytes may go on, back or forth.
-func (k *Link) await(back bool) {
+// waitUnblocked waits until the mode lets bytes through, and for Delay in the mode Delayed. back is
+// the direction from the target to the client.
+func (k *Link) waitUnblocked(back bool) {
 	for {
 		k.mu.Lock()
 		mode, changed, closed := k.mode, k.changed, k.closed
 		k.mu.Unlock()
-		held := mode == Silent || mode == OneWay && back
-		if mode == Slow {
-			time.Sleep(SlowBy)
+		blocked := mode == Blocked || mode == BlockedBack && back
+		if mode == Delayed {
+			time.Sleep(Delay)
 		}
-		if !held || closed {
+		if !blocked || closed {
 			return
 		}
 		<-changed
 	}
 }
 
-// pass copies from one side to the other until one of them ends.
-func (k *Link) pass(to, from net.Conn, back bool) {
+// forward copies from one side to the other until one of them ends.
+func (k *Link) forward(to, from net.Conn, back bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !k.muted(from) {
-			k.await(back)
+		if n > 0 && !k.blackholed(from) {
+			k.waitUnblocked(back)
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				err = werr
 			}
@@ -194,12 +195,12 @@
 		if err == nil {
 			continue
 		}
-		k.await(back)
-		if k.muted(from) {
-			return // the other side hears nothing of it; Close ends it
+		k.waitUnblocked(back)
+		if k.blackholed(from) {
+			return // the other side gets no FIN or reset; Close ends it
 		}
 		if err == io.EOF {
-			_ = to.(*net.TCPConn).CloseWrite() // the other direction goes on
+			_ = to.(*net.TCPConn).CloseWrite() // the other direction stays open
 		} else {
 			reset(to)
 			reset(from)
--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package server is a stand-in of the users' backend servers: slots and a queue, a seal
-on each answer, refusals that say that nothing ran, work that is quicker for
-objects seen lately, a cold start in which arrivals are counted. It misbehaves on
-demand. It keeps a journal of what ran. It is for tests.
+Package server is a test double of the users' backend servers. It has slots and a queue, puts a seal
+on each response, marks rejections of requests that did not run, works faster on objects that it has
+served before, and counts arrivals during a cold start. It injects faults on demand and records the
+requests that ran.
 */
 package server
 
@@ -17,80 +17,81 @@
 	"shalewick/request"
 )
 
-// Fault says how the next answers misbehave.
+// Fault is a fault of one response.
 type Fault int
 
 // The faults.
 const (
-	None         Fault = iota
-	Cut                // the answer ends in the middle
-	Unframed           // the answer has no length and ends with its connection
-	UnframedCut        // the same, but the connection is reset
-	Surplus            // an answer to another request comes first
-	SurplusAfter       // a second answer comes after the whole one
-	Lost               // the request runs and the connection is reset
-	Silent             // the request runs and no answer comes
-	Early              // refused before the body is in
-	NotAnswer          // bytes that are no answer
-	Shed               // refused without running it
-	ShedLate           // the same, after lateShed
-	Broken             // it runs, and the answer is the backend server's own failure
-	Moved              // another backend server has the address
+	NoFault             Fault = iota
+	Truncated                 // the response ends before its last bytes
+	CloseDelimited            // the response has no length and ends with its connection
+	CloseDelimitedReset       // the same, but with a reset
+	ExtraBefore               // a response to another request precedes the right one
+	ExtraAfter                // a response to another request follows the right one
+	ResetAfterRun             // the request runs and the connection is reset
+	NoResponse                // the request runs and gets no response
+	RejectEarly               // rejected before the body is read
+	NotHTTP                   // the response is not HTTP
+	Shed                      // rejected without running
+	ShedSlowly                // the same, after shedDelay
+	InternalError             // the request runs and gets status 500
+	Misdirected               // rejected as sent to the wrong backend server
 )
 
-// lateShed is how long ShedLate takes to refuse.
-const lateShed = 150 * time.Millisecond
+// shedDelay is the delay of a rejection with ShedSlowly.
+const shedDelay = 150 * time.Millisecond
 
-// Run is one request that ran.
+// Run describes a request that ran.
 type Run struct {
 	ID, Method, Path, Body, Object string
 	Header                         http.Header
 }
 
-// Server is one backend server. The fields up to Seed are set before Start.
+// Server is one backend server. The fields up to Seed are set before Start, CrashOn and
+// OnCrash before the first request.
 type Server struct {
-	Name  string
-	Names request.Names
-	Slots int
-	Queue int           // requests that may wait for a slot
-	Work  time.Duration // for an object that was seen
-	First time.Duration // for one that was not
-	Size  int           // bytes that are added to each answer
-	// ReadPause is the pause after each byte of a body; zero: it reads at once.
+	Name         string
+	Names        request.Names
+	Slots        int
+	Queue        int           // maximum number of requests that wait for a slot
+	Work         time.Duration // time of work for an object that was served before
+	UncachedWork time.Duration // time of work for other objects, if longer than Work
+	PaddingBytes int           // added to the body of each complete response
+	// ReadPause is the pause after each byte of a body that is read; zero: none.
 	ReadPause time.Duration
-	Pace      string  // the fourth figure of its load reports; "": they have none
-	Software  string  // the version of the software that it runs
-	Bad       Badness // of that version
-	Seed      uint64  // which answers are bad
-	// Crashes, if set, says which requests end the process that runs them, crashAfter
-	// after it began. OnCrash, if set, is told of the end.
-	Crashes func(*http.Request) bool
+	Slowdown  string // fourth field of load reports: slowdown of the host; "": omitted
+	Software  string // version that it runs
+	Defect    Defect // of Software
+	Seed      uint64 // selects the responses that are defective
+	// CrashOn, if set, selects the requests that crash the process, crashDelay after they begin.
+	CrashOn func(*http.Request) bool
+	// OnCrash, if set, is called after the crash.
 	OnCrash func()
 
-	mu         sync.Mutex
-	listener   net.Listener
-	born       time.Time
-	faults     []Fault
-	runs       []Run
-	seen       map[string]bool
-	running    int
-	waiting    int
-	most       int
-	cold       time.Time   // until when it counts what arrives
-	arrivals   []time.Time // while it was cold
-	closed     int         // connections whose client left before the answer
-	opened     int
-	badFrom    time.Time // from when Bad.After counts
-	sent       []Arrival // what came
-	noticed    []Notice  // the answers with a notice
-	started    int       // how often it was started again
-	leaves     bool      // each answer says so
-	away       time.Time // until when it turns all away
-	retryAfter time.Duration
-	limit      float64 // each answer names it, in requests a second; zero: none
-	bad        []BadAnswer
-	open       map[net.Conn]bool
-	killed     bool
+	mu           sync.Mutex
+	listener     net.Listener
+	startedAt    time.Time
+	faults       []Fault
+	runs         []Run
+	seenObjects  map[string]bool
+	running      int
+	waiting      int
+	maxRunning   int
+	coldUntil    time.Time   // arrivals are counted until then
+	coldArrivals []time.Time // before coldUntil
+	disconnects  int         // clients that disconnected before the response
+	opened       int         // connections
+	defectFrom   time.Time   // when Defect.Onset begins to count
+	arrivals     []Arrival
+	notices      []Notice
+	restarts     int
+	leaving      bool      // set by SetLeaving
+	rejectUntil  time.Time // set by RejectAll
+	retryAfter   time.Duration
+	limit        float64 // in requests a second, in each response; zero: none
+	defective    []DefectiveResponse
+	conns        map[net.Conn]bool
+	killed       bool
 }
 
 // Start starts the backend server on loopback.
@@ -100,16 +101,16 @@
 		return err
 	}
 	s.listener = l
-	s.seen = make(map[string]bool)
-	s.open = make(map[net.Conn]bool)
-	s.badFrom = time.Now()
-	s.born = s.badFrom
+	s.seenObjects = make(map[string]bool)
+	s.conns = make(map[net.Conn]bool)
+	s.defectFrom = time.Now()
+	s.startedAt = s.defectFrom
 	go s.accept(l)
 	return nil
 }
 
-// Restart starts the backend server again after Kill, at its address and under its name,
-// knowing nothing of before. What it ran stays in Runs.
+// Restart starts the backend server after Kill with the same address and name. It loses its state,
+// except for the records of requests, connections and responses.
 func (s *Server) Restart() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,117 +120,117 @@
 	}
 	s.listener = l
 	s.killed = false
-	s.seen = make(map[string]bool)
-	s.open = make(map[net.Conn]bool)
-	s.born = time.Now()
-	s.started++
-	s.leaves, s.away, s.limit = false, time.Time{}, 0
+	s.seenObjects = make(map[string]bool)
+	s.conns = make(map[net.Conn]bool)
+	s.startedAt = time.Now()
+	s.restarts++
+	s.leaving, s.rejectUntil, s.limit = false, time.Time{}, 0
 	go s.accept(l)
 	return nil
 }
 
-// Address is where the backend server listens.
+// Address returns the host and port at which the backend server listens.
 func (s *Server) Address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.listener.Addr().String()
 }
 
-// Close ends the backend server. Connections that are open are served on.
+// Close stops listening. Open connections are still served.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_ = s.listener.Close()
 }
 
-// Kill ends the backend server at once, with all that is in flight.
+// Kill stops listening and closes all connections, with the requests in flight.
 func (s *Server) Kill() {
 	s.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.killed = true
-	for c := range s.open {
+	for c := range s.conns {
 		_ = c.Close()
 	}
 }
 
-// crashAfter is how long a request runs that ends the process.
-const crashAfter = 20 * time.Millisecond
+// crashDelay is how long a request runs before it crashes the process.
+const crashDelay = 20 * time.Millisecond
 
-// crash ends the backend server after a moment, as the request that it runs makes it.
+// crash kills the backend server after crashDelay.
 func (s *Server) crash() {
-	time.Sleep(crashAfter)
+	time.Sleep(crashDelay)
 	s.Kill()
 	if s.OnCrash != nil {
 		s.OnCrash()
 	}
 }
 
-// Next sets the faults of the next requests, one each.
-func (s *Server) Next(f ...Fault) {
+// InjectFaults sets the faults of the next requests, one for each request.
+func (s *Server) InjectFaults(f ...Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// SetWork sets the time of work from now on.
+// SetWork sets Work.
 func (s *Server) SetWork(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.Work = d
 }
 
-// SetReadPause sets the pause after each byte of a body from now on.
+// SetReadPause sets ReadPause.
 func (s *Server) SetReadPause(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ReadPause = d
 }
 
-// SetQueue sets how many requests may wait for a slot from now on.
+// SetQueue sets Queue.
 func (s *Server) SetQueue(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.Queue = n
 }
 
-// Chill makes the backend server cold for a time.
-func (s *Server) Chill(d time.Duration) {
+// SetCold makes the backend server cold for a time: its arrivals are counted.
+func (s *Server) SetCold(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cold = time.Now().Add(d)
+	s.coldUntil = time.Now().Add(d)
 }
 
-// BusiestColdSecond returns the largest number of requests that arrived within a
-// second while the backend server was cold.
-func (s *Server) BusiestColdSecond() int {
+// MaxColdArrivalsPerSecond returns the largest number of requests that arrived within a second while
+// the backend server was cold.
+func (s *Server) MaxColdArrivalsPerSecond() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	most, from := 0, 0
-	for i, at := range s.arrivals {
-		for at.Sub(s.arrivals[from]) >= time.Second {
-			from++
+	maxCount, first := 0, 0
+	for i, at := range s.coldArrivals {
+		for at.Sub(s.coldArrivals[first]) >= time.Second {
+			first++
 		}
-		most = max(most, i-from+1)
+		maxCount = max(maxCount, i-first+1)
 	}
-	return most
+	return maxCount
 }
 
-// Runs returns what ran.
+// Runs returns the requests that ran, also those before a restart.
 func (s *Server) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Run(nil), s.runs...)
 }
 
-// Left returns how many clients left before their answer.
-func (s *Server) Left() int {
+// Disconnects returns the number of clients that disconnected before their response.
+func (s *Server) Disconnects() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.closed
+	return s.disconnects
 }
 
-// Connections returns how many connections were opened.
+// Connections returns the number of connections that were opened.
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
