--- a/proof/cluster_test.go
+++ b/proof/cluster_test.go
@@ -36,7 +36,7 @@
 	platform *program.Process
 	base     string              // URL of the platform
 	regions  [3]*program.Process // backends of each region
-	backends []serverInfo        // by number
+	backends []backendInfo       // by number
 	entries  []*instance
 	listed   []platform.Instance
 	op       *operator.Client
@@ -47,11 +47,11 @@
 }
 
 // serverInfo is one backend server.
-type serverInfo struct {
-	name    string
-	real    netip.AddrPort // of the stand-in
-	address netip.AddrPort // in the configuration
-	region  int
+type backendInfo struct {
+	name       string
+	listen     netip.AddrPort // of the stand-in
+	configured netip.AddrPort // in the configuration
+	region     int
 }
 
 // instance is one entry.
@@ -65,42 +65,42 @@
 }
 
 // shape says what a cluster is made of.
-type shape struct {
+type clusterOptions struct {
 	size    fleet.Size
 	entries int
 	work    time.Duration
 	// through, if set, returns the address to configure for a backend server.
-	through func(netip.AddrPort) netip.AddrPort
-	grace   time.Duration
-	queue   bool // backends queue what is beyond their slots
+	proxy func(netip.AddrPort) netip.AddrPort
+	grace time.Duration
+	queue bool // backends queue what is beyond their slots
 }
 
-const halls = 6
+const hallCount = 6
 
-func newCluster(t testing.TB, s shape) *cluster {
+func newCluster(t testing.TB, s clusterOptions) *cluster {
 	t.Helper()
 	c := &cluster{t: t, size: s.size, grace: s.grace, queue: s.queue, journal: filepath.Join(t.TempDir(), "journal")}
-	listen := c.take(1)[0]
+	listen := c.takeAddresses(1)[0]
 	c.base = "http://" + listen.String()
-	c.platform = run(t, "platform", "standin", "platform", "--listen", listen.String())
-	c.backends = make([]serverInfo, s.size.Backends())
+	c.platform = startCommand(t, "platform", "standin", "platform", "--listen", listen.String())
+	c.backends = make([]backendInfo, s.size.Backends())
 	for region := range c.regions {
-		c.startBackends(region, s.work, s.through)
+		c.startBackends(region, s.work, s.proxy)
 	}
 	program.Eventually(t, 10*time.Second, "the platform listens", func() bool {
-		return put(c.base+"/standin/fault", standplatform.Fault{}) == nil
+		return putJSON(c.base+"/standin/fault", standplatform.Fault{}) == nil
 	})
 	for i := range s.entries {
 		c.startEntry(fmt.Sprintf("entry-%d", i), i)
 	}
-	c.ready()
-	c.apply(s.size.Resources(c.addresses())...)
-	c.settle()
+	c.waitReady()
+	c.apply(s.size.Resources(c.configuredAddresses())...)
+	c.waitTokensOwned()
 	return c
 }
 
 // take returns n adjoining free addresses.
-func (c *cluster) take(n int) []netip.AddrPort {
+func (c *cluster) takeAddresses(n int) []netip.AddrPort {
 	c.t.Helper()
 	ps, err := c.ports.Take(n)
 	assert.NilError(c.t, err)
@@ -108,10 +108,10 @@
 }
 
 // numbers returns the numbers of the backend servers of a region.
-func (c *cluster) numbers(region int) []int {
+func (c *cluster) backendNumbers(region int) []int {
 	var out []int
 	for i := range c.backends {
-		if i%halls/2 == region {
+		if i%hallCount/2 == region {
 			out = append(out, i)
 		}
 	}
@@ -119,41 +119,41 @@
 }
 
 func (c *cluster) startBackends(region int, work time.Duration, through func(netip.AddrPort) netip.AddrPort) {
-	ns := c.numbers(region)
-	ps := c.take(len(ns))
+	ns := c.backendNumbers(region)
+	ps := c.takeAddresses(len(ns))
 	prefix := c.size.Regions[region] + "/"
 	for j, n := range ns {
-		info := serverInfo{name: prefix + strconv.Itoa(j), real: ps[j], address: ps[j], region: region}
+		info := backendInfo{name: prefix + strconv.Itoa(j), listen: ps[j], configured: ps[j], region: region}
 		if through != nil {
-			info.address = through(ps[j])
+			info.configured = through(ps[j])
 		}
 		c.backends[n] = info
 	}
 	c.runBackends(region, work)
 	program.Eventually(c.t, 10*time.Second, "the backend servers listen", func() bool {
-		return put("http://"+ps[len(ps)-1].String()+"/standin/fault", backend.Fault{}) == nil
+		return putJSON("http://"+ps[len(ps)-1].String()+"/standin/fault", backend.Fault{}) == nil
 	})
 }
 
 // runBackends starts the process of a region's backend servers, also after a kill.
 func (c *cluster) runBackends(region int, work time.Duration) {
-	ns := c.numbers(region)
-	c.regions[region] = run(c.t, "backends-"+c.size.Regions[region], "standin", "backend",
-		"--queue="+strconv.FormatBool(c.queue), "--listen", c.backends[ns[0]].real.String(), "--name", c.size.Regions[region]+"/",
+	ns := c.backendNumbers(region)
+	c.regions[region] = startCommand(c.t, "backends-"+c.size.Regions[region], "standin", "backend",
+		"--queue="+strconv.FormatBool(c.queue), "--listen", c.backends[ns[0]].listen.String(), "--name", c.size.Regions[region]+"/",
 		"--count", strconv.Itoa(len(ns)), "--slots", strconv.Itoa(c.size.Slots), "--work", work.String(),
 		"--journal", c.journal)
 }
 
-func (c *cluster) addresses() []netip.AddrPort {
+func (c *cluster) configuredAddresses() []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, u := range c.backends {
-		out = append(out, u.address)
+		out = append(out, u.configured)
 	}
 	return out
 }
 
 // place returns service and region of a backend server by its name in records.
-func (c *cluster) place(name string) (service, region string) {
+func (c *cluster) serviceAndRegion(name string) (service, region string) {
 	for i, u := range c.backends {
 		if u.name == name {
 			return c.size.ServiceOf(i), c.size.Regions[u.region]
@@ -164,13 +164,13 @@
 
 // startEntry starts an entry in the hall of a number and lists it.
 func (c *cluster) startEntry(name string, number int) *instance {
-	ps := c.take(3)
+	ps := c.takeAddresses(3)
 	e := &instance{
 		name: name, hall: c.size.Hall(number),
 		front: ps[0].String(), peer: ps[1].String(), admin: ps[2].String(),
 	}
 	c.listed = append(c.listed, platform.Instance{Name: name, State: platform.StateLive})
-	c.list()
+	c.publishInstances()
 	c.runEntry(e)
 	c.entries = append(c.entries, e)
 	var admins []string
@@ -193,16 +193,16 @@
 	if c.grace > 0 {
 		args = append(args, "--grace", c.grace.String())
 	}
-	e.Process = run(c.t, e.name, args...)
+	e.Process = startCommand(c.t, e.name, args...)
 }
 
 // list tells the platform the present list of instances.
-func (c *cluster) list() {
-	_ = put(c.base+"/standin/instances", c.listed) // fails before the platform is up, when it does not matter
+func (c *cluster) publishInstances() {
+	_ = putJSON(c.base+"/standin/instances", c.listed) // fails before the platform is up, when it does not matter
 }
 
 // unlist takes an instance off the list.
-func (c *cluster) unlist(name string) {
+func (c *cluster) removeInstance(name string) {
 	var keep []platform.Instance
 	for _, i := range c.listed {
 		if i.Name != name {
@@ -210,18 +210,18 @@
 		}
 	}
 	c.listed = keep
-	c.list()
+	c.publishInstances()
 }
 
 // ready waits until all entries serve.
-func (c *cluster) ready() {
+func (c *cluster) waitReady() {
 	c.t.Helper()
 	for _, e := range c.entries {
-		c.entryReady(e)
+		c.waitEntryReady(e)
 	}
 }
 
-func (c *cluster) entryReady(e *instance) {
+func (c *cluster) waitEntryReady(e *instance) {
 	c.t.Helper()
 	program.Eventually(c.t, 20*time.Second, e.name+" is ready", func() bool {
 		res, err := http.Get("http://" + e.admin + "/readyz")
@@ -244,7 +244,7 @@
 }
 
 // settle waits until every token has a home.
-func (c *cluster) settle() {
+func (c *cluster) waitTokensOwned() {
 	c.t.Helper()
 	program.Eventually(c.t, 20*time.Second, "every token has a home", func() bool {
 		st, err := c.op.Status(context.Background())
@@ -296,7 +296,7 @@
 }
 
 // underLoad runs a script while load is sent, and judges the outcomes.
-func (c *cluster) underLoad(o load.Options, script func()) (*load.Report, []load.Outcome) {
+func (c *cluster) runUnderLoad(o load.Options, script func()) (*load.Report, []load.Outcome) {
 	c.t.Helper()
 	var outcomes []load.Outcome
 	var err error
@@ -347,7 +347,7 @@
 }
 
 // peak returns the most requests that ran at once at any backend server.
-func (c *cluster) peak() int {
+func (c *cluster) peakConcurrency() int {
 	c.t.Helper()
 	most := 0
 	for _, r := range c.records() {
@@ -358,16 +358,16 @@
 
 func (c *cluster) platformFault(f standplatform.Fault) {
 	c.t.Helper()
-	assert.NilError(c.t, put(c.base+"/standin/fault", f))
+	assert.NilError(c.t, putJSON(c.base+"/standin/fault", f))
 }
 
 func (c *cluster) backendFault(i int, f backend.Fault) {
 	c.t.Helper()
-	assert.NilError(c.t, put("http://"+c.backends[i].real.String()+"/standin/fault", f))
+	assert.NilError(c.t, putJSON("http://"+c.backends[i].listen.String()+"/standin/fault", f))
 }
 
 // put sends a value as JSON.
-func put(url string, v any) error {
+func putJSON(url string, v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return err
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -25,15 +25,15 @@
 )
 
 // write is one operator's change of the contested resource.
-type write struct {
-	against int64 // version that it names
-	text    string
+type casInput struct {
+	expected int64 // version that it names
+	text     string
 }
 
 // written is how it ended: accepted as a version, or refused with the present.
-type written struct {
+type casOutput struct {
 	accepted int64
-	present  int64
+	current  int64
 }
 
 // casModel is one resource with versions: a write takes effect exactly when it
@@ -41,40 +41,40 @@
 var casModel = porcupine.Model{
 	Init: func() any { return int64(1) },
 	Step: func(state, input, output any) (bool, any) {
-		now, in, out := state.(int64), input.(write), output.(written)
+		now, in, out := state.(int64), input.(casInput), output.(casOutput)
 		if out.accepted != 0 {
-			return in.against == now && out.accepted > now, out.accepted
+			return in.expected == now && out.accepted > now, out.accepted
 		}
-		return in.against != now && out.present == now, now
+		return in.expected != now && out.current == now, now
 	},
 }
 
-func contested(text string, v int64) version.Resource {
+func contestedRegion(text string, v int64) version.Resource {
 	return version.Resource{
 		Key: version.Key{Kind: version.KindRegion, Name: "north"}, Version: v, Region: &version.Region{Description: text},
 	}
 }
 
 // operators race on one resource until the time is over.
-type operators struct {
-	mu      sync.Mutex
-	history []porcupine.Operation
-	texts   map[int64]string    // accepted versions
-	when    map[int64]time.Time // of acceptance
-	unknown int
+type operatorRace struct {
+	mu         sync.Mutex
+	history    []porcupine.Operation
+	texts      map[int64]string    // accepted versions
+	acceptedAt map[int64]time.Time // of acceptance
+	unknown    int
 }
 
-func (o *operators) race(t *testing.T, client int, op *operator.Client, until time.Time) {
+func (o *operatorRace) run(t *testing.T, client int, op *operator.Client, until time.Time) {
 	against := int64(1)
 	for n := 0; time.Now().Before(until); n++ {
 		text := fmt.Sprintf("%d-%d", client, n)
 		start := time.Now().UnixNano()
-		applied, err := op.Apply(context.Background(), []version.Resource{contested(text, against)})
-		out := written{accepted: applied.Version}
+		applied, err := op.Apply(context.Background(), []version.Resource{contestedRegion(text, against)})
+		out := casOutput{accepted: applied.Version}
 		var refused *operator.RefusedError
 		switch {
 		case errors.As(err, &refused) && refused.Code == request.Conflict && refused.Present != nil:
-			out.present = refused.Present.Version
+			out.current = refused.Present.Version
 		case errors.As(err, &refused) && refused.Code == request.PlatformDown:
 			time.Sleep(50 * time.Millisecond) // nothing was written
 			continue
@@ -88,28 +88,28 @@
 		}
 		o.mu.Lock()
 		o.history = append(o.history, porcupine.Operation{
-			ClientId: client, Input: write{against, text}, Output: out, Call: start, Return: time.Now().UnixNano(),
+			ClientId: client, Input: casInput{against, text}, Output: out, Call: start, Return: time.Now().UnixNano(),
 		})
 		if out.accepted != 0 {
 			o.texts[out.accepted] = text
-			o.when[out.accepted] = time.Now()
+			o.acceptedAt[out.accepted] = time.Now()
 		}
 		o.mu.Unlock()
-		against = max(out.accepted, out.present)
+		against = max(out.accepted, out.current)
 		time.Sleep(time.Duration(rand.IntN(30)) * time.Millisecond)
 	}
 }
 
 // reading is what an entry had in force at a time.
-type reading struct {
+type observation struct {
 	at      time.Time
 	version int64
 	text    string
 }
 
 // readEntry polls the contested resource at one entry.
-func readEntry(e *instance, stop *atomic.Bool) []reading {
-	var out []reading
+func pollEntry(e *instance, stop *atomic.Bool) []observation {
+	var out []observation
 	c := http.Client{Timeout: 300 * time.Millisecond}
 	for !stop.Load() {
 		time.Sleep(10 * time.Millisecond)
@@ -121,7 +121,7 @@
 		err = json.NewDecoder(res.Body).Decode(&r)
 		_ = res.Body.Close()
 		if err == nil && r.Region != nil {
-			out = append(out, reading{time.Now(), r.Version, r.Region.Description})
+			out = append(out, observation{time.Now(), r.Version, r.Region.Description})
 		}
 	}
 	return out
@@ -132,21 +132,21 @@
 // writes are linearizable; each entry's version only rises, and shows what was
 // accepted; and an accepted version is in force everywhere within seconds.
 func TestConfigurationNeverReverts(t *testing.T) {
-	c := newCluster(t, shape{size: fleet.Caroni(), entries: 7})
-	o := &operators{texts: map[int64]string{1: ""}, when: make(map[int64]time.Time)}
+	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 7})
+	o := &operatorRace{texts: map[int64]string{1: ""}, acceptedAt: make(map[int64]time.Time)}
 	c.platformFault(standplatform.Fault{LoseAnswers: 0.3, SlowMs: 3})
 	until := time.Now().Add(14 * time.Second)
 	var all sync.WaitGroup
 	for i := range 4 {
 		// Each operator has a first instance of its own.
 		op := operator.New(append(append([]string(nil), c.op.Addresses[i:]...), c.op.Addresses[:i]...))
-		all.Go(func() { o.race(t, i, op, until) })
+		all.Go(func() { o.run(t, i, op, until) })
 	}
 	var stop atomic.Bool
-	readings := make([][]reading, len(c.entries))
+	readings := make([][]observation, len(c.entries))
 	var readers sync.WaitGroup
 	for i, e := range c.entries {
-		readers.Go(func() { readings[i] = readEntry(e, &stop) })
+		readers.Go(func() { readings[i] = pollEntry(e, &stop) })
 	}
 	time.Sleep(2 * time.Second)
 	c.entries[4].Freeze()
@@ -157,13 +157,13 @@
 	time.Sleep(500 * time.Millisecond)
 	o.mu.Lock()
 	newest := int64(1)
-	for v := range o.when {
+	for v := range o.acceptedAt {
 		newest = max(newest, v)
 	}
 	o.mu.Unlock()
 	// A new process with the platform down takes the version from its peers.
 	fresh := c.startEntry("entry-fresh", 6)
-	c.entryReady(fresh)
+	c.waitEntryReady(fresh)
 	res, err := operator.New([]string{fresh.admin}).Get(context.Background(), version.Key{Kind: version.KindRegion, Name: "north"})
 	assert.NilError(t, err)
 	assert.Assert(t, res.Version >= newest, "fresh has %d, accepted was %d", res.Version, newest)
@@ -173,15 +173,15 @@
 	stop.Store(true)
 	readers.Wait()
 	assert.Equal(t, o.unknown, 0)
-	assert.Assert(t, len(o.when) > 20, "too few changes")
+	assert.Assert(t, len(o.acceptedAt) > 20, "too few changes")
 	assert.Equal(t, porcupine.CheckOperations(casModel, o.history), true)
-	o.checkReadings(t, readings)
-	t.Logf("%d calls, %d accepted", len(o.history), len(o.when))
+	o.checkObservations(t, readings)
+	t.Logf("%d calls, %d accepted", len(o.history), len(o.acceptedAt))
 }
 
 // checkReadings checks that versions only rise and are as accepted, and
 // measures how long each took to be in force at each entry that ran.
-func (o *operators) checkReadings(t *testing.T, readings [][]reading) {
+func (o *operatorRace) checkObservations(t *testing.T, readings [][]observation) {
 	t.Helper()
 	var worst time.Duration
 	for entry, rs := range readings {
@@ -194,7 +194,7 @@
 		if entry == 4 || entry == 6 {
 			continue // frozen or killed
 		}
-		for v, accepted := range o.when {
+		for v, accepted := range o.acceptedAt {
 			for _, r := range rs {
 				if r.version >= v {
 					worst = max(worst, r.at.Sub(accepted))
--- a/proof/control_test.go
+++ b/proof/control_test.go
@@ -24,17 +24,17 @@
 	const length = 10 * time.Second
 	for _, n := range []int{6, 12, 24, 48} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := newCluster(b, shape{size: fleet.Caroni(), entries: n, work: time.Millisecond})
+			c := newCluster(b, clusterOptions{size: fleet.Caroni(), entries: n, work: time.Millisecond})
 			time.Sleep(3 * time.Second) // the start is over
 			for range b.N {
-				cpu, bytes, calls := c.cost(b)
+				cpu, bytes, calls := c.controlCost(b)
 				time.Sleep(length)
-				cpu2, bytes2, calls2 := c.cost(b)
+				cpu2, bytes2, calls2 := c.controlCost(b)
 				per := length.Seconds() * float64(n)
 				b.ReportMetric((cpu2-cpu)/per*100, "%core/entry")
 				b.ReportMetric((bytes2-bytes)/per, "B/s/entry")
 				b.ReportMetric((calls2-calls)/length.Seconds(), "platform-calls/s")
-				b.ReportMetric(c.memory(b)/float64(n), "MB/entry")
+				b.ReportMetric(c.residentMemory(b)/float64(n), "MB/entry")
 			}
 		})
 	}
@@ -42,7 +42,7 @@
 
 // cost returns processor seconds, bytes between entries, and the calls of the
 // platform so far.
-func (c *cluster) cost(b *testing.B) (cpu, bytes, calls float64) {
+func (c *cluster) controlCost(b *testing.B) (cpu, bytes, calls float64) {
 	b.Helper()
 	const ticks = 100 // a second, in /proc
 	for _, e := range c.entries {
@@ -86,7 +86,7 @@
 }
 
 // memory returns the resident memory of all entries, in MB.
-func (c *cluster) memory(b *testing.B) float64 {
+func (c *cluster) residentMemory(b *testing.B) float64 {
 	b.Helper()
 	sum := 0.0
 	for _, e := range c.entries {
--- a/proof/once_test.go
+++ b/proof/once_test.go
@@ -25,24 +25,24 @@
 // most once cost it: nothing (a repeatable read), a ticket of the instance it
 // is sent to, a ticket of another instance, which passes it on, and a claim in
 // the platform's table before the read. Work at the backend server is left out.
-func BenchmarkOnceWays(b *testing.B) {
-	c := newCluster(b, shape{size: fleet.Caroni(), entries: 12, work: time.Millisecond})
+func BenchmarkAtMostOnce(b *testing.B) {
+	c := newCluster(b, clusterOptions{size: fleet.Caroni(), entries: 12, work: time.Millisecond})
 	p := platform.NewClient(c.base)
 	took := make(map[string]time.Duration)
-	tickets := c.takeTickets(b, c.entries[0], 64)
+	tickets := c.fetchTickets(b, c.entries[0], 64)
 	n := 0
 	for b.Loop() {
 		if len(tickets) < 2 {
-			tickets = c.takeTickets(b, c.entries[0], 64)
+			tickets = c.fetchTickets(b, c.entries[0], 64)
 		}
-		took["none"] += c.timed(b, c.entries[0], http.MethodGet, c.size.Read, "")
-		took["own-ticket"] += c.timed(b, c.entries[0], http.MethodPost, c.size.Ledger, tickets[0])
-		took["passed-on"] += c.timed(b, c.entries[1], http.MethodPost, c.size.Ledger, tickets[1])
+		took["none"] += c.timeRequest(b, c.entries[0], http.MethodGet, c.size.Read, "")
+		took["own-ticket"] += c.timeRequest(b, c.entries[0], http.MethodPost, c.size.Ledger, tickets[0])
+		took["passed-on"] += c.timeRequest(b, c.entries[1], http.MethodPost, c.size.Ledger, tickets[1])
 		tickets = tickets[2:]
 		start := time.Now()
 		claim := platform.Op{Kind: platform.OpPut, Table: "claims", Key: strconv.Itoa(n), Value: []byte("1")}
 		assert.NilError(b, p.Commit(context.Background(), []platform.Op{claim}))
-		took["claim"] += time.Since(start) + c.timed(b, c.entries[0], http.MethodGet, c.size.Read, "")
+		took["claim"] += time.Since(start) + c.timeRequest(b, c.entries[0], http.MethodGet, c.size.Read, "")
 		n++
 	}
 	for way, d := range took {
@@ -50,7 +50,7 @@
 	}
 }
 
-func (c *cluster) takeTickets(t testing.TB, e *instance, n int) []string {
+func (c *cluster) fetchTickets(t testing.TB, e *instance, n int) []string {
 	t.Helper()
 	var ts front.Tickets
 	assert.NilError(t, getJSON("http://"+e.front+front.ReservedPrefix+"tickets?n="+strconv.Itoa(n), &ts))
@@ -58,7 +58,7 @@
 }
 
 // timed sends one request and returns what it took without the work.
-func (c *cluster) timed(t testing.TB, e *instance, method, service, ticket string) time.Duration {
+func (c *cluster) timeRequest(t testing.TB, e *instance, method, service, ticket string) time.Duration {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+e.front+"/x?size=100", strings.NewReader(""))
 	assert.NilError(t, err)
@@ -80,9 +80,9 @@
 // only commits that it had in hand can end with their outcome unknown.
 func TestKilledEntryLeavesFewUnknown(t *testing.T) {
 	const rate, work = 300, 30 * time.Millisecond
-	c := newCluster(t, shape{size: fleet.Caroni(), entries: 12, work: work})
+	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 12, work: work})
 	o := load.Options{Clients: c.callers(), Rate: rate, Duration: 5 * time.Second, Mix: c.mix()[1:2]}
-	rep, _ := c.underLoad(o, func() {
+	rep, _ := c.runUnderLoad(o, func() {
 		time.Sleep(2 * time.Second)
 		c.entries[0].Kill()
 	})
--- a/proof/outage_test.go
+++ b/proof/outage_test.go
@@ -19,10 +19,10 @@
 )
 
 // outage is the length of the platform's outage in TestOutageWithDeaths.
-var outage = flag.Duration("outage", 12*time.Second, "length of the platform's outage")
+var outageLength = flag.Duration("outage", 12*time.Second, "length of the platform's outage")
 
 // usable returns the share of all backend server slots that some entry holds or uses.
-func (c *cluster) usable() float64 {
+func (c *cluster) usableSlots() float64 {
 	st, err := c.op.Status(context.Background())
 	if err != nil {
 		return 0
@@ -45,7 +45,7 @@
 // recovery bounds the time from the platform's return until all slots are
 // usable: the beats of the dead must stand still, the split must be read by
 // all, and the fence of the longest deadline must pass. Three polls lie between.
-func recovery() time.Duration {
+func maxRecoveryTime() time.Duration {
 	const poll = 2500 * time.Millisecond
 	uploads := version.Pool{Deadline: fleet.UploadDeadline}
 	return member.HeartbeatTimeout + slots.FenceTime(&uploads) + 3*poll
@@ -55,35 +55,35 @@
 // Nothing is granted twice, the entries left go on serving, and the tokens of
 // the dead are split anew once the platform is back.
 func TestOutageWithDeaths(t *testing.T) {
-	c := newCluster(t, shape{size: fleet.Caroni(), entries: 12, work: 20 * time.Millisecond})
+	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 12, work: 20 * time.Millisecond})
 	mix := c.mix()[:2]
-	o := load.Options{Clients: c.callers(), Rate: 300, Duration: *outage + recovery(), Mix: mix}
-	rep, _ := c.underLoad(o, func() {
-		t.Logf("usable slots before: %.2f", c.usable())
+	o := load.Options{Clients: c.callers(), Rate: 300, Duration: *outageLength + maxRecoveryTime(), Mix: mix}
+	rep, _ := c.runUnderLoad(o, func() {
+		t.Logf("usable slots before: %.2f", c.usableSlots())
 		c.platformFault(standplatform.Fault{Down: true})
-		time.Sleep(*outage / 3)
+		time.Sleep(*outageLength / 3)
 		for _, i := range []int{3, 8} {
 			c.entries[i].Kill()
-			c.unlist(c.entries[i].name)
+			c.removeInstance(c.entries[i].name)
 		}
-		time.Sleep(*outage / 3)
-		t.Logf("usable slots with the platform down and 2 of 12 dead: %.2f", c.usable())
-		c.entryReady(c.startEntry("entry-new", 3))
-		time.Sleep(*outage / 3)
-		low := c.usable()
+		time.Sleep(*outageLength / 3)
+		t.Logf("usable slots with the platform down and 2 of 12 dead: %.2f", c.usableSlots())
+		c.waitEntryReady(c.startEntry("entry-new", 3))
+		time.Sleep(*outageLength / 3)
+		low := c.usableSlots()
 		t.Logf("usable slots with one joined: %.2f", low)
 		assert.Check(t, low > 0.7)
 		c.platformFault(standplatform.Fault{})
 		back := time.Now()
-		limit := recovery()
-		for c.usable() < 0.99 && time.Since(back) < limit {
+		limit := maxRecoveryTime()
+		for c.usableSlots() < 0.99 && time.Since(back) < limit {
 			time.Sleep(100 * time.Millisecond)
 		}
-		t.Logf("usable slots %v after the platform is back: %.2f", time.Since(back).Round(time.Millisecond), c.usable())
+		t.Logf("usable slots %v after the platform is back: %.2f", time.Since(back).Round(time.Millisecond), c.usableSlots())
 		assert.Check(t, time.Since(back) < limit)
 	})
 	assert.Equal(t, rep.Faults(), 0)
-	assert.Assert(t, c.peak() <= c.size.Slots)
+	assert.Assert(t, c.peakConcurrency() <= c.size.Slots)
 	for _, l := range rep.Lines {
 		assert.Assert(t, l.Answered > l.Sent*99/100, "%s: %v", l.Name, l.Refused)
 	}
--- a/proof/path_test.go
+++ b/proof/path_test.go
@@ -21,22 +21,22 @@
 // TestWholePath runs 12 entries over 6 halls and 3 regions with 44 backend servers
 // and sends requests of all classes end to end.
 func TestWholePath(t *testing.T) {
-	c := newCluster(t, shape{size: fleet.Caroni(), entries: 12, work: 5 * time.Millisecond})
-	rep, _ := c.underLoad(load.Options{Clients: c.callers(), Rate: 400, Duration: 5 * time.Second, Mix: c.mix()}, func() {})
+	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 12, work: 5 * time.Millisecond})
+	rep, _ := c.runUnderLoad(load.Options{Clients: c.callers(), Rate: 400, Duration: 5 * time.Second, Mix: c.mix()}, func() {})
 	assert.Equal(t, rep.Faults(), 0)
 	for _, l := range rep.Lines {
 		assert.Equal(t, l.Answered, l.Sent, "%s: %v", l.Name, l.Refused)
 	}
-	assert.Assert(t, c.peak() <= c.size.Slots)
-	addedLatency(t, c)
+	assert.Assert(t, c.peakConcurrency() <= c.size.Slots)
+	measureAddedLatency(t, c)
 }
 
 // addedLatency measures what an entry adds to a direct request, turn by turn.
-func addedLatency(t *testing.T, c *cluster) {
+func measureAddedLatency(t *testing.T, c *cluster) {
 	t.Helper()
 	const rounds = 1000
 	e := c.entries[0]
-	up := c.backends[0].real.String()
+	up := c.backends[0].listen.String()
 	direct, through := hdrhistogram.New(1, 1e7, 3), hdrhistogram.New(1, 1e7, 3)
 	get := func(host string, h *hdrhistogram.Histogram) {
 		req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+host+"/?size=512", nil)
--- a/proof/policy_test.go
+++ b/proof/policy_test.go
@@ -31,31 +31,31 @@
 // which queue what is beyond their slots and shed when too many wait.
 
 const (
-	policyWork     = 40 * time.Millisecond  // mean of a new backend server
-	policyOld      = 120 * time.Millisecond // added by an old one
-	policyDeadline = 2 * time.Second
-	policyTime     = 8 * time.Second
-	policyEntries  = 6
+	policyMeanWork     = 40 * time.Millisecond  // mean of a new backend server
+	policyOldExtraWork = 120 * time.Millisecond // added by an old one
+	policyDeadline     = 2 * time.Second
+	policyDuration     = 8 * time.Second
+	policyEntries      = 6
 )
 
 // candidate is a backend server as a baseline sees it.
-type candidate struct {
-	pool     *conn.Pool
-	mine     atomic.Int64 // requests of this entry at it
-	reported atomic.Int64 // by its last load report
+type baselineBackend struct {
+	pool             *conn.Pool
+	inFlight         atomic.Int64 // requests of this entry at it
+	reportedInFlight atomic.Int64 // by its last load report
 }
 
 // chooser picks a backend server.
-type chooser func(bs []*candidate, turn uint64) *candidate
+type policyFunc func(bs []*baselineBackend, turn uint64) *baselineBackend
 
-func roundRobin(bs []*candidate, turn uint64) *candidate { return bs[turn%uint64(len(bs))] }
+func roundRobin(bs []*baselineBackend, turn uint64) *baselineBackend { return bs[turn%uint64(len(bs))] }
 
 // leastReported takes the least loaded by report, a random one of equals.
-func leastReported(bs []*candidate, _ uint64) *candidate {
+func leastReported(bs []*baselineBackend, _ uint64) *baselineBackend {
 	start := rand.IntN(len(bs))
 	best := bs[start]
 	for i := range bs {
-		if b := bs[(start+i)%len(bs)]; b.reported.Load() < best.reported.Load() {
+		if b := bs[(start+i)%len(bs)]; b.reportedInFlight.Load() < best.reportedInFlight.Load() {
 			best = b
 		}
 	}
@@ -63,25 +63,25 @@
 }
 
 // twoChoices takes the less loaded of two random ones, by probe and own count.
-func twoChoices(bs []*candidate, _ uint64) *candidate {
+func twoChoices(bs []*baselineBackend, _ uint64) *baselineBackend {
 	a, b := bs[rand.IntN(len(bs))], bs[rand.IntN(len(bs))]
-	if a.mine.Load()+a.reported.Load() <= b.mine.Load()+b.reported.Load() {
+	if a.inFlight.Load()+a.reportedInFlight.Load() <= b.inFlight.Load()+b.reportedInFlight.Load() {
 		return a
 	}
 	return b
 }
 
 // baseline is an entry with a simple policy.
-type baseline struct {
-	choose     chooser
-	candidates []*candidate
-	turn       atomic.Uint64
+type baselineEntry struct {
+	choose   policyFunc
+	backends []*baselineBackend
+	requests atomic.Uint64
 }
 
-func (e *baseline) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	b := e.choose(e.candidates, e.turn.Add(1))
-	b.mine.Add(1)
-	defer b.mine.Add(-1)
+func (e *baselineEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	b := e.choose(e.backends, e.requests.Add(1))
+	b.inFlight.Add(1)
+	defer b.inFlight.Add(-1)
 	out := &http.Request{Method: r.Method, URL: r.URL, Host: r.Host, Header: r.Header.Clone()}
 	out.Header.Set(request.HeaderDeadline, strconv.FormatInt(policyDeadline.Milliseconds(), 10))
 	ex, err := b.pool.Dispatch(r.Context(), out, conn.Options{
@@ -97,11 +97,11 @@
 }
 
 // probe keeps the load reports up to date until the context ends.
-func (e *baseline) probe(ctx context.Context) {
+func (e *baselineEntry) probe(ctx context.Context) {
 	for ctx.Err() == nil {
-		for _, b := range e.candidates {
+		for _, b := range e.backends {
 			if rep, err := conn.Probe(ctx, http.DefaultClient, b.pool.Address); err == nil {
-				b.reported.Store(int64(rep.InFlight))
+				b.reportedInFlight.Store(int64(rep.InFlight))
 			}
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -109,15 +109,15 @@
 }
 
 // baselineEntries starts entries with a policy over the readers' backend servers.
-func (c *cluster) baselineEntries(b *testing.B, choose chooser) []string {
+func (c *cluster) startBaselineEntries(b *testing.B, choose policyFunc) []string {
 	b.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
 	var out []string
 	for range policyEntries {
-		e := &baseline{choose: choose}
+		e := &baselineEntry{choose: choose}
 		for _, u := range c.backends[:c.size.ReadN] {
-			e.candidates = append(e.candidates, &candidate{pool: &conn.Pool{Address: u.real.String()}})
+			e.backends = append(e.backends, &baselineBackend{pool: &conn.Pool{Address: u.listen.String()}})
 		}
 		go e.probe(ctx)
 		srv := httptest.NewServer(e)
@@ -128,7 +128,7 @@
 }
 
 // tally is what the callers saw.
-type tally struct {
+type outcomes struct {
 	mu       sync.Mutex
 	answered *hdrhistogram.Histogram // microseconds
 	refused  *hdrhistogram.Histogram
@@ -137,27 +137,27 @@
 
 // sendPlain sends reads at a rate, to the entries in turn, without trying
 // again. The seed makes the arrivals the same for each policy.
-func (c *cluster) sendPlain(entries []string, rate float64, seed uint64) *tally {
-	ta := &tally{answered: hdrhistogram.New(1, 1e8, 3), refused: hdrhistogram.New(1, 1e8, 3)}
+func (c *cluster) sendReads(entries []string, rate float64, seed uint64) *outcomes {
+	ta := &outcomes{answered: hdrhistogram.New(1, 1e8, 3), refused: hdrhistogram.New(1, 1e8, 3)}
 	client := &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 1024, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext,
 	}}
 	rnd := rand.New(rand.NewPCG(seed, 0))
 	var all sync.WaitGroup
 	start := time.Now()
-	for due := time.Duration(0); due < policyTime; due += time.Duration(rnd.ExpFloat64() / rate * float64(time.Second)) {
+	for due := time.Duration(0); due < policyDuration; due += time.Duration(rnd.ExpFloat64() / rate * float64(time.Second)) {
 		time.Sleep(time.Until(start.Add(due)))
 		at := start.Add(due)
 		entry := entries[rnd.IntN(len(entries))]
 		ta.sent++
-		all.Go(func() { ta.note(at, c.getPlain(client, entry)) })
+		all.Go(func() { ta.record(at, c.sendRead(client, entry)) })
 	}
 	all.Wait()
 	client.CloseIdleConnections()
 	return ta
 }
 
-func (c *cluster) getPlain(client *http.Client, entry string) bool {
+func (c *cluster) sendRead(client *http.Client, entry string) bool {
 	req, err := http.NewRequest(http.MethodGet, "http://"+entry+"/lots?size=500", nil)
 	if err != nil {
 		return false
@@ -172,7 +172,7 @@
 	return err == nil && res.StatusCode == http.StatusOK
 }
 
-func (ta *tally) note(due time.Time, ok bool) {
+func (ta *outcomes) record(due time.Time, ok bool) {
 	took := time.Since(due)
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -188,13 +188,13 @@
 func BenchmarkPolicies(b *testing.B) {
 	size := fleet.Caroni()
 	size.LinkCap = 200 // the baselines know no caps
-	c := newCluster(b, shape{size: size, entries: policyEntries, work: policyWork, queue: true})
+	c := newCluster(b, clusterOptions{size: size, entries: policyEntries, work: policyMeanWork, queue: true})
 	capacity := 0.0
 	for i := range size.ReadN {
-		mean := policyWork
+		mean := policyMeanWork
 		if i%2 == 1 {
-			mean += policyOld
-			c.backendFault(i, backend.Fault{SlowMs: int(policyOld.Milliseconds())})
+			mean += policyOldExtraWork
+			c.backendFault(i, backend.Fault{SlowMs: int(policyOldExtraWork.Milliseconds())})
 		}
 		capacity += float64(size.Slots) / mean.Seconds()
 	}
@@ -208,14 +208,14 @@
 			entries []string
 		}{
 			{"shalewick", own},
-			{"round-robin", c.baselineEntries(b, roundRobin)},
-			{"least-reported", c.baselineEntries(b, leastReported)},
-			{"two-choices", c.baselineEntries(b, twoChoices)},
+			{"round-robin", c.startBaselineEntries(b, roundRobin)},
+			{"least-reported", c.startBaselineEntries(b, leastReported)},
+			{"two-choices", c.startBaselineEntries(b, twoChoices)},
 		} {
 			b.Run(fmt.Sprintf("load=%.1f/%s", share, p.name), func(b *testing.B) {
 				for range b.N {
-					ta := c.sendPlain(p.entries, share*capacity, 7)
-					ideal := math.Min(float64(ta.sent), capacity*policyTime.Seconds())
+					ta := c.sendReads(p.entries, share*capacity, 7)
+					ideal := math.Min(float64(ta.sent), capacity*policyDuration.Seconds())
 					ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 					b.ReportMetric(ms(ta.answered, 50), "p50-ms")
 					b.ReportMetric(ms(ta.answered, 99), "p99-ms")
--- a/proof/process_test.go
+++ b/proof/process_test.go
@@ -34,7 +34,7 @@
 }
 
 // run starts the command; it is killed when the test ends.
-func run(t testing.TB, name string, args ...string) *program.Process {
+func startCommand(t testing.TB, name string, args ...string) *program.Process {
 	t.Helper()
 	return program.Start(t, binary, name, args...)
 }
--- a/proof/promise_test.go
+++ b/proof/promise_test.go
@@ -25,13 +25,13 @@
 )
 
 // reads is a mix of reads only.
-func (c *cluster) reads() []load.Kind { return c.mix()[:1] }
+func (c *cluster) readMix() []load.Kind { return c.mix()[:1] }
 
 // TestShiftStaysUnderCap: a shift never carries more than its cap, at once and
 // in any one second, through a death, a freeze past the lease, an outage of
 // the platform, and a cap that is lowered meanwhile.
 func TestShiftStaysUnderCap(t *testing.T) {
-	c := newCluster(t, shape{size: fleet.Caroni(), entries: 12, work: 20 * time.Millisecond})
+	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 12, work: 20 * time.Millisecond})
 	north, central := c.size.Regions[0], c.size.Regions[1]
 	shift := func(v int64, most, rate int) int64 {
 		return c.apply(version.Resource{
@@ -42,12 +42,12 @@
 	v := shift(0, 8, 60)
 	begun := time.Now()
 	var lowered, end time.Time
-	o := load.Options{Clients: c.callers(0, 1), Rate: 500, Duration: 22 * time.Second, Mix: c.reads()}
-	rep, _ := c.underLoad(o, func() {
+	o := load.Options{Clients: c.callers(0, 1), Rate: 500, Duration: 22 * time.Second, Mix: c.readMix()}
+	rep, _ := c.runUnderLoad(o, func() {
 		time.Sleep(2 * time.Second)
 		c.platformFault(standplatform.Fault{Down: true})
 		c.entries[6].Kill()
-		c.unlist(c.entries[6].name)
+		c.removeInstance(c.entries[6].name)
 		c.entries[7].Freeze()
 		time.Sleep(5 * time.Second)
 		c.entries[7].Thaw()
@@ -60,12 +60,12 @@
 	})
 	assert.Equal(t, rep.Faults(), 0)
 	records := c.records()
-	atOnce, inSecond := load.CrossRegionPeaks(records, begun, c.size.Read, north, central, c.place)
+	atOnce, inSecond := load.CrossRegionPeaks(records, begun, c.size.Read, north, central, c.serviceAndRegion)
 	t.Logf("cap 8 at once, 60 a second: %d, %d", atOnce, inSecond)
 	assert.Assert(t, atOnce <= 8 && inSecond <= 60)
 	assert.Assert(t, atOnce >= 2 && inSecond >= 10, "the shift carried too little to show anything")
 	// Requests that began under the old cap end by their deadline.
-	atOnce, inSecond = load.CrossRegionPeaks(records, lowered.Add(c.size.Deadline), c.size.Read, north, central, c.place)
+	atOnce, inSecond = load.CrossRegionPeaks(records, lowered.Add(c.size.Deadline), c.size.Read, north, central, c.serviceAndRegion)
 	t.Logf("cap 4 at once, 30 a second, until %v after: %d, %d", end.Sub(lowered), atOnce, inSecond)
 	assert.Assert(t, atOnce <= 4 && inSecond <= 30)
 	assert.Assert(t, inSecond >= 5, "the shift carried too little to show anything")
@@ -76,16 +76,16 @@
 // and a region that freezes, dies and comes back.
 func TestNoBackendAboveSlots(t *testing.T) {
 	const work = 40 * time.Millisecond
-	c := newCluster(t, shape{size: fleet.Caroni(), entries: 12, work: work})
+	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 12, work: work})
 	for i := range c.backends {
 		if i%2 == 0 {
 			c.backendFault(i, backend.Fault{LieIdle: true, SlowMs: 40})
 		}
 	}
-	o := load.Options{Clients: c.callers(), Rate: 1300, Duration: 14 * time.Second, Mix: c.reads()}
+	o := load.Options{Clients: c.callers(), Rate: 1300, Duration: 14 * time.Second, Mix: c.readMix()}
 	o.Mix[0].Timeout = 3 * time.Second
 	var thawed time.Time
-	rep, _ := c.underLoad(o, func() {
+	rep, _ := c.runUnderLoad(o, func() {
 		time.Sleep(2 * time.Second)
 		c.regions[2].Freeze()
 		time.Sleep(5 * time.Second)
@@ -102,7 +102,7 @@
 			t.Logf("%d at once at %s, %v after the region was thawed", r.AtOnce, r.Backend, r.Start.Sub(thawed))
 		}
 	}
-	assert.Assert(t, c.peak() == c.size.Slots, "most at once %d of %d", c.peak(), c.size.Slots)
+	assert.Assert(t, c.peakConcurrency() == c.size.Slots, "most at once %d of %d", c.peakConcurrency(), c.size.Slots)
 	assert.Assert(t, rep.Lines[0].Answered > rep.Lines[0].Sent/3)
 }
 
@@ -110,18 +110,18 @@
 // the own request, and a request said not to have run has not, while answers
 // are late, cut, swapped or dropped, requests are shed, connections cut
 // anywhere, entries killed and frozen, and backend servers killed.
-func TestAnswersAndRefusalsAreTrue(t *testing.T) {
-	w := &wires{t: t}
-	c := newCluster(t, shape{size: fleet.Kitakaze(), entries: 12, work: 10 * time.Millisecond, through: w.through})
+func TestResponsesAndRejectionsAreCorrect(t *testing.T) {
+	w := &faultyProxy{t: t}
+	c := newCluster(t, clusterOptions{size: fleet.Kitakaze(), entries: 12, work: 10 * time.Millisecond, proxy: w.listenFor})
 	for i := range c.backends {
 		faults := []backend.Fault{{LateMs: 30}, {Cut: 0.05}, {WrongID: 0.05}, {Drop: 0.05}, {Shed: 0.2}, {SlowMs: 20}, {}}
 		c.backendFault(i, faults[i%len(faults)])
 	}
-	w.cut.Store(150)
+	w.cutOneIn.Store(150)
 	mix := c.mix()
 	mix[0].ResponseSize = 150 << 10 // larger than what an entry holds whole
 	o := load.Options{Clients: c.callers(), Rate: 300, Duration: 12 * time.Second, Mix: mix}
-	rep, _ := c.underLoad(o, func() {
+	rep, _ := c.runUnderLoad(o, func() {
 		time.Sleep(2 * time.Second)
 		c.entries[0].Freeze()
 		c.entries[1].Kill()
@@ -137,7 +137,7 @@
 		c.platformFault(standplatform.Fault{LoseAnswers: 0.5, SlowMs: 50})
 	})
 	assert.Equal(t, rep.Faults(), 0)
-	assert.Assert(t, w.n.Load() > 100, "too few connections were cut")
+	assert.Assert(t, w.cuts.Load() > 100, "too few connections were cut")
 	refused := 0
 	for _, l := range rep.Lines {
 		assert.Assert(t, l.Answered > l.Sent/2, l.Name)
@@ -151,12 +151,12 @@
 // answers outstanding and stopped with tickets outstanding, and the platform
 // is down.
 func TestRunsAtMostOnce(t *testing.T) {
-	w := &wires{t: t}
-	c := newCluster(t, shape{size: fleet.Caroni(), entries: 12, work: 30 * time.Millisecond, through: w.through, grace: 500 * time.Millisecond})
-	w.cut.Store(300)
+	w := &faultyProxy{t: t}
+	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 12, work: 30 * time.Millisecond, proxy: w.listenFor, grace: 500 * time.Millisecond})
+	w.cutOneIn.Store(300)
 	commits := c.mix()[1:2]
 	o := load.Options{Clients: c.callers(), Rate: 300, Duration: 12 * time.Second, Mix: commits}
-	rep, _ := c.underLoad(o, func() {
+	rep, _ := c.runUnderLoad(o, func() {
 		time.Sleep(time.Second)
 		c.entries[0].Kill()
 		time.Sleep(time.Second)
@@ -171,13 +171,13 @@
 	})
 	assert.Equal(t, rep.Faults(), 0)
 	l := rep.Lines[0]
-	t.Logf("outcome unknown: %d of %d; two kills, %d cut connections", l.Unknown, l.Sent, w.n.Load())
+	t.Logf("outcome unknown: %d of %d; two kills, %d cut connections", l.Unknown, l.Sent, w.cuts.Load())
 	assert.Assert(t, l.Unknown < l.Sent/20)
 }
 
 // TestTicketRunsOnce sends one ticket many times at once by way of all entries.
 func TestTicketRunsOnce(t *testing.T) {
-	c := newCluster(t, shape{size: fleet.Caroni(), entries: 3, work: 100 * time.Millisecond})
+	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 3, work: 100 * time.Millisecond})
 	answers := c.sendSameTicket(t, 24)
 	for _, a := range answers {
 		assert.Equal(t, a, answers[0]) // each gets the answer of the one run
@@ -194,15 +194,15 @@
 // TestLeavingBackendGetsNoWork: a backend server whose own word is that it leaves
 // gets no new work one second after, three seconds with the platform down,
 // also from an entry that was frozen meanwhile.
-func TestLeavingBackendGetsNoWork(t *testing.T) {
-	c := newCluster(t, shape{size: fleet.Caroni(), entries: 12, work: 5 * time.Millisecond})
+func TestLeavingBackendGetsNoNewRequests(t *testing.T) {
+	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 12, work: 5 * time.Millisecond})
 	left := make(map[string]time.Time)
 	leave := func(i int, within time.Duration) {
 		c.backendFault(i, backend.Fault{Leaving: true})
 		left[c.backends[i].name] = time.Now().Add(within)
 	}
-	o := load.Options{Clients: c.callers(), Rate: 600, Duration: 12 * time.Second, Mix: c.reads()}
-	rep, _ := c.underLoad(o, func() {
+	o := load.Options{Clients: c.callers(), Rate: 600, Duration: 12 * time.Second, Mix: c.readMix()}
+	rep, _ := c.runUnderLoad(o, func() {
 		time.Sleep(time.Second)
 		leave(0, time.Second)
 		leave(3, time.Second)
@@ -233,8 +233,8 @@
 // planned, one after the other, cut off nothing, although uploads take longer
 // than the entry's grace, and callers keep their look-ups for all of their
 // life and try nothing again.
-func TestPlannedStopsCutNothing(t *testing.T) {
-	c := newCluster(t, shape{size: fleet.Caroni(), entries: 12, work: 20 * time.Millisecond})
+func TestPlannedStopsAbortNoRequests(t *testing.T) {
+	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 12, work: 20 * time.Millisecond})
 	for i := range c.backends {
 		if c.size.ServiceOf(i) == c.size.Upload {
 			c.backendFault(i, backend.Fault{SlowMs: 4000})
@@ -243,7 +243,7 @@
 	mix := c.mix()
 	mix[0].Weight, mix[1].Weight, mix[2].Weight = 80, 19, 1
 	o := load.Options{Clients: c.callers(), Rate: 200, Duration: 24 * time.Second, Mix: mix}
-	rep, _ := c.underLoad(o, func() {
+	rep, _ := c.runUnderLoad(o, func() {
 		time.Sleep(time.Second)
 		c.apply(version.Resource{
 			Key:   version.Key{Kind: version.KindDrain, Name: "south"},
@@ -252,18 +252,18 @@
 		time.Sleep(5 * time.Second) // the uploads there take as long
 		c.regions[2].Kill()         // a drained region has no work left
 		replaced := c.startEntry("entry-new", 0)
-		c.entryReady(replaced)
+		c.waitEntryReady(replaced)
 		stop := make(chan struct{})
 		const callers = 12 // some of them use the instances that stop
 		refused := make(chan int)
 		for i := range callers {
-			go func() { refused <- c.plainCaller(t, fmt.Sprintf("10.%d.0.%d", i%2, i), stop) }()
+			go func() { refused <- c.sendWithoutRetries(t, fmt.Sprintf("10.%d.0.%d", i%2, i), stop) }()
 		}
 		uploads := make(chan string)
 		for _, i := range []int{0, 7} {
-			go func() { uploads <- c.uploadLate(t, c.entries[i]) }()
+			go func() { uploads <- c.uploadNearEndOfGrace(t, c.entries[i]) }()
 			t.Logf("entry stopped after %v", c.entries[i].Stop(t))
-			c.unlist(c.entries[i].name)
+			c.removeInstance(c.entries[i].name)
 			assert.Check(t, <-uploads == "whole")
 		}
 		close(stop)
@@ -283,7 +283,7 @@
 
 // uploadLate sends an upload right to an entry shortly before the end of its
 // grace, so that it ends long after, and tells how it ended.
-func (c *cluster) uploadLate(t *testing.T, e *instance) string {
+func (c *cluster) uploadNearEndOfGrace(t *testing.T, e *instance) string {
 	time.Sleep(entry.DefaultGrace - 300*time.Millisecond)
 	req, err := http.NewRequest(http.MethodPost, "http://"+e.front+"/videos?size=5", strings.NewReader("video"))
 	assert.Check(t, err)
@@ -301,7 +301,7 @@
 
 // plainCaller sends reads to the first instance of its look-up, which it keeps
 // for all of its life, without trying again. It returns how many got no answer.
-func (c *cluster) plainCaller(t *testing.T, client string, stop chan struct{}) (refused int) {
+func (c *cluster) sendWithoutRetries(t *testing.T, client string, stop chan struct{}) (refused int) {
 	var known front.Lookup
 	var until time.Time
 	get := func(url string) (*http.Response, error) {
@@ -344,7 +344,7 @@
 // bodies of the answers.
 func (c *cluster) sendSameTicket(t *testing.T, n int) []string {
 	t.Helper()
-	ticket := c.takeTickets(t, c.entries[0], 1)[0]
+	ticket := c.fetchTickets(t, c.entries[0], 1)[0]
 	answers := make(chan string, n)
 	for i := range n {
 		e := c.entries[i%len(c.entries)]
@@ -359,9 +359,9 @@
 
 // TestTicketOfDeadEntryNeverRuns: once the entry that issued a ticket is dead,
 // the answer is final at once, and says that the outcome is not known.
-func TestTicketOfDeadEntryNeverRuns(t *testing.T) {
-	c := newCluster(t, shape{size: fleet.Caroni(), entries: 3, work: time.Millisecond})
-	ticket := c.takeTickets(t, c.entries[0], 1)[0]
+func TestTicketOfKilledEntryNeverRuns(t *testing.T) {
+	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 3, work: time.Millisecond})
+	ticket := c.fetchTickets(t, c.entries[0], 1)[0]
 	c.entries[0].Kill()
 	start := time.Now()
 	assert.Equal(t, c.postTicket(t, c.entries[1], ticket), request.TicketGone.String()+" unknown")
--- a/proof/wire_test.go
+++ b/proof/wire_test.go
@@ -15,14 +15,14 @@
 
 // wires forwards loopback connections to backend servers, and cuts some of them:
 // before, in and after a request, and in an answer.
-type wires struct {
-	t   *testing.T
-	cut atomic.Uint64 // one chunk in so many is cut; 0: none
-	n   atomic.Int64  // connections cut so far
+type faultyProxy struct {
+	t        *testing.T
+	cutOneIn atomic.Uint64 // one chunk in so many is cut; 0: none
+	cuts     atomic.Int64  // connections cut so far
 }
 
 // through returns an address that forwards to a target.
-func (w *wires) through(target netip.AddrPort) netip.AddrPort {
+func (w *faultyProxy) listenFor(target netip.AddrPort) netip.AddrPort {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(w.t, err)
 	w.t.Cleanup(func() { _ = l.Close() })
@@ -38,9 +38,9 @@
 	return l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func (w *wires) forward(from *net.TCPConn, target netip.AddrPort) {
+func (w *faultyProxy) forward(from *net.TCPConn, target netip.AddrPort) {
 	to, err := net.Dial("tcp", target.String())
-	if err != nil || w.unlucky() {
+	if err != nil || w.shouldCut() {
 		_ = from.SetLinger(0)
 		_ = from.Close()
 		if to != nil {
@@ -48,26 +48,26 @@
 		}
 		return
 	}
-	go w.pipe(from, to.(*net.TCPConn))
-	w.pipe(to.(*net.TCPConn), from)
+	go w.copyOneWay(from, to.(*net.TCPConn))
+	w.copyOneWay(to.(*net.TCPConn), from)
 }
 
-func (w *wires) unlucky() bool {
-	in := w.cut.Load()
+func (w *faultyProxy) shouldCut() bool {
+	in := w.cutOneIn.Load()
 	if in == 0 || rand.Uint64N(in) > 0 {
 		return false
 	}
-	w.n.Add(1)
+	w.cuts.Add(1)
 	return true
 }
 
 // pipe copies one direction. A cut passes a part of the present chunk on and
 // breaks both connections off.
-func (w *wires) pipe(from, to *net.TCPConn) {
+func (w *faultyProxy) copyOneWay(from, to *net.TCPConn) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && w.unlucky() {
+		if n > 0 && w.shouldCut() {
 			_, _ = to.Write(buf[:rand.IntN(n+1)])
 			_ = from.Close()
 			_ = to.Close()
