--- a/proof/cluster_test.go
+++ b/proof/cluster_test.go
@@ -29,14 +29,15 @@
 	"shalewick/version"
 )
 
-// cluster is a whole deployment as separate processes.
+// cluster is a complete deployment that runs as separate processes: the platform
+// stand-in, the backend servers of three regions, and the entries.
 type cluster struct {
 	t        testing.TB
 	size     fleet.Size
 	platform *program.Process
-	base     string              // URL of the platform
-	regions  [3]*program.Process // backends of each region
-	backends []backendInfo       // by number
+	base     string              // URL of the platform stand-in
+	regions  [3]*program.Process // process of the backend servers of each region
+	backends []backendInfo       // index is the number of the backend server
 	entries  []*instance
 	listed   []platform.Instance
 	op       *operator.Client
@@ -46,15 +47,15 @@
 	ports    fleet.Ports
 }
 
-// serverInfo is one backend server.
+// backendInfo describes one backend server.
 type backendInfo struct {
 	name       string
-	listen     netip.AddrPort // of the stand-in
-	configured netip.AddrPort // in the configuration
+	listen     netip.AddrPort // address on which the stand-in listens
+	configured netip.AddrPort // address in the configuration
 	region     int
 }
 
-// instance is one entry.
+// instance is one entry process and its addresses.
 type instance struct {
 	*program.Process
 	name  string
@@ -64,42 +65,45 @@
 	admin string
 }
 
-// shape says what a cluster is made of.
+// clusterOptions are the size and the settings of a cluster.
 type clusterOptions struct {
 	size    fleet.Size
 	entries int
-	work    time.Duration
-	// through, if set, returns the address to configure for a backend server.
+	work    time.Duration // mean time of work for one request at a backend server
+	// proxy, if set, returns the address to configure for a backend server that
+	// listens on the given address.
 	proxy func(netip.AddrPort) netip.AddrPort
-	grace time.Duration
-	queue bool // backends queue what is beyond their slots
+	grace time.Duration // grace period of the entries; 0 means the default
+	queue bool          // backend servers queue the requests beyond their slots
 }
 
-const hallCount = 6
+const hallCount = 6 // two in each region
 
-func newCluster(t testing.TB, s clusterOptions) *cluster {
+// newCluster starts a cluster, applies its configuration, and waits until the
+// configuration is in force and every token has an owner.
+func newCluster(t testing.TB, o clusterOptions) *cluster {
 	t.Helper()
-	c := &cluster{t: t, size: s.size, grace: s.grace, queue: s.queue, journal: filepath.Join(t.TempDir(), "journal")}
+	c := &cluster{t: t, size: o.size, grace: o.grace, queue: o.queue, journal: filepath.Join(t.TempDir(), "journal")}
 	listen := c.takeAddresses(1)[0]
 	c.base = "http://" + listen.String()
 	c.platform = startCommand(t, "platform", "standin", "platform", "--listen", listen.String())
-	c.backends = make([]backendInfo, s.size.Backends())
+	c.backends = make([]backendInfo, o.size.Backends())
 	for region := range c.regions {
-		c.startBackends(region, s.work, s.proxy)
+		c.startBackends(region, o.work, o.proxy)
 	}
 	program.Eventually(t, 10*time.Second, "the platform listens", func() bool {
 		return putJSON(c.base+"/standin/fault", standplatform.Fault{}) == nil
 	})
-	for i := range s.entries {
+	for i := range o.entries {
 		c.startEntry(fmt.Sprintf("entry-%d", i), i)
 	}
 	c.waitReady()
-	c.apply(s.size.Resources(c.configuredAddresses())...)
+	c.apply(o.size.Resources(c.configuredAddresses())...)
 	c.waitTokensOwned()
 	return c
 }
 
-// take returns n adjoining free addresses.
+// takeAddresses returns n free addresses with consecutive ports.
 func (c *cluster) takeAddresses(n int) []netip.AddrPort {
 	c.t.Helper()
 	ps, err := c.ports.Take(n)
@@ -118,14 +122,16 @@
 	return out
 }
 
-func (c *cluster) startBackends(region int, work time.Duration, through func(netip.AddrPort) netip.AddrPort) {
+// startBackends assigns addresses to the backend servers of a region, starts them
+// and waits until they listen. proxy may be nil.
+func (c *cluster) startBackends(region int, work time.Duration, proxy func(netip.AddrPort) netip.AddrPort) {
 	ns := c.backendNumbers(region)
 	ps := c.takeAddresses(len(ns))
 	prefix := c.size.Regions[region] + "/"
 	for j, n := range ns {
 		info := backendInfo{name: prefix + strconv.Itoa(j), listen: ps[j], configured: ps[j], region: region}
-		if through != nil {
-			info.configured = through(ps[j])
+		if proxy != nil {
+			info.configured = proxy(ps[j])
 		}
 		c.backends[n] = info
 	}
@@ -135,7 +141,8 @@
 	})
 }
 
-// runBackends starts the process of a region's backend servers, also after a kill.
+// runBackends starts the process of a region's backend servers. It also restarts
+// them after a kill.
 func (c *cluster) runBackends(region int, work time.Duration) {
 	ns := c.backendNumbers(region)
 	c.regions[region] = startCommand(c.t, "backends-"+c.size.Regions[region], "standin", "backend",
@@ -144,6 +151,8 @@
 		"--journal", c.journal)
 }
 
+// configuredAddresses returns the addresses of all backend servers in the
+// configuration, by number.
 func (c *cluster) configuredAddresses() []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, u := range c.backends {
@@ -152,7 +161,8 @@
 	return out
 }
 
-// place returns service and region of a backend server by its name in records.
+// serviceAndRegion returns the service and the region of the backend server that
+// has the given name in records.
 func (c *cluster) serviceAndRegion(name string) (service, region string) {
 	for i, u := range c.backends {
 		if u.name == name {
@@ -162,7 +172,8 @@
 	return "", ""
 }
 
-// startEntry starts an entry in the hall of a number and lists it.
+// startEntry adds an entry in the hall with the given number to the platform's
+// list of instances and starts it.
 func (c *cluster) startEntry(name string, number int) *instance {
 	ps := c.takeAddresses(3)
 	e := &instance{
@@ -181,7 +192,7 @@
 	return e
 }
 
-// runEntry starts the process of an entry, also after its end.
+// runEntry starts the process of an entry. It also restarts one that has ended.
 func (c *cluster) runEntry(e *instance) {
 	args := []string{
 		"entry", "--instance", e.name, "--hall", e.hall, "--front", e.front, "--peer", e.peer,
@@ -196,24 +207,24 @@
 	e.Process = startCommand(c.t, e.name, args...)
 }
 
-// list tells the platform the present list of instances.
+// publishInstances sends the current list of instances to the platform stand-in.
 func (c *cluster) publishInstances() {
-	_ = putJSON(c.base+"/standin/instances", c.listed) // fails before the platform is up, when it does not matter
+	_ = putJSON(c.base+"/standin/instances", c.listed) // fails while the platform is not yet up, which does no harm
 }
 
-// unlist takes an instance off the list.
+// removeInstance removes an instance from the platform's list.
 func (c *cluster) removeInstance(name string) {
-	var keep []platform.Instance
+	var remaining []platform.Instance
 	for _, i := range c.listed {
 		if i.Name != name {
-			keep = append(keep, i)
+			remaining = append(remaining, i)
 		}
 	}
-	c.listed = keep
+	c.listed = remaining
 	c.publishInstances()
 }
 
-// ready waits until all entries serve.
+// waitReady waits until all entries are ready.
 func (c *cluster) waitReady() {
 	c.t.Helper()
 	for _, e := range c.entries {
@@ -221,6 +232,7 @@
 	}
 }
 
+// waitEntryReady waits until an entry reports that it is ready.
 func (c *cluster) waitEntryReady(e *instance) {
 	c.t.Helper()
 	program.Eventually(c.t, 20*time.Second, e.name+" is ready", func() bool {
@@ -233,7 +245,7 @@
 	})
 }
 
-// apply writes resources and waits until they are in force everywhere.
+// apply writes resources and waits until they are in force at all entries.
 func (c *cluster) apply(rs ...version.Resource) admin.ApplyResponse {
 	c.t.Helper()
 	applied, err := c.op.Apply(context.Background(), rs)
@@ -243,23 +255,23 @@
 	return applied
 }
 
-// settle waits until every token has a home.
+// waitTokensOwned waits until every token has an owner.
 func (c *cluster) waitTokensOwned() {
 	c.t.Helper()
-	program.Eventually(c.t, 20*time.Second, "every token has a home", func() bool {
+	program.Eventually(c.t, 20*time.Second, "every token has an owner", func() bool {
 		st, err := c.op.Status(context.Background())
 		if err != nil {
 			return false
 		}
-		home, size := make(map[string]int32), make(map[string]int32)
+		owned, size := make(map[string]int32), make(map[string]int32)
 		for _, e := range st.Entries {
 			for _, p := range e.Pools {
-				home[p.Pool] += p.Home
+				owned[p.Pool] += p.Home
 				size[p.Pool] = p.Size
 			}
 		}
 		for pool, n := range size {
-			if home[pool] < n {
+			if owned[pool] < n {
 				return false
 			}
 		}
@@ -267,7 +279,8 @@
 	})
 }
 
-// callers returns one client for each hall, that starts from all entries.
+// callers returns one client for each of the halls, by default for all of them.
+// Each client knows the addresses of all entries.
 func (c *cluster) callers(hallNumbers ...int) []*caller.Client {
 	var known []string
 	for _, e := range c.entries {
@@ -285,7 +298,8 @@
 	return out
 }
 
-// mix returns requests of all classes.
+// mix returns the kinds of requests that tests send: reads, commits that may run at
+// most once, and uploads.
 func (c *cluster) mix() []load.Kind {
 	s := &c.size
 	return []load.Kind{
@@ -295,7 +309,8 @@
 	}
 }
 
-// underLoad runs a script while load is sent, and judges the outcomes.
+// runUnderLoad runs a script while load is sent. It verifies the outcomes against
+// the records of the backend servers.
 func (c *cluster) runUnderLoad(o load.Options, script func()) (*load.Report, []load.Outcome) {
 	c.t.Helper()
 	var outcomes []load.Outcome
@@ -315,11 +330,11 @@
 	return rep, outcomes
 }
 
-// records returns what the backend servers ran, from their journal. A record that
-// has no end, since its backend server was killed, ends at the last line's time.
+// records returns the requests that the backend servers ran, from their journal. A
+// record that has no end, since its backend server was killed, ends at the last line's time.
 func (c *cluster) records() []backend.Record {
 	c.t.Helper()
-	time.Sleep(50 * time.Millisecond) // lets the last lines be written
+	time.Sleep(50 * time.Millisecond) // until the last lines are written
 	b, err := os.ReadFile(c.journal)
 	assert.NilError(c.t, err)
 	type key struct {
@@ -327,46 +342,49 @@
 		seq     int
 		start   time.Time
 	}
-	place := make(map[key]int)
+	index := make(map[key]int)
 	var out []backend.Record
 	dec := json.NewDecoder(bytes.NewReader(b))
 	for dec.More() {
 		var r backend.Record
 		if dec.Decode(&r) != nil {
-			break // the last line of a killed process
+			break // a killed process left its last line incomplete
 		}
 		k := key{r.Backend, r.Seq, r.Start}
-		if i, ok := place[k]; ok {
+		if i, ok := index[k]; ok {
 			out[i] = r
 			continue
 		}
-		place[k] = len(out)
+		index[k] = len(out)
 		out = append(out, r)
 	}
 	return out
 }
 
-// peak returns the most requests that ran at once at any backend server.
+// peakConcurrency returns the maximum number of requests that ran concurrently at
+// one backend server.
 func (c *cluster) peakConcurrency() int {
 	c.t.Helper()
-	most := 0
+	peak := 0
 	for _, r := range c.records() {
-		most = max(most, r.AtOnce)
+		peak = max(peak, r.AtOnce)
 	}
-	return most
+	return peak
 }
 
+// platformFault replaces the fault of the platform stand-in.
 func (c *cluster) platformFault(f standplatform.Fault) {
 	c.t.Helper()
 	assert.NilError(c.t, putJSON(c.base+"/standin/fault", f))
 }
 
+// backendFault replaces the fault of the backend server with a number.
 func (c *cluster) backendFault(i int, f backend.Fault) {
 	c.t.Helper()
 	assert.NilError(c.t, putJSON("http://"+c.backends[i].listen.String()+"/standin/fault", f))
 }
 
-// put sends a value as JSON.
+// putJSON sends a value as JSON with PUT.
 func putJSON(url string, v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -383,7 +401,7 @@
 	return res.Body.Close()
 }
 
-// getJSON reads a JSON answer.
+// getJSON decodes a JSON response into v.
 func getJSON(url string, v any) error {
 	res, err := http.Get(url)
 	if err != nil {
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -24,62 +24,65 @@
 	"shalewick/version"
 )
 
-// write is one operator's change of the contested resource.
+// casInput is a compare-and-swap of the contested resource by one operator.
 type casInput struct {
-	expected int64 // version that it names
+	expected int64 // version that the change is based on
 	text     string
 }
 
-// written is how it ended: accepted as a version, or refused with the present.
+// casOutput is the result of a compare-and-swap: the accepted version, or the current
+// version if the change was rejected.
 type casOutput struct {
 	accepted int64
 	current  int64
 }
 
-// casModel is one resource with versions: a write takes effect exactly when it
-// names the present version.
+// casModel is a single versioned resource: a write takes effect if and only if it
+// names the current version.
 var casModel = porcupine.Model{
 	Init: func() any { return int64(1) },
 	Step: func(state, input, output any) (bool, any) {
-		now, in, out := state.(int64), input.(casInput), output.(casOutput)
+		current, in, out := state.(int64), input.(casInput), output.(casOutput)
 		if out.accepted != 0 {
-			return in.expected == now && out.accepted > now, out.accepted
+			return in.expected == current && out.accepted > current, out.accepted
 		}
-		return in.expected != now && out.current == now, now
+		return in.expected != current && out.current == current, current
 	},
 }
 
+// contestedRegion returns the resource that all operators write.
 func contestedRegion(text string, v int64) version.Resource {
 	return version.Resource{
 		Key: version.Key{Kind: version.KindRegion, Name: "north"}, Version: v, Region: &version.Region{Description: text},
 	}
 }
 
-// operators race on one resource until the time is over.
+// operatorRace collects the results of operators that concurrently write one resource.
 type operatorRace struct {
 	mu         sync.Mutex
 	history    []porcupine.Operation
-	texts      map[int64]string    // accepted versions
-	acceptedAt map[int64]time.Time // of acceptance
+	texts      map[int64]string    // text of each accepted version
+	acceptedAt map[int64]time.Time // time of acceptance of each version
 	unknown    int
 }
 
+// run writes the resource as one operator until the given time.
 func (o *operatorRace) run(t *testing.T, client int, op *operator.Client, until time.Time) {
-	against := int64(1)
+	expected := int64(1)
 	for n := 0; time.Now().Before(until); n++ {
 		text := fmt.Sprintf("%d-%d", client, n)
 		start := time.Now().UnixNano()
-		applied, err := op.Apply(context.Background(), []version.Resource{contestedRegion(text, against)})
+		applied, err := op.Apply(context.Background(), []version.Resource{contestedRegion(text, expected)})
 		out := casOutput{accepted: applied.Version}
-		var refused *operator.RefusedError
+		var rejected *operator.RefusedError
 		switch {
-		case errors.As(err, &refused) && refused.Code == request.Conflict && refused.Present != nil:
-			out.current = refused.Present.Version
-		case errors.As(err, &refused) && refused.Code == request.PlatformDown:
+		case errors.As(err, &rejected) && rejected.Code == request.Conflict && rejected.Present != nil:
+			out.current = rejected.Present.Version
+		case errors.As(err, &rejected) && rejected.Code == request.PlatformDown:
 			time.Sleep(50 * time.Millisecond) // nothing was written
 			continue
 		case err != nil:
-			// Not known: the client gave up. Its end is open.
+			// The client gave up, so the outcome of the write is not known.
 			o.mu.Lock()
 			o.unknown++
 			o.mu.Unlock()
@@ -88,26 +91,26 @@
 		}
 		o.mu.Lock()
 		o.history = append(o.history, porcupine.Operation{
-			ClientId: client, Input: casInput{against, text}, Output: out, Call: start, Return: time.Now().UnixNano(),
+			ClientId: client, Input: casInput{expected, text}, Output: out, Call: start, Return: time.Now().UnixNano(),
 		})
 		if out.accepted != 0 {
 			o.texts[out.accepted] = text
 			o.acceptedAt[out.accepted] = time.Now()
 		}
 		o.mu.Unlock()
-		against = max(out.accepted, out.current)
+		expected = max(out.accepted, out.current)
 		time.Sleep(time.Duration(rand.IntN(30)) * time.Millisecond)
 	}
 }
 
-// reading is what an entry had in force at a time.
+// observation is the resource that an entry had in force at some time.
 type observation struct {
 	at      time.Time
 	version int64
 	text    string
 }
 
-// readEntry polls the contested resource at one entry.
+// pollEntry reads the contested resource at one entry until stop is set.
 func pollEntry(e *instance, stop *atomic.Bool) []observation {
 	var out []observation
 	c := http.Client{Timeout: 300 * time.Millisecond}
@@ -127,20 +130,21 @@
 	return out
 }
 
-// TestConfigurationNeverReverts: operators race, answers are lost after the
-// write, entries are killed, frozen and started with the platform down. The
-// writes are linearizable; each entry's version only rises, and shows what was
-// accepted; and an accepted version is in force everywhere within seconds.
+// TestConfigurationNeverReverts checks that writes are linearizable, that the version at
+// each entry never decreases and holds the accepted text, and that an accepted version is
+// in force at all entries within 3 s. Meanwhile operators write concurrently, responses of
+// the platform are lost after the write, and entries are killed, frozen, and started while
+// the platform is down.
 func TestConfigurationNeverReverts(t *testing.T) {
 	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 7})
 	o := &operatorRace{texts: map[int64]string{1: ""}, acceptedAt: make(map[int64]time.Time)}
 	c.platformFault(standplatform.Fault{LoseAnswers: 0.3, SlowMs: 3})
 	until := time.Now().Add(14 * time.Second)
-	var all sync.WaitGroup
+	var writers sync.WaitGroup
 	for i := range 4 {
-		// Each operator has a first instance of its own.
+		// Each operator tries the instances in an order of its own.
 		op := operator.New(append(append([]string(nil), c.op.Addresses[i:]...), c.op.Addresses[:i]...))
-		all.Go(func() { o.run(t, i, op, until) })
+		writers.Go(func() { o.run(t, i, op, until) })
 	}
 	var stop atomic.Bool
 	readings := make([][]observation, len(c.entries))
@@ -161,14 +165,14 @@
 		newest = max(newest, v)
 	}
 	o.mu.Unlock()
-	// A new process with the platform down takes the version from its peers.
-	fresh := c.startEntry("entry-fresh", 6)
-	c.waitEntryReady(fresh)
-	res, err := operator.New([]string{fresh.admin}).Get(context.Background(), version.Key{Kind: version.KindRegion, Name: "north"})
+	// An entry that starts while the platform is down gets the version from its peers.
+	started := c.startEntry("entry-fresh", 6)
+	c.waitEntryReady(started)
+	res, err := operator.New([]string{started.admin}).Get(context.Background(), version.Key{Kind: version.KindRegion, Name: "north"})
 	assert.NilError(t, err)
-	assert.Assert(t, res.Version >= newest, "fresh has %d, accepted was %d", res.Version, newest)
+	assert.Assert(t, res.Version >= newest, "the new entry has version %d, version %d was accepted", res.Version, newest)
 	c.platformFault(standplatform.Fault{LoseAnswers: 0.3, SlowMs: 3})
-	all.Wait()
+	writers.Wait()
 	time.Sleep(500 * time.Millisecond)
 	stop.Store(true)
 	readers.Wait()
@@ -179,15 +183,15 @@
 	t.Logf("%d calls, %d accepted", len(o.history), len(o.acceptedAt))
 }
 
-// checkReadings checks that versions only rise and are as accepted, and
-// measures how long each took to be in force at each entry that ran.
+// checkObservations checks that versions never decrease and hold the accepted text, and
+// that each accepted version was in force within 3 s at each entry that ran throughout.
 func (o *operatorRace) checkObservations(t *testing.T, readings [][]observation) {
 	t.Helper()
-	var worst time.Duration
+	var maxDelay time.Duration
 	for entry, rs := range readings {
 		last := int64(0)
 		for _, r := range rs {
-			assert.Assert(t, r.version >= last, "entry %d went back from %d to %d", entry, last, r.version)
+			assert.Assert(t, r.version >= last, "entry %d reverted from version %d to %d", entry, last, r.version)
 			assert.Equal(t, r.text, o.texts[r.version], "entry %d, version %d", entry, r.version)
 			last = r.version
 		}
@@ -197,13 +201,13 @@
 		for v, accepted := range o.acceptedAt {
 			for _, r := range rs {
 				if r.version >= v {
-					worst = max(worst, r.at.Sub(accepted))
+					maxDelay = max(maxDelay, r.at.Sub(accepted))
 					break
 				}
 			}
-			assert.Assert(t, last >= v, "entry %d never had version %d", entry, v)
+			assert.Assert(t, last >= v, "entry %d never reached version %d", entry, v)
 		}
 	}
-	t.Logf("in force everywhere at most %v after acceptance", worst)
-	assert.Assert(t, worst < 3*time.Second)
+	t.Logf("in force at all entries at most %v after acceptance", maxDelay)
+	assert.Assert(t, maxDelay < 3*time.Second)
 }
--- a/proof/control_test.go
+++ b/proof/control_test.go
@@ -17,42 +17,42 @@
 	"shalewick/standin/fleet"
 )
 
-// BenchmarkControl measures what control costs an entry without any load, by
-// the number of entries: processor time, memory, bytes between entries, and
-// calls of the platform. docs/CAPACITY.md is made from it.
+// BenchmarkControl measures the overhead of the control plane without load, by the number
+// of entries: CPU time, memory and gossip traffic of each entry, and calls to the platform.
+// Its results are published in docs/CAPACITY.md.
 func BenchmarkControl(b *testing.B) {
-	const length = 10 * time.Second
+	const interval = 10 * time.Second
 	for _, n := range []int{6, 12, 24, 48} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := newCluster(b, clusterOptions{size: fleet.Caroni(), entries: n, work: time.Millisecond})
-			time.Sleep(3 * time.Second) // the start is over
+			time.Sleep(3 * time.Second) // until the startup work has ended
 			for range b.N {
 				cpu, bytes, calls := c.controlCost(b)
-				time.Sleep(length)
+				time.Sleep(interval)
 				cpu2, bytes2, calls2 := c.controlCost(b)
-				per := length.Seconds() * float64(n)
-				b.ReportMetric((cpu2-cpu)/per*100, "%core/entry")
-				b.ReportMetric((bytes2-bytes)/per, "B/s/entry")
-				b.ReportMetric((calls2-calls)/length.Seconds(), "platform-calls/s")
+				entrySeconds := interval.Seconds() * float64(n)
+				b.ReportMetric((cpu2-cpu)/entrySeconds*100, "%core/entry")
+				b.ReportMetric((bytes2-bytes)/entrySeconds, "B/s/entry")
+				b.ReportMetric((calls2-calls)/interval.Seconds(), "platform-calls/s")
 				b.ReportMetric(c.residentMemory(b)/float64(n), "MB/entry")
 			}
 		})
 	}
 }
 
-// cost returns processor seconds, bytes between entries, and the calls of the
-// platform so far.
+// controlCost returns the CPU seconds of all entries, the bytes that they exchanged, and
+// the calls to the platform, all since the start.
 func (c *cluster) controlCost(b *testing.B) (cpu, bytes, calls float64) {
 	b.Helper()
-	const ticks = 100 // a second, in /proc
+	const ticksPerSecond = 100 // unit of the times in /proc
 	for _, e := range c.entries {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", e.ID()))
 		assert.NilError(b, err)
 		fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+2:]))
-		for _, at := range []int{11, 12} { // user and system time
-			n, err := strconv.ParseFloat(fields[at], 64)
+		for _, field := range []int{11, 12} { // user and system time
+			n, err := strconv.ParseFloat(fields[field], 64)
 			assert.NilError(b, err)
-			cpu += n / ticks
+			cpu += n / ticksPerSecond
 		}
 		bytes += c.metric(b, "http://"+e.admin+"/metrics", "shalewick_peer_bytes_in ") + c.metric(b, "http://"+e.admin+"/metrics", "shalewick_peer_bytes_out ")
 	}
@@ -62,7 +62,7 @@
 	return cpu, bytes, calls
 }
 
-// metric returns the number behind a name in a page.
+// metric returns the number that follows a name in a page, or 0 if the page lacks the name.
 func (c *cluster) metric(b *testing.B, url, name string) float64 {
 	b.Helper()
 	res, err := http.Get(url)
--- a/proof/doc.go
+++ b/proof/doc.go
@@ -1,11 +1,12 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package proof holds the tests of what must always hold. They build the command
-and run it as separate processes on loopback: entries, the stand-in of the
-platform and stand-ins of backend servers, which they kill, freeze, cut off and make
-misbehave. docs/PROOFS.md lists what each test shows.
+Package proof contains the end-to-end tests of the system's guarantees. They
+build the command and run entries, the platform stand-in and backend server
+stand-ins as separate processes on loopback, and inject faults: kills, freezes,
+lost connections and wrong behaviour of the stand-ins. docs/PROOFS.md lists what
+each test shows.
 
-The package has no code of its own besides the tests.
+The package contains only tests.
 */
 package proof
--- a/proof/once_test.go
+++ b/proof/once_test.go
@@ -21,10 +21,10 @@
 	"shalewick/standin/fleet"
 )
 
-// BenchmarkOnceWays measures, in one run, what the ways to run a request at
-// most once cost it: nothing (a repeatable read), a ticket of the instance it
-// is sent to, a ticket of another instance, which passes it on, and a claim in
-// the platform's table before the read. Work at the backend server is left out.
+// BenchmarkAtMostOnce compares the latency of a repeatable read with that of the ways to run
+// a request at most once: a ticket of the instance that gets the request, a ticket of
+// another instance, to which the request is forwarded, and a claim in a table of the
+// platform before the read. The time of work at the backend server is subtracted.
 func BenchmarkAtMostOnce(b *testing.B) {
 	c := newCluster(b, clusterOptions{size: fleet.Caroni(), entries: 12, work: time.Millisecond})
 	p := platform.NewClient(c.base)
@@ -50,6 +50,7 @@
 	}
 }
 
+// fetchTickets returns n tickets that an entry issued.
 func (c *cluster) fetchTickets(t testing.TB, e *instance, n int) []string {
 	t.Helper()
 	var ts front.Tickets
@@ -57,7 +58,8 @@
 	return ts.Tickets
 }
 
-// timed sends one request and returns what it took without the work.
+// timeRequest sends one request and returns its latency without the time of work at the
+// backend server.
 func (c *cluster) timeRequest(t testing.TB, e *instance, method, service, ticket string) time.Duration {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+e.front+"/x?size=100", strings.NewReader(""))
@@ -76,8 +78,8 @@
 	return took - worked
 }
 
-// TestKilledEntryLeavesFewUnknown: when one of 12 entries is killed under load,
-// only commits that it had in hand can end with their outcome unknown.
+// TestKilledEntryLeavesFewUnknown checks that when one of 12 entries is killed under load,
+// only commits that were in flight at it can end with an unknown outcome.
 func TestKilledEntryLeavesFewUnknown(t *testing.T) {
 	const rate, work = 300, 30 * time.Millisecond
 	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 12, work: work})
@@ -89,8 +91,8 @@
 	assert.Equal(t, rep.Faults(), 0)
 	l := rep.Lines[0]
 	assert.Equal(t, l.Answered+l.Unknown, l.Sent, "%v", l.Refused)
-	// What runs at once in all, which the busiest entry can not exceed.
-	inHand := int(rate * 2 * work.Seconds())
-	t.Logf("outcome unknown: %d of %d; in hand at once in all: about %d", l.Unknown, l.Sent, inHand)
-	assert.Assert(t, l.Unknown <= 2*inHand)
+	// The requests in flight at all entries, which one entry cannot exceed.
+	inFlight := int(rate * 2 * work.Seconds())
+	t.Logf("outcome unknown: %d of %d; in flight at all entries: about %d", l.Unknown, l.Sent, inFlight)
+	assert.Assert(t, l.Unknown <= 2*inFlight)
 }
--- a/proof/outage_test.go
+++ b/proof/outage_test.go
@@ -18,42 +18,44 @@
 	"shalewick/version"
 )
 
-// outage is the length of the platform's outage in TestOutageWithDeaths.
+// outageLength is how long TestOutageWithDeaths keeps the platform down.
 var outageLength = flag.Duration("outage", 12*time.Second, "length of the platform's outage")
 
-// usable returns the share of all backend server slots that some entry holds or uses.
+// usableSlots returns the fraction of all backend server slots whose tokens an entry holds,
+// free or in use.
 func (c *cluster) usableSlots() float64 {
 	st, err := c.op.Status(context.Background())
 	if err != nil {
 		return 0
 	}
-	var has, size int32
+	var usable, size int32
 	for i, e := range st.Entries {
 		for _, p := range e.Pools {
 			if len(p.Pool) < 9 || p.Pool[:9] != "upstream/" {
 				continue
 			}
-			has += p.Free + p.Busy
+			usable += p.Free + p.Busy
 			if i == 0 {
 				size += p.Size
 			}
 		}
 	}
-	return float64(has) / float64(max(1, size))
+	return float64(usable) / float64(max(1, size))
 }
 
-// recovery bounds the time from the platform's return until all slots are
-// usable: the beats of the dead must stand still, the split must be read by
-// all, and the fence of the longest deadline must pass. Three polls lie between.
+// maxRecoveryTime returns the maximum time from the end of the platform's outage until all
+// slots are usable: the heartbeats of the killed entries must expire, all entries must read
+// the new split, and the fence time for the longest deadline must pass. Three polls of the
+// platform lie between these steps.
 func maxRecoveryTime() time.Duration {
-	const poll = 2500 * time.Millisecond
+	const pollInterval = 2500 * time.Millisecond
 	uploads := version.Pool{Deadline: fleet.UploadDeadline}
-	return member.HeartbeatTimeout + slots.FenceTime(&uploads) + 3*poll
+	return member.HeartbeatTimeout + slots.FenceTime(&uploads) + 3*pollInterval
 }
 
-// TestOutageWithDeaths: the platform is down while entries die and join.
-// Nothing is granted twice, the entries left go on serving, and the tokens of
-// the dead are split anew once the platform is back.
+// TestOutageWithDeaths checks that while the platform is down and entries are killed and
+// started, no token is granted twice and the remaining entries keep serving, and that the
+// tokens of the killed entries get new owners once the platform is up again.
 func TestOutageWithDeaths(t *testing.T) {
 	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 12, work: 20 * time.Millisecond})
 	mix := c.mix()[:2]
@@ -67,20 +69,20 @@
 			c.removeInstance(c.entries[i].name)
 		}
 		time.Sleep(*outageLength / 3)
-		t.Logf("usable slots with the platform down and 2 of 12 dead: %.2f", c.usableSlots())
+		t.Logf("usable slots with the platform down and 2 of 12 entries killed: %.2f", c.usableSlots())
 		c.waitEntryReady(c.startEntry("entry-new", 3))
 		time.Sleep(*outageLength / 3)
-		low := c.usableSlots()
-		t.Logf("usable slots with one joined: %.2f", low)
-		assert.Check(t, low > 0.7)
+		withNewEntry := c.usableSlots()
+		t.Logf("usable slots with one new entry: %.2f", withNewEntry)
+		assert.Check(t, withNewEntry > 0.7)
 		c.platformFault(standplatform.Fault{})
-		back := time.Now()
+		restored := time.Now()
 		limit := maxRecoveryTime()
-		for c.usableSlots() < 0.99 && time.Since(back) < limit {
+		for c.usableSlots() < 0.99 && time.Since(restored) < limit {
 			time.Sleep(100 * time.Millisecond)
 		}
-		t.Logf("usable slots %v after the platform is back: %.2f", time.Since(back).Round(time.Millisecond), c.usableSlots())
-		assert.Check(t, time.Since(back) < limit)
+		t.Logf("usable slots %v after the end of the outage: %.2f", time.Since(restored).Round(time.Millisecond), c.usableSlots())
+		assert.Check(t, time.Since(restored) < limit)
 	})
 	assert.Equal(t, rep.Faults(), 0)
 	assert.Assert(t, c.peakConcurrency() <= c.size.Slots)
--- a/proof/path_test.go
+++ b/proof/path_test.go
@@ -18,8 +18,8 @@
 	"shalewick/standin/fleet"
 )
 
-// TestWholePath runs 12 entries over 6 halls and 3 regions with 44 backend servers
-// and sends requests of all classes end to end.
+// TestWholePath checks that requests of all classes are answered end to end, by 12 entries in
+// 6 halls and 3 regions with 44 backend servers.
 func TestWholePath(t *testing.T) {
 	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 12, work: 5 * time.Millisecond})
 	rep, _ := c.runUnderLoad(load.Options{Clients: c.callers(), Rate: 400, Duration: 5 * time.Second, Mix: c.mix()}, func() {})
@@ -31,12 +31,13 @@
 	measureAddedLatency(t, c)
 }
 
-// addedLatency measures what an entry adds to a direct request, turn by turn.
+// measureAddedLatency logs the latency that an entry adds to a request. Requests directly to
+// a backend server and through the entry alternate.
 func measureAddedLatency(t *testing.T, c *cluster) {
 	t.Helper()
-	const rounds = 1000
+	const pairs = 1000
 	e := c.entries[0]
-	up := c.backends[0].listen.String()
+	upstream := c.backends[0].listen.String()
 	direct, through := hdrhistogram.New(1, 1e7, 3), hdrhistogram.New(1, 1e7, 3)
 	get := func(host string, h *hdrhistogram.Histogram) {
 		req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+host+"/?size=512", nil)
@@ -49,13 +50,13 @@
 		assert.NilError(t, err)
 		_ = res.Body.Close()
 		assert.Equal(t, res.StatusCode, http.StatusOK)
-		// The stand-in tells how long it worked, which is left out.
+		// Leaves out the time of work that the stand-in reports.
 		worked, err := time.ParseDuration(res.Header.Get(backend.HeaderWork))
 		assert.NilError(t, err)
 		_ = h.RecordValue((time.Since(start) - worked).Microseconds())
 	}
-	for range rounds {
-		get(up, direct)
+	for range pairs {
+		get(upstream, direct)
 		get(e.front, through)
 	}
 	us := func(h *hdrhistogram.Histogram, q float64) int64 { return h.ValueAtQuantile(q) }
--- a/proof/policy_test.go
+++ b/proof/policy_test.go
@@ -26,31 +26,35 @@
 	"shalewick/standin/fleet"
 )
 
-// The policy bench sends the same arrivals through this project's entries and
-// through entries with simpler policies, to the same backend servers, old and new,
-// which queue what is beyond their slots and shed when too many wait.
+// The policy benchmark sends the same arrivals through this project's entries and through
+// baseline entries with simpler load balancing policies. All use the same backend servers,
+// slow old ones and fast new ones, which queue the requests beyond their slots and shed
+// requests when too many wait.
 
 const (
-	policyMeanWork     = 40 * time.Millisecond  // mean of a new backend server
-	policyOldExtraWork = 120 * time.Millisecond // added by an old one
+	policyMeanWork     = 40 * time.Millisecond  // mean time of work at a new backend server
+	policyOldExtraWork = 120 * time.Millisecond // added at an old backend server
 	policyDeadline     = 2 * time.Second
 	policyDuration     = 8 * time.Second
 	policyEntries      = 6
 )
 
-// candidate is a backend server as a baseline sees it.
+// baselineBackend is a backend server as seen by a baseline entry.
 type baselineBackend struct {
 	pool             *conn.Pool
-	inFlight         atomic.Int64 // requests of this entry at it
-	reportedInFlight atomic.Int64 // by its last load report
+	inFlight         atomic.Int64 // requests from this entry
+	reportedInFlight atomic.Int64 // requests in flight by the last load report
 }
 
-// chooser picks a backend server.
-type policyFunc func(bs []*baselineBackend, turn uint64) *baselineBackend
+// policyFunc chooses the backend server for the request with the given number.
+type policyFunc func(bs []*baselineBackend, number uint64) *baselineBackend
 
-func roundRobin(bs []*baselineBackend, turn uint64) *baselineBackend { return bs[turn%uint64(len(bs))] }
+func roundRobin(bs []*baselineBackend, number uint64) *baselineBackend {
+	return bs[number%uint64(len(bs))]
+}
 
-// leastReported takes the least loaded by report, a random one of equals.
+// leastReported chooses the backend server with the least reported load, and one at random
+// among equals.
 func leastReported(bs []*baselineBackend, _ uint64) *baselineBackend {
 	start := rand.IntN(len(bs))
 	best := bs[start]
@@ -62,7 +66,8 @@
 	return best
 }
 
-// twoChoices takes the less loaded of two random ones, by probe and own count.
+// twoChoices chooses the less loaded of two random backend servers, by the sum of the
+// reported load and the requests in flight from this entry.
 func twoChoices(bs []*baselineBackend, _ uint64) *baselineBackend {
 	a, b := bs[rand.IntN(len(bs))], bs[rand.IntN(len(bs))]
 	if a.inFlight.Load()+a.reportedInFlight.Load() <= b.inFlight.Load()+b.reportedInFlight.Load() {
@@ -71,7 +76,7 @@
 	return b
 }
 
-// baseline is an entry with a simple policy.
+// baselineEntry is an entry with a simple load balancing policy.
 type baselineEntry struct {
 	choose   policyFunc
 	backends []*baselineBackend
@@ -96,7 +101,7 @@
 	_, _ = io.Copy(w, ex.Response.Body)
 }
 
-// probe keeps the load reports up to date until the context ends.
+// probe refreshes the load reports until the context is cancelled.
 func (e *baselineEntry) probe(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, b := range e.backends {
@@ -108,7 +113,8 @@
 	}
 }
 
-// baselineEntries starts entries with a policy over the readers' backend servers.
+// startBaselineEntries starts entries that use a policy for the backend servers of the read
+// service, and returns their addresses.
 func (c *cluster) startBaselineEntries(b *testing.B, choose policyFunc) []string {
 	b.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -127,36 +133,37 @@
 	return out
 }
 
-// tally is what the callers saw.
+// outcomes holds the latencies that callers measured.
 type outcomes struct {
 	mu       sync.Mutex
 	answered *hdrhistogram.Histogram // microseconds
-	refused  *hdrhistogram.Histogram
+	failed   *hdrhistogram.Histogram // rejected, failed or late requests
 	sent     int
 }
 
-// sendPlain sends reads at a rate, to the entries in turn, without trying
-// again. The seed makes the arrivals the same for each policy.
+// sendReads sends reads at a rate to random entries, without retries. The seed makes the
+// arrivals the same for each policy.
 func (c *cluster) sendReads(entries []string, rate float64, seed uint64) *outcomes {
-	ta := &outcomes{answered: hdrhistogram.New(1, 1e8, 3), refused: hdrhistogram.New(1, 1e8, 3)}
+	o := &outcomes{answered: hdrhistogram.New(1, 1e8, 3), failed: hdrhistogram.New(1, 1e8, 3)}
 	client := &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 1024, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext,
 	}}
 	rnd := rand.New(rand.NewPCG(seed, 0))
-	var all sync.WaitGroup
+	var requests sync.WaitGroup
 	start := time.Now()
 	for due := time.Duration(0); due < policyDuration; due += time.Duration(rnd.ExpFloat64() / rate * float64(time.Second)) {
 		time.Sleep(time.Until(start.Add(due)))
-		at := start.Add(due)
+		scheduled := start.Add(due)
 		entry := entries[rnd.IntN(len(entries))]
-		ta.sent++
-		all.Go(func() { ta.record(at, c.sendRead(client, entry)) })
+		o.sent++
+		requests.Go(func() { o.record(scheduled, c.sendRead(client, entry)) })
 	}
-	all.Wait()
+	requests.Wait()
 	client.CloseIdleConnections()
-	return ta
+	return o
 }
 
+// sendRead sends one read and reports whether it got a complete response with status 200.
 func (c *cluster) sendRead(client *http.Client, entry string) bool {
 	req, err := http.NewRequest(http.MethodGet, "http://"+entry+"/lots?size=500", nil)
 	if err != nil {
@@ -172,22 +179,22 @@
 	return err == nil && res.StatusCode == http.StatusOK
 }
 
-func (ta *outcomes) record(due time.Time, ok bool) {
-	took := time.Since(due)
-	ta.mu.Lock()
-	defer ta.mu.Unlock()
-	h := ta.refused
-	if ok && took <= policyDeadline {
-		h = ta.answered
+func (o *outcomes) record(scheduled time.Time, ok bool) {
+	latency := time.Since(scheduled)
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	h := o.failed
+	if ok && latency <= policyDeadline {
+		h = o.answered
 	}
-	_ = h.RecordValue(took.Microseconds())
+	_ = h.RecordValue(latency.Microseconds())
 }
 
-// BenchmarkPolicies compares the policies at several loads, as shares of what
-// the slots can serve. Run it with -benchtime 1x.
+// BenchmarkPolicies compares the policies at several loads, given as fractions of the
+// capacity of the slots. Run it with -benchtime 1x.
 func BenchmarkPolicies(b *testing.B) {
 	size := fleet.Caroni()
-	size.LinkCap = 200 // the baselines know no caps
+	size.LinkCap = 200 // practically no limit, since the baselines have no caps
 	c := newCluster(b, clusterOptions{size: size, entries: policyEntries, work: policyMeanWork, queue: true})
 	capacity := 0.0
 	for i := range size.ReadN {
@@ -214,16 +221,16 @@
 		} {
 			b.Run(fmt.Sprintf("load=%.1f/%s", share, p.name), func(b *testing.B) {
 				for range b.N {
-					ta := c.sendReads(p.entries, share*capacity, 7)
-					ideal := math.Min(float64(ta.sent), capacity*policyDuration.Seconds())
+					o := c.sendReads(p.entries, share*capacity, 7)
+					ideal := math.Min(float64(o.sent), capacity*policyDuration.Seconds())
 					ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-					b.ReportMetric(ms(ta.answered, 50), "p50-ms")
-					b.ReportMetric(ms(ta.answered, 99), "p99-ms")
-					b.ReportMetric(float64(ta.answered.TotalCount())/ideal, "goodput")
-					b.ReportMetric(ms(ta.refused, 50), "refused-p50-ms")
+					b.ReportMetric(ms(o.answered, 50), "p50-ms")
+					b.ReportMetric(ms(o.answered, 99), "p99-ms")
+					b.ReportMetric(float64(o.answered.TotalCount())/ideal, "goodput")
+					b.ReportMetric(ms(o.failed, 50), "refused-p50-ms")
 				}
 			})
-			time.Sleep(time.Second) // lets the queues run empty
+			time.Sleep(time.Second) // until the queues are empty
 		}
 	}
 	assert.Assert(b, capacity > 0)
--- a/proof/process_test.go
+++ b/proof/process_test.go
@@ -11,11 +11,11 @@
 	"shalewick/standin/program"
 )
 
-// binary is the command under test, built once.
+// binary is the path of the command under test, which TestMain builds once.
 var binary string
 
-// commandRace builds the command with the race detector, which makes it
-// several times slower.
+// commandRace makes TestMain build the command with the race detector, which
+// makes it several times slower.
 var commandRace = flag.Bool("command-race", false, "build the command under test with the race detector")
 
 func TestMain(m *testing.M) {
@@ -33,7 +33,8 @@
 	os.Exit(code)
 }
 
-// run starts the command; it is killed when the test ends.
+// startCommand starts the command under test. The process is killed when the
+// test ends.
 func startCommand(t testing.TB, name string, args ...string) *program.Process {
 	t.Helper()
 	return program.Start(t, binary, name, args...)
--- a/proof/promise_test.go
+++ b/proof/promise_test.go
@@ -24,23 +24,24 @@
 	"shalewick/version"
 )
 
-// reads is a mix of reads only.
+// readMix returns a mix that contains only reads.
 func (c *cluster) readMix() []load.Kind { return c.mix()[:1] }
 
-// TestShiftStaysUnderCap: a shift never carries more than its cap, at once and
-// in any one second, through a death, a freeze past the lease, an outage of
-// the platform, and a cap that is lowered meanwhile.
+// TestShiftStaysUnderCap checks that a shift never sends more requests to the other
+// region than its cap allows, neither concurrently nor within any one second, while
+// an entry is killed, another is frozen for longer than its lease, the platform is
+// down, and the cap is lowered.
 func TestShiftStaysUnderCap(t *testing.T) {
 	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 12, work: 20 * time.Millisecond})
 	north, central := c.size.Regions[0], c.size.Regions[1]
-	shift := func(v int64, most, rate int) int64 {
+	shift := func(v int64, limit, rate int) int64 {
 		return c.apply(version.Resource{
 			Key: version.Key{Kind: version.KindShift, Name: "x"}, Version: v,
-			Shift: &version.Shift{Service: c.size.Read, From: north, To: central, Share: 0.8, Cap: most, Rate: rate},
+			Shift: &version.Shift{Service: c.size.Read, From: north, To: central, Share: 0.8, Cap: limit, Rate: rate},
 		}).Version
 	}
 	v := shift(0, 8, 60)
-	begun := time.Now()
+	started := time.Now()
 	var lowered, end time.Time
 	o := load.Options{Clients: c.callers(0, 1), Rate: 500, Duration: 22 * time.Second, Mix: c.readMix()}
 	rep, _ := c.runUnderLoad(o, func() {
@@ -60,20 +61,20 @@
 	})
 	assert.Equal(t, rep.Faults(), 0)
 	records := c.records()
-	atOnce, inSecond := load.CrossRegionPeaks(records, begun, c.size.Read, north, central, c.serviceAndRegion)
-	t.Logf("cap 8 at once, 60 a second: %d, %d", atOnce, inSecond)
-	assert.Assert(t, atOnce <= 8 && inSecond <= 60)
-	assert.Assert(t, atOnce >= 2 && inSecond >= 10, "the shift carried too little to show anything")
-	// Requests that began under the old cap end by their deadline.
-	atOnce, inSecond = load.CrossRegionPeaks(records, lowered.Add(c.size.Deadline), c.size.Read, north, central, c.serviceAndRegion)
-	t.Logf("cap 4 at once, 30 a second, until %v after: %d, %d", end.Sub(lowered), atOnce, inSecond)
-	assert.Assert(t, atOnce <= 4 && inSecond <= 30)
-	assert.Assert(t, inSecond >= 5, "the shift carried too little to show anything")
+	concurrent, perSecond := load.CrossRegionPeaks(records, started, c.size.Read, north, central, c.serviceAndRegion)
+	t.Logf("cap of 8 concurrent requests and 60 per second: %d, %d", concurrent, perSecond)
+	assert.Assert(t, concurrent <= 8 && perSecond <= 60)
+	assert.Assert(t, concurrent >= 2 && perSecond >= 10, "the shift sent too few requests for a conclusion")
+	// Requests that started under the previous cap end by their deadline.
+	concurrent, perSecond = load.CrossRegionPeaks(records, lowered.Add(c.size.Deadline), c.size.Read, north, central, c.serviceAndRegion)
+	t.Logf("cap of 4 concurrent requests and 30 per second, until %v after it was lowered: %d, %d", end.Sub(lowered), concurrent, perSecond)
+	assert.Assert(t, concurrent <= 4 && perSecond <= 30)
+	assert.Assert(t, perSecond >= 5, "the shift sent too few requests for a conclusion")
 }
 
-// TestNoBackendAboveSlots: no backend server, and so no region, gets more than it
-// can serve, at 1.3 times the capacity of a region, with load reports that lie
-// and a region that freezes, dies and comes back.
+// TestNoBackendAboveSlots checks that no backend server, and so no region, gets more
+// concurrent requests than it has slots, at 1.3 times the capacity of a region, while
+// some load reports are false and a region is frozen, killed and restarted.
 func TestNoBackendAboveSlots(t *testing.T) {
 	const work = 40 * time.Millisecond
 	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 12, work: work})
@@ -99,27 +100,28 @@
 	assert.Equal(t, rep.Faults(), 0)
 	for _, r := range c.records() {
 		if r.AtOnce > c.size.Slots {
-			t.Logf("%d at once at %s, %v after the region was thawed", r.AtOnce, r.Backend, r.Start.Sub(thawed))
+			t.Logf("%d concurrent requests at %s, %v after the region was thawed", r.AtOnce, r.Backend, r.Start.Sub(thawed))
 		}
 	}
-	assert.Assert(t, c.peakConcurrency() == c.size.Slots, "most at once %d of %d", c.peakConcurrency(), c.size.Slots)
+	assert.Assert(t, c.peakConcurrency() == c.size.Slots, "peak of %d concurrent requests, %d slots", c.peakConcurrency(), c.size.Slots)
 	assert.Assert(t, rep.Lines[0].Answered > rep.Lines[0].Sent/3)
 }
 
-// TestAnswersAndRefusalsAreTrue: whoever is answered gets the whole answer to
-// the own request, and a request said not to have run has not, while answers
-// are late, cut, swapped or dropped, requests are shed, connections cut
-// anywhere, entries killed and frozen, and backend servers killed.
+// TestResponsesAndRejectionsAreCorrect checks that a caller never gets a truncated
+// response or the response to another request, and that a request reported as not run
+// did not run. Meanwhile responses are delayed, truncated, swapped or dropped, requests
+// are shed, connections are cut at any point, entries are killed and frozen, and
+// backend servers are killed.
 func TestResponsesAndRejectionsAreCorrect(t *testing.T) {
-	w := &faultyProxy{t: t}
-	c := newCluster(t, clusterOptions{size: fleet.Kitakaze(), entries: 12, work: 10 * time.Millisecond, proxy: w.listenFor})
+	proxy := &faultyProxy{t: t}
+	c := newCluster(t, clusterOptions{size: fleet.Kitakaze(), entries: 12, work: 10 * time.Millisecond, proxy: proxy.listenFor})
 	for i := range c.backends {
 		faults := []backend.Fault{{LateMs: 30}, {Cut: 0.05}, {WrongID: 0.05}, {Drop: 0.05}, {Shed: 0.2}, {SlowMs: 20}, {}}
 		c.backendFault(i, faults[i%len(faults)])
 	}
-	w.cutOneIn.Store(150)
+	proxy.cutOneIn.Store(150)
 	mix := c.mix()
-	mix[0].ResponseSize = 150 << 10 // larger than what an entry holds whole
+	mix[0].ResponseSize = 150 << 10 // too large for an entry to buffer it
 	o := load.Options{Clients: c.callers(), Rate: 300, Duration: 12 * time.Second, Mix: mix}
 	rep, _ := c.runUnderLoad(o, func() {
 		time.Sleep(2 * time.Second)
@@ -137,23 +139,22 @@
 		c.platformFault(standplatform.Fault{LoseAnswers: 0.5, SlowMs: 50})
 	})
 	assert.Equal(t, rep.Faults(), 0)
-	assert.Assert(t, w.cuts.Load() > 100, "too few connections were cut")
-	refused := 0
+	assert.Assert(t, proxy.cuts.Load() > 100, "too few connections were cut")
+	rejected := 0
 	for _, l := range rep.Lines {
 		assert.Assert(t, l.Answered > l.Sent/2, l.Name)
-		refused += l.Sent - l.Answered
+		rejected += l.Sent - l.Answered
 	}
-	assert.Assert(t, refused > 0, "nothing was refused, so nothing is shown")
+	assert.Assert(t, rejected > 0, "no request was rejected, so rejections were not checked")
 }
 
-// TestRunsAtMostOnce: what may not be repeated runs at most once, although
-// callers ask again by way of other entries, while entries are killed with
-// answers outstanding and stopped with tickets outstanding, and the platform
-// is down.
+// TestRunsAtMostOnce checks that requests that may not be repeated run at most once,
+// although callers retry them through other entries, while entries are killed with
+// responses outstanding and stopped with tickets outstanding, and the platform is down.
 func TestRunsAtMostOnce(t *testing.T) {
-	w := &faultyProxy{t: t}
-	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 12, work: 30 * time.Millisecond, proxy: w.listenFor, grace: 500 * time.Millisecond})
-	w.cutOneIn.Store(300)
+	proxy := &faultyProxy{t: t}
+	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 12, work: 30 * time.Millisecond, proxy: proxy.listenFor, grace: 500 * time.Millisecond})
+	proxy.cutOneIn.Store(300)
 	commits := c.mix()[1:2]
 	o := load.Options{Clients: c.callers(), Rate: 300, Duration: 12 * time.Second, Mix: commits}
 	rep, _ := c.runUnderLoad(o, func() {
@@ -171,16 +172,17 @@
 	})
 	assert.Equal(t, rep.Faults(), 0)
 	l := rep.Lines[0]
-	t.Logf("outcome unknown: %d of %d; two kills, %d cut connections", l.Unknown, l.Sent, w.cuts.Load())
+	t.Logf("outcome unknown: %d of %d; two entries killed, %d connections cut", l.Unknown, l.Sent, proxy.cuts.Load())
 	assert.Assert(t, l.Unknown < l.Sent/20)
 }
 
-// TestTicketRunsOnce sends one ticket many times at once by way of all entries.
+// TestTicketRunsOnce checks that a request runs once if it is sent many times
+// concurrently, with one ticket and through all entries.
 func TestTicketRunsOnce(t *testing.T) {
 	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 3, work: 100 * time.Millisecond})
-	answers := c.sendSameTicket(t, 24)
-	for _, a := range answers {
-		assert.Equal(t, a, answers[0]) // each gets the answer of the one run
+	bodies := c.sendSameTicket(t, 24)
+	for _, body := range bodies {
+		assert.Equal(t, body, bodies[0]) // all get the response of the single run
 	}
 	n := 0
 	for _, r := range c.records() {
@@ -191,15 +193,15 @@
 	assert.Equal(t, n, 1)
 }
 
-// TestLeavingBackendGetsNoWork: a backend server whose own word is that it leaves
-// gets no new work one second after, three seconds with the platform down,
-// also from an entry that was frozen meanwhile.
+// TestLeavingBackendGetsNoNewRequests checks that a backend server that announces that
+// it is leaving gets no new requests after one second, or after three seconds while the
+// platform is down, not even from an entry that was frozen meanwhile.
 func TestLeavingBackendGetsNoNewRequests(t *testing.T) {
 	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 12, work: 5 * time.Millisecond})
-	left := make(map[string]time.Time)
+	noneAfter := make(map[string]time.Time)
 	leave := func(i int, within time.Duration) {
 		c.backendFault(i, backend.Fault{Leaving: true})
-		left[c.backends[i].name] = time.Now().Add(within)
+		noneAfter[c.backends[i].name] = time.Now().Add(within)
 	}
 	o := load.Options{Clients: c.callers(), Rate: 600, Duration: 12 * time.Second, Mix: c.readMix()}
 	rep, _ := c.runUnderLoad(o, func() {
@@ -217,22 +219,22 @@
 		c.entries[8].Thaw()
 	})
 	assert.Equal(t, rep.Faults(), 0)
-	during := 0
+	whileLeaving := 0
 	for _, r := range c.records() {
-		limit, ok := left[r.Backend]
+		limit, ok := noneAfter[r.Backend]
 		if !ok || !r.Leaving {
 			continue
 		}
-		during++
-		assert.Assert(t, r.Start.Before(limit), "%s began work %v after the bound", r.Backend, r.Start.Sub(limit))
+		whileLeaving++
+		assert.Assert(t, r.Start.Before(limit), "%s started a request %v after the limit", r.Backend, r.Start.Sub(limit))
 	}
-	t.Logf("%d requests began after the word and within the bound", during)
+	t.Logf("%d requests started after the announcement and within the limit", whileLeaving)
 }
 
-// TestPlannedStopsCutNothing: entries and backend servers that are stopped as
-// planned, one after the other, cut off nothing, although uploads take longer
-// than the entry's grace, and callers keep their look-ups for all of their
-// life and try nothing again.
+// TestPlannedStopsAbortNoRequests checks that no request is aborted when entries and
+// backend servers are stopped as planned, one after the other, although uploads take
+// longer than the grace period of the entries, and some callers cache lookups for their
+// whole lifetime and don't retry.
 func TestPlannedStopsAbortNoRequests(t *testing.T) {
 	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 12, work: 20 * time.Millisecond})
 	for i := range c.backends {
@@ -249,15 +251,15 @@
 			Key:   version.Key{Kind: version.KindDrain, Name: "south"},
 			Drain: &version.Drain{Region: c.size.Regions[2]},
 		})
-		time.Sleep(5 * time.Second) // the uploads there take as long
-		c.regions[2].Kill()         // a drained region has no work left
-		replaced := c.startEntry("entry-new", 0)
-		c.waitEntryReady(replaced)
+		time.Sleep(5 * time.Second) // the uploads in the region take as long
+		c.regions[2].Kill()         // no request runs in a drained region
+		added := c.startEntry("entry-new", 0)
+		c.waitEntryReady(added)
 		stop := make(chan struct{})
-		const callers = 12 // some of them use the instances that stop
-		refused := make(chan int)
+		const callers = 12 // some of them use the entries that are stopped
+		failures := make(chan int)
 		for i := range callers {
-			go func() { refused <- c.sendWithoutRetries(t, fmt.Sprintf("10.%d.0.%d", i%2, i), stop) }()
+			go func() { failures <- c.sendWithoutRetries(t, fmt.Sprintf("10.%d.0.%d", i%2, i), stop) }()
 		}
 		uploads := make(chan string)
 		for _, i := range []int{0, 7} {
@@ -268,21 +270,21 @@
 		}
 		close(stop)
 		for range callers {
-			assert.Check(t, <-refused == 0)
+			assert.Check(t, <-failures == 0)
 		}
 	})
 	assert.Equal(t, rep.Faults(), 0)
 	for _, l := range rep.Lines {
 		assert.Equal(t, l.Answered, l.Sent, "%s: %v", l.Name, l.Refused)
 	}
-	// A caller may have sent a request again that was cut off.
+	// The callers retry, so an aborted request may still have been answered.
 	for _, r := range c.records() {
-		assert.Assert(t, r.Done, "cut off: %+v", r)
+		assert.Assert(t, r.Done, "aborted: %+v", r)
 	}
 }
 
-// uploadLate sends an upload right to an entry shortly before the end of its
-// grace, so that it ends long after, and tells how it ended.
+// uploadNearEndOfGrace sends an upload directly to an entry shortly before the end of its
+// grace period, so that the upload ends long after it. It returns the response body or the error.
 func (c *cluster) uploadNearEndOfGrace(t *testing.T, e *instance) string {
 	time.Sleep(entry.DefaultGrace - 300*time.Millisecond)
 	req, err := http.NewRequest(http.MethodPost, "http://"+e.front+"/videos?size=5", strings.NewReader("video"))
@@ -299,11 +301,11 @@
 	return string(b)
 }
 
-// plainCaller sends reads to the first instance of its look-up, which it keeps
-// for all of its life, without trying again. It returns how many got no answer.
-func (c *cluster) sendWithoutRetries(t *testing.T, client string, stop chan struct{}) (refused int) {
-	var known front.Lookup
-	var until time.Time
+// sendWithoutRetries sends reads to the first instance of a lookup, which it caches for
+// its whole lifetime, and doesn't retry. It returns how many reads failed or were rejected.
+func (c *cluster) sendWithoutRetries(t *testing.T, client string, stop chan struct{}) (failed int) {
+	var lookup front.Lookup
+	var expires time.Time
 	get := func(url string) (*http.Response, error) {
 		req, err := http.NewRequest(http.MethodGet, url, nil)
 		if err != nil {
@@ -315,50 +317,50 @@
 	for {
 		select {
 		case <-stop:
-			return refused
+			return failed
 		case <-time.After(50 * time.Millisecond):
 		}
-		if time.Now().After(until) {
-			asked := time.Now()
+		if time.Now().After(expires) {
+			requested := time.Now()
 			res, err := get("http://" + c.entries[5].front + front.ReservedPrefix + "lookup?client=" + client)
 			if !assert.Check(t, err) {
 				return -1
 			}
-			assert.Check(t, json.NewDecoder(res.Body).Decode(&known))
+			assert.Check(t, json.NewDecoder(res.Body).Decode(&lookup))
 			_ = res.Body.Close()
-			until = asked.Add(time.Duration(known.LifeMs) * time.Millisecond)
+			expires = requested.Add(time.Duration(lookup.LifeMs) * time.Millisecond)
 		}
-		res, err := get("http://" + known.Entries[0].Address + "/lots")
+		res, err := get("http://" + lookup.Entries[0].Address + "/lots")
 		if err != nil {
-			refused++
+			failed++
 			continue
 		}
 		if _, ok := request.FromHeader(res.Header); ok {
-			refused++
+			failed++
 		}
 		_ = res.Body.Close()
 	}
 }
 
-// sendSameTicket sends one request n times with one ticket and returns the
-// bodies of the answers.
+// sendSameTicket sends one request n times concurrently, with one ticket and through
+// all entries, and returns the bodies of the responses.
 func (c *cluster) sendSameTicket(t *testing.T, n int) []string {
 	t.Helper()
 	ticket := c.fetchTickets(t, c.entries[0], 1)[0]
-	answers := make(chan string, n)
+	bodies := make(chan string, n)
 	for i := range n {
 		e := c.entries[i%len(c.entries)]
-		go func() { answers <- c.postTicket(t, e, ticket) }()
+		go func() { bodies <- c.postTicket(t, e, ticket) }()
 	}
 	var out []string
 	for range n {
-		out = append(out, <-answers)
+		out = append(out, <-bodies)
 	}
 	return out
 }
 
-// TestTicketOfDeadEntryNeverRuns: once the entry that issued a ticket is dead,
-// the answer is final at once, and says that the outcome is not known.
+// TestTicketOfKilledEntryNeverRuns checks that a request with a ticket from an entry that
+// was killed is rejected at once and for good, with the outcome reported as unknown. A forged ticket is rejected as not run.
 func TestTicketOfKilledEntryNeverRuns(t *testing.T) {
 	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 3, work: time.Millisecond})
 	ticket := c.fetchTickets(t, c.entries[0], 1)[0]
--- a/proof/ticket_test.go
+++ b/proof/ticket_test.go
@@ -14,8 +14,9 @@
 	"shalewick/standin/backend"
 )
 
-// postTicket sends a commit with a ticket and returns the answer's body, or
-// the result and whether it ran.
+// postTicket sends a commit with a ticket. It returns the body of the response and the name
+// of the backend server, or, if the request was rejected, the result code and whether the
+// request ran.
 func (c *cluster) postTicket(t *testing.T, e *instance, ticket string) string {
 	req, err := http.NewRequest(http.MethodPost, "http://"+e.front+"/bids?size=40", strings.NewReader("bid"))
 	assert.Check(t, err)
--- a/proof/wire_test.go
+++ b/proof/wire_test.go
@@ -13,34 +13,37 @@
 	"gotest.tools/v3/assert"
 )
 
-// wires forwards loopback connections to backend servers, and cuts some of them:
-// before, in and after a request, and in an answer.
+// faultyProxy forwards loopback connections to backend servers and cuts some of them:
+// before, during and after a request, and during a response.
 type faultyProxy struct {
 	t        *testing.T
-	cutOneIn atomic.Uint64 // one chunk in so many is cut; 0: none
+	cutOneIn atomic.Uint64 // one in this many connections and chunks is cut; 0 cuts none
 	cuts     atomic.Int64  // connections cut so far
 }
 
-// through returns an address that forwards to a target.
-func (w *faultyProxy) listenFor(target netip.AddrPort) netip.AddrPort {
+// listenFor starts a listener that forwards connections to the target, and returns its
+// address.
+func (p *faultyProxy) listenFor(target netip.AddrPort) netip.AddrPort {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
-	assert.NilError(w.t, err)
-	w.t.Cleanup(func() { _ = l.Close() })
+	assert.NilError(p.t, err)
+	p.t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go w.forward(c.(*net.TCPConn), target)
+			go p.forward(c.(*net.TCPConn), target)
 		}
 	}()
 	return l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func (w *faultyProxy) forward(from *net.TCPConn, target netip.AddrPort) {
+// forward copies a connection in both directions, or resets it if it is to be cut or
+// the target can't be reached.
+func (p *faultyProxy) forward(from *net.TCPConn, target netip.AddrPort) {
 	to, err := net.Dial("tcp", target.String())
-	if err != nil || w.shouldCut() {
+	if err != nil || p.shouldCut() {
 		_ = from.SetLinger(0)
 		_ = from.Close()
 		if to != nil {
@@ -48,26 +51,27 @@
 		}
 		return
 	}
-	go w.copyOneWay(from, to.(*net.TCPConn))
-	w.copyOneWay(to.(*net.TCPConn), from)
+	go p.copyOneWay(from, to.(*net.TCPConn))
+	p.copyOneWay(to.(*net.TCPConn), from)
 }
 
-func (w *faultyProxy) shouldCut() bool {
-	in := w.cutOneIn.Load()
-	if in == 0 || rand.Uint64N(in) > 0 {
+// shouldCut decides at random whether to cut, and counts the cuts.
+func (p *faultyProxy) shouldCut() bool {
+	n := p.cutOneIn.Load()
+	if n == 0 || rand.Uint64N(n) > 0 {
 		return false
 	}
-	w.cuts.Add(1)
+	p.cuts.Add(1)
 	return true
 }
 
-// pipe copies one direction. A cut passes a part of the present chunk on and
-// breaks both connections off.
-func (w *faultyProxy) copyOneWay(from, to *net.TCPConn) {
+// copyOneWay copies one direction of a connection. A cut forwards only a part of the
+// current chunk and closes both connections.
+func (p *faultyProxy) copyOneWay(from, to *net.TCPConn) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && w.shouldCut() {
+		if n > 0 && p.shouldCut() {
 			_, _ = to.Write(buf[:rand.IntN(n+1)])
 			_ = from.Close()
 			_ = to.Close()
