--- a/proof/cluster_test.go
+++ b/proof/cluster_test.go
@@ -39,7 +39,7 @@
 	regions  [3]*program.Process // process of the backend servers of each region
 	backends []backendInfo       // index is the number of the backend server
 	entries  []*instance
-	listed   []platform.Instance
+	listed   []platform.Instance // instances on the list of the platform
 	op       *operator.Client
 	grace    time.Duration
 	queue    bool
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -142,7 +142,7 @@
 	until := time.Now().Add(14 * time.Second)
 	var writers sync.WaitGroup
 	for i := range 4 {
-		// Each operator tries the instances in an order of its own.
+		// Each operator starts with a different instance.
 		op := operator.New(append(append([]string(nil), c.op.Addresses[i:]...), c.op.Addresses[:i]...))
 		writers.Go(func() { o.run(t, i, op, until) })
 	}
--- a/proof/once_test.go
+++ b/proof/once_test.go
@@ -21,8 +21,8 @@
 	"shalewick/standin/fleet"
 )
 
-// BenchmarkAtMostOnce compares the latency of a repeatable read with that of the ways to run
-// a request at most once: a ticket of the instance that gets the request, a ticket of
+// BenchmarkAtMostOnce compares, in one run, the latency of a repeatable read with that of the
+// ways to run a request at most once: a ticket of the instance that gets the request, a ticket of
 // another instance, to which the request is forwarded, and a claim in a table of the
 // platform before the read. The time of work at the backend server is subtracted.
 func BenchmarkAtMostOnce(b *testing.B) {
--- a/proof/policy_test.go
+++ b/proof/policy_test.go
@@ -194,7 +194,7 @@
 // capacity of the slots. Run it with -benchtime 1x.
 func BenchmarkPolicies(b *testing.B) {
 	size := fleet.Caroni()
-	size.LinkCap = 200 // practically no limit, since the baselines have no caps
+	size.LinkCap = 200 // raised, since the baselines have no caps
 	c := newCluster(b, clusterOptions{size: size, entries: policyEntries, work: policyMeanWork, queue: true})
 	capacity := 0.0
 	for i := range size.ReadN {
--- a/proof/promise_test.go
+++ b/proof/promise_test.go
@@ -360,7 +360,8 @@
 }
 
 // TestTicketOfKilledEntryNeverRuns checks that a request with a ticket from an entry that
-// was killed is rejected at once and for good, with the outcome reported as unknown. A forged ticket is rejected as not run.
+// was killed is rejected at once and for good, with the outcome reported as unknown. A request
+// with a forged ticket is rejected as not run.
 func TestTicketOfKilledEntryNeverRuns(t *testing.T) {
 	c := newCluster(t, clusterOptions{size: fleet.Caroni(), entries: 3, work: time.Millisecond})
 	ticket := c.fetchTickets(t, c.entries[0], 1)[0]
