--- a/proof/control_test.go
+++ b/proof/control_test.go
@@ -18,7 +18,8 @@
 )
 
 // BenchmarkControl measures the overhead of the control plane without load, by the number
-// of entries: CPU time, memory and gossip traffic of each entry, and calls to the platform.
+// of entries: CPU time and memory of each entry, traffic between entries, and calls to the
+// platform.
 // Its results are published in docs/CAPACITY.md.
 func BenchmarkControl(b *testing.B) {
 	const interval = 10 * time.Second
