--- a/conn/conn_test.go
+++ b/conn/conn_test.go
@@ -23,12 +23,12 @@
 	f.Add([]byte(`[]`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		rep, err := ParseReport(b)
-		assert.Assert(t, err != nil || rep.InFlight >= 0 && rep.Slots >= 0 && len(rep.Boot) <= maxBoot)
+		assert.Assert(t, err != nil || rep.InFlight >= 0 && rep.Slots >= 0 && len(rep.Boot) <= maxBootIDBytes)
 	})
 }
 
-// script is a server that does one thing with each connection.
-func script(t *testing.T, f func(net.Conn, *bufio.Reader)) *Pool {
+// startScriptedBackend starts a server that runs f for each connection, and returns a pool for it.
+func startScriptedBackend(t *testing.T, f func(net.Conn, *bufio.Reader)) *Pool {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -45,8 +45,8 @@
 	return &Pool{Address: l.Addr().String()}
 }
 
-// exchange dispatches a request and returns the body, the error, and how the
-// token was released.
+// exchange dispatches a request and returns the body, the error, and the value that Release was
+// called with.
 func exchange(t *testing.T, p *Pool, body string, deadline time.Duration, allowed bool) (string, error, bool) {
 	t.Helper()
 	released := make(chan bool, 2)
@@ -55,7 +55,7 @@
 	ex, err := p.Dispatch(context.Background(), req, Options{
 		Deadline: time.Now().Add(deadline),
 		Allowed:  func() bool { return allowed },
-		Release:  func(silent bool) { released <- silent },
+		Release:  func(unresponsive bool) { released <- unresponsive },
 	})
 	got := ""
 	if err == nil {
@@ -64,14 +64,14 @@
 		got = string(b)
 		ex.Close()
 	}
-	silent := <-released
+	unresponsive := <-released
 	assert.Equal(t, len(released), 0) // released once
-	return got, err, silent
+	return got, err, unresponsive
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	var conns atomic.Int64
-	p := script(t, func(c net.Conn, r *bufio.Reader) {
+	p := startScriptedBackend(t, func(c net.Conn, r *bufio.Reader) {
 		conns.Add(1)
 		for {
 			req, err := http.ReadRequest(r)
@@ -83,22 +83,22 @@
 		}
 	})
 	for range 3 {
-		got, err, silent := exchange(t, p, "body", time.Second, true)
+		got, err, unresponsive := exchange(t, p, "body", time.Second, true)
 		assert.NilError(t, err)
-		assert.Assert(t, got == "ok" && !silent)
+		assert.Assert(t, got == "ok" && !unresponsive)
 	}
 	assert.Equal(t, conns.Load(), int64(1))
 }
 
-func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
-	p := script(t, func(c net.Conn, r *bufio.Reader) {
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
+	p := startScriptedBackend(t, func(c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-		_ = c.Close() // though it did not say so
+		_ = c.Close() // without having announced it
 	})
 	for range 3 {
 		_, err, _ := exchange(t, p, "body", time.Second, true)
@@ -109,70 +109,70 @@
 
 func TestRefusedDispatchSendsNothing(t *testing.T) {
 	var got atomic.Int64
-	p := script(t, func(_ net.Conn, r *bufio.Reader) {
+	p := startScriptedBackend(t, func(_ net.Conn, r *bufio.Reader) {
 		n, _ := io.Copy(io.Discard, r)
 		got.Add(n)
 	})
 	_, err, _ := exchange(t, p, "body", time.Second, false)
-	assert.ErrorIs(t, err, NotAllowed)
+	assert.ErrorIs(t, err, ErrNotAllowed)
 	assert.Equal(t, got.Load(), int64(0))
 }
 
-// TestDispatchThatIsRefusedMidwaySendsNothing tells a story of its own. Seen: a request ended
-// after 0.3 ms with "deadline passed", and may have run. How: a request with a body is allowed
-// as its dispatch begins and no longer as its first byte is to leave, as it happens when the
-// answer to another one says meanwhile that its server wants rest. Cause: the sender of the
-// body woke the reader of the answer, which took that for a lost answer.
-func TestDispatchThatIsRefusedMidwaySendsNothing(t *testing.T) {
+// TestDispatchRefusedAfterStartSendsNothing guards against a refused dispatch that is reported as a
+// possibly sent request with a passed deadline, 0.3 ms after its start. That happened if Allowed
+// returned true as the dispatch of a request with a body began, and false as its first byte was to
+// be sent, for example because the response to another request had meanwhile requested a backoff. The
+// sender of the body interrupted the reader of the response, which took that for a lost response.
+func TestDispatchRefusedAfterStartSendsNothing(t *testing.T) {
 	var got atomic.Int64
-	p := script(t, func(_ net.Conn, r *bufio.Reader) {
+	p := startScriptedBackend(t, func(_ net.Conn, r *bufio.Reader) {
 		n, _ := io.Copy(io.Discard, r)
 		got.Add(n)
 	})
 	for range 50 {
-		asked := 0
+		calls := 0
 		req, err := http.NewRequest(http.MethodPost, "http://x/", strings.NewReader("body"))
 		assert.NilError(t, err)
 		_, err = p.Dispatch(context.Background(), req, Options{
 			Deadline: time.Now().Add(time.Second),
-			Allowed:  func() bool { asked++; return asked == 1 },
-			Release:  func(bool) {}, CloseAtOnce: true,
+			Allowed:  func() bool { calls++; return calls == 1 },
+			Release:  func(bool) {}, CloseImmediately: true,
 		})
-		assert.ErrorIs(t, err, NotAllowed)
+		assert.ErrorIs(t, err, ErrNotAllowed)
 		var d *DispatchError
 		assert.Assert(t, errors.As(err, &d) && !d.Sent)
 	}
 	assert.Equal(t, got.Load(), int64(0))
 }
 
-// TestSilentBackend: the token comes back after deadline and margin, as silent,
-// if the backend server does not close its side; at once if it does.
-func TestSilentBackend(t *testing.T) {
+// TestUnresponsiveBackend checks that the token is released after the deadline and the margin, as
+// unresponsive, if the backend server does not close its side, and immediately if it does.
+func TestUnresponsiveBackend(t *testing.T) {
 	done := make(chan struct{})
 	defer close(done)
-	silentPool := script(t, func(c net.Conn, _ *bufio.Reader) {
-		<-done // a connection that nothing refers to would be closed by the collector
+	unresponsivePool := startScriptedBackend(t, func(c net.Conn, _ *bufio.Reader) {
+		<-done // an unreferenced connection would be closed by the garbage collector
 		_ = c.Close()
 	})
 	start := time.Now()
-	_, err, silent := exchange(t, silentPool, "body", 100*time.Millisecond, true)
-	assert.Assert(t, err != nil && silent)
-	assert.Assert(t, time.Since(start) >= 100*time.Millisecond+Margin)
-	closing := script(t, func(c net.Conn, r *bufio.Reader) {
-		_, _ = io.Copy(io.Discard, r) // until the half close
+	_, err, unresponsive := exchange(t, unresponsivePool, "body", 100*time.Millisecond, true)
+	assert.Assert(t, err != nil && unresponsive)
+	assert.Assert(t, time.Since(start) >= 100*time.Millisecond+ReleaseMargin)
+	closing := startScriptedBackend(t, func(c net.Conn, r *bufio.Reader) {
+		_, _ = io.Copy(io.Discard, r) // until the client half-closes the connection
 		_ = c.Close()
 	})
 	start = time.Now()
-	_, err, silent = exchange(t, closing, "body", 100*time.Millisecond, true)
-	assert.Assert(t, err != nil && !silent)
-	assert.Assert(t, time.Since(start) < 100*time.Millisecond+Margin)
+	_, err, unresponsive = exchange(t, closing, "body", 100*time.Millisecond, true)
+	assert.Assert(t, err != nil && !unresponsive)
+	assert.Assert(t, time.Since(start) < 100*time.Millisecond+ReleaseMargin)
 }
 
-// TestHeadersBelongToTheCaller checks, with the race detector, that nothing
-// reads an answer's headers once the exchange is closed: the caller changes
-// them. It is the crash that TestOutageWithDeaths saw.
-func TestHeadersBelongToTheCaller(t *testing.T) {
-	p := script(t, func(c net.Conn, r *bufio.Reader) {
+// TestHeadersMayBeModifiedAfterClose checks, with the race detector, that nothing reads the headers
+// of a response once the exchange is closed, since the caller modifies them. TestOutageWithDeaths
+// found this as a crash.
+func TestHeadersMayBeModifiedAfterClose(t *testing.T) {
+	p := startScriptedBackend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
 			req, err := http.ReadRequest(r)
 			if err != nil {
@@ -188,7 +188,7 @@
 		assert.NilError(t, err)
 		ex, err := p.Dispatch(context.Background(), req, Options{
 			Deadline: time.Now().Add(time.Second), Allowed: func() bool { return true },
-			Release: func(silent bool) { released <- silent },
+			Release: func(unresponsive bool) { released <- unresponsive },
 		})
 		assert.NilError(t, err)
 		_, err = io.ReadAll(ex.Response.Body)
@@ -199,24 +199,24 @@
 	}
 }
 
-func TestKeepAliveBoundsIdleTime(t *testing.T) {
+func TestKeepAliveBoundsIdleTimeout(t *testing.T) {
 	for header, want := range map[string]time.Duration{
 		"": 30 * time.Second, "timeout=7": 6 * time.Second, "max=5, timeout=3": 2 * time.Second,
 		"timeout=x": 30 * time.Second, "timeout=600": 30 * time.Second, "timeout=0": -time.Second,
 	} {
-		assert.Equal(t, keptIdle(30*time.Second, header), want, header)
+		assert.Equal(t, keepAliveTimeout(30*time.Second, header), want, header)
 	}
 }
 
-// TestOpenKeepsAConnectionForARequest checks that a connection that was opened
-// beforehand is used by the next request, and that a dead port is an error.
-func TestOpenKeepsAConnectionForARequest(t *testing.T) {
+// TestOpenKeepsConnectionForNextRequest checks that a connection that was opened in advance is used
+// by the next request, and that a closed port is an error.
+func TestOpenKeepsConnectionForNextRequest(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	p := &Pool{Address: l.Addr().String()}
 	assert.NilError(t, p.Open(context.Background()))
 	assert.Equal(t, len(p.idle), 1)
-	c, err := p.get(context.Background())
+	c, err := p.getConn(context.Background())
 	assert.NilError(t, err)
 	assert.Equal(t, len(p.idle), 0)
 	assert.NilError(t, c.Close())
--- a/conn/pool.go
+++ b/conn/pool.go
@@ -19,174 +19,173 @@
 	"shalewick/clock"
 )
 
-// Bounds of a pool.
+// Limits of a pool.
 const (
-	// MaxIdle is the number of idle connections kept to one backend server.
-	MaxIdle = 16
-	// IdleTime is how long an idle connection is kept.
-	IdleTime = 30 * time.Second
-	// DialTimeout bounds the opening of a connection.
+	// MaxIdleConns is the number of idle connections that are kept to one backend server.
+	MaxIdleConns = 16
+	// DefaultIdleTimeout is how long an idle connection is kept.
+	DefaultIdleTimeout = 30 * time.Second
+	// DialTimeout limits the time to open a connection.
 	DialTimeout = time.Second
 )
 
-// Pool keeps connections to one backend server. The fields are set before use.
+// Pool keeps connections to one backend server. The exported fields must be set before use.
 type Pool struct {
 	Address string
-	// Dialer opens connections; nil: one with DialTimeout.
+	// Dialer opens connections. If nil, a dialer with DialTimeout is used.
 	Dialer *net.Dialer
-	// IdleTime is how long an idle connection is kept, unless the backend server
-	// says that it keeps it for less. Zero means the constant IdleTime.
-	IdleTime time.Duration
+	// IdleTimeout is how long an idle connection is kept, unless the backend server announces a
+	// shorter time. Zero means DefaultIdleTimeout.
+	IdleTimeout time.Duration
 
 	mu   sync.Mutex
-	idle []*link // most recently used last
+	idle []*pooledConn // most recently used last
 }
 
-// link is one connection with its buffers.
-type link struct {
+// pooledConn is a connection with its buffers.
+type pooledConn struct {
 	net.Conn
-	r     *bufio.Reader
-	w     *bufio.Writer
-	since time.Duration // idle since, by clock.Now
-	idle  time.Duration
-	sent  int64 // bytes handed to the kernel for the present request
-	// allowed is asked right before each first write of a request, so that a
-	// process that was frozen in between does not send what it no longer may.
+	r           *bufio.Reader
+	w           *bufio.Writer
+	idleSince   time.Duration // when it became idle, by clock.Now
+	idleTimeout time.Duration
+	bytesSent   int64 // bytes of the current request that were written to the socket
+	// allowed is called right before the first write of each request, so that a process that was
+	// frozen in between does not send a request that it may no longer send.
 	allowed func() bool
-	// withheld is set once allowed said no.
+	// withheld is set once allowed has returned false.
 	withheld atomic.Bool
 }
 
 const bufferSize = 16 << 10
 
-// NotAllowed is the error of a request that Options.Allowed refused. No byte
-// of it was sent.
-const NotAllowed = errors.ConstError("the dispatch is no longer allowed")
+// ErrNotAllowed is the error of a request that Options.Allowed refused. No byte of it was sent.
+const ErrNotAllowed = errors.ConstError("the dispatch is no longer allowed")
 
-// Write counts what leaves.
-func (l *link) Write(p []byte) (int, error) {
-	if l.sent == 0 && !l.allowed() {
-		l.withheld.Store(true)
-		return 0, NotAllowed
+// Write writes to the connection and counts the bytes.
+func (c *pooledConn) Write(p []byte) (int, error) {
+	if c.bytesSent == 0 && !c.allowed() {
+		c.withheld.Store(true)
+		return 0, ErrNotAllowed
 	}
-	n, err := l.Conn.Write(p)
-	l.sent += int64(n)
+	n, err := c.Conn.Write(p)
+	c.bytesSent += int64(n)
 	return n, err
 }
 
-// get returns an idle connection that still looks open, or a new one.
-func (p *Pool) get(ctx context.Context) (*link, error) {
+// getConn returns an idle connection that still appears open, or a new one.
+func (p *Pool) getConn(ctx context.Context) (*pooledConn, error) {
 	for {
-		l := p.popIdle()
-		if l == nil {
+		conn := p.popIdle()
+		if conn == nil {
 			break
 		}
-		if clock.Now()-l.since < l.idle && quiet(l.Conn) {
-			return l, nil
+		if clock.Now()-conn.idleSince < conn.idleTimeout && isIdle(conn.Conn) {
+			return conn, nil
 		}
-		_ = l.Conn.Close() // it is of no more use
+		_ = conn.Conn.Close() // expired, or closed by the backend server
 	}
 	return p.dial(ctx)
 }
 
-// Open opens a connection and keeps it for a request to come. The error says that
-// the backend server can't be reached.
+// Open opens a connection and keeps it for a later request. It fails if the backend server cannot
+// be reached.
 func (p *Pool) Open(ctx context.Context) error {
-	l, err := p.dial(ctx)
+	conn, err := p.dial(ctx)
 	if err != nil {
 		return err
 	}
-	l.idle = p.idleTime()
-	p.put(l)
+	conn.idleTimeout = p.idleTimeout()
+	p.putIdle(conn)
 	return nil
 }
 
 // dial opens a connection.
-func (p *Pool) dial(ctx context.Context) (*link, error) {
+func (p *Pool) dial(ctx context.Context) (*pooledConn, error) {
 	d := p.Dialer
 	if d == nil {
 		d = &net.Dialer{Timeout: DialTimeout}
 	}
-	c, err := d.DialContext(ctx, "tcp", p.Address)
+	netConn, err := d.DialContext(ctx, "tcp", p.Address)
 	if err != nil {
 		return nil, errors.Annotatef(err, "open connection to %s", p.Address)
 	}
-	l := &link{Conn: c, r: bufio.NewReaderSize(c, bufferSize)}
-	l.w = bufio.NewWriterSize(l, bufferSize)
-	return l, nil
+	conn := &pooledConn{Conn: netConn, r: bufio.NewReaderSize(netConn, bufferSize)}
+	conn.w = bufio.NewWriterSize(conn, bufferSize)
+	return conn, nil
 }
 
-func (p *Pool) idleTime() time.Duration {
-	return cmp.Or(p.IdleTime, IdleTime)
+func (p *Pool) idleTimeout() time.Duration {
+	return cmp.Or(p.IdleTimeout, DefaultIdleTimeout)
 }
 
-// idleMargin is how long before the backend server would close an idle connection it
-// is no longer used.
+// idleMargin is how long before the backend server would close an idle connection the pool stops
+// using it.
 const idleMargin = time.Second
 
-// keptIdle bounds the time that an idle connection is kept by what a
-// Keep-Alive header says.
-func keptIdle(own time.Duration, header string) time.Duration {
+// keepAliveTimeout returns the idle timeout of a connection: own, or less if the Keep-Alive header
+// announces a shorter one.
+func keepAliveTimeout(own time.Duration, header string) time.Duration {
 	for field := range strings.SplitSeq(header, ",") {
 		text, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if !ok {
 			continue
 		}
-		if s, err := strconv.Atoi(text); err == nil && s >= 0 {
-			own = min(own, time.Duration(s)*time.Second-idleMargin)
+		if seconds, err := strconv.Atoi(text); err == nil && seconds >= 0 {
+			own = min(own, time.Duration(seconds)*time.Second-idleMargin)
 		}
 	}
 	return own
 }
 
-func (p *Pool) popIdle() *link {
+func (p *Pool) popIdle() *pooledConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(p.idle)
 	if n == 0 {
 		return nil
 	}
-	l := p.idle[n-1]
+	conn := p.idle[n-1]
 	p.idle = p.idle[:n-1]
-	return l
+	return conn
 }
 
-func (p *Pool) put(l *link) {
-	l.since = clock.Now()
+func (p *Pool) putIdle(conn *pooledConn) {
+	conn.idleSince = clock.Now()
 	p.mu.Lock()
-	if len(p.idle) < MaxIdle {
-		p.idle = append(p.idle, l)
-		l = nil
+	if len(p.idle) < MaxIdleConns {
+		p.idle = append(p.idle, conn)
+		conn = nil
 	}
 	p.mu.Unlock()
-	if l != nil {
-		_ = l.Conn.Close() // one too many
+	if conn != nil {
+		_ = conn.Conn.Close() // the pool is full
 	}
 }
 
 // CloseIdle closes the idle connections.
 func (p *Pool) CloseIdle() {
-	for l := p.popIdle(); l != nil; l = p.popIdle() {
-		_ = l.Conn.Close() // nothing is in flight on it
+	for conn := p.popIdle(); conn != nil; conn = p.popIdle() {
+		_ = conn.Conn.Close() // nothing is in flight on it
 	}
 }
 
-// quiet reports whether an idle connection is open with nothing to read. An
-// backend server that closed it, or that sent an answer nobody waits for, is not.
-func quiet(c net.Conn) bool {
-	sc, ok := c.(syscall.Conn)
+// isIdle reports whether a connection is open with nothing to read. A connection that the backend
+// server has closed, or on which it has sent an unexpected response, is not idle.
+func isIdle(c net.Conn) bool {
+	syscallConn, ok := c.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
 	open := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
-		_, _, rerr := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		open = rerr == syscall.EAGAIN
+		_, _, recvErr := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		open = recvErr == syscall.EAGAIN
 		return true
 	})
 	return err == nil && open
--- a/process/balance/notice_test.go
+++ b/process/balance/notice_test.go
@@ -14,10 +14,10 @@
 	"shalewick/version"
 )
 
-var leaves = request.Notice{Leaving: true}
+var leavingNotice = request.Notice{Leaving: true}
 
-// row changes the row of a backend server.
-func (p *place) row(name string, change func(*version.Backend)) {
+// changeRow changes the row of a backend server.
+func (p *fixture) changeRow(name string, change func(*version.Backend)) {
 	key := version.Key{Kind: version.KindBackend, Name: name}
 	b := *p.config.Resources[key].Backend
 	change(&b)
@@ -25,16 +25,16 @@
 	p.install()
 }
 
-// heed lets a backend server tell a table something in an answer.
-func (p *place) heed(t *testing.T, name string, n request.Notice) {
+// notify lets a backend server send a notice in a response.
+func (p *fixture) notify(t *testing.T, name string, n request.Notice) {
 	t.Helper()
 	k := p.pickOf(t, name)
-	k.Heed(n)
+	k.ApplyNotice(n)
 	k.Done(Answered, nil)
 }
 
-// picks counts by name which backend servers get requests for many objects.
-func (p *place) picks() (byName map[string]int, refused int) {
+// picks counts by name which backend servers get the requests for many objects.
+func (p *fixture) picks() (byName map[string]int, refused int) {
 	byName = make(map[string]int)
 	for object := range uint64(300) {
 		k, _ := p.Pick(p.query(object + 1))
@@ -48,10 +48,10 @@
 	return byName, refused
 }
 
-// placeOf returns a place with backend servers of a service that bounds nothing.
-func placeOf(names ...string) *place {
-	p := newPlace(1)
-	p.LeaveWithin = time.Second
+// fixtureWith returns a fixture with backend servers of the default service.
+func fixtureWith(names ...string) *fixture {
+	p := newFixture(1)
+	p.LeavingGrace = time.Second
 	for _, name := range names {
 		p.backend(name, 0, func(b *version.Backend) { b.Incarnation = 1 })
 	}
@@ -59,37 +59,37 @@
 	return p
 }
 
-// TestAnswerThatItLeavesOutweighsTheRow checks what takes the word of an answer back, and
-// what does not: a newer row that never said that it leaves does not.
-func TestAnswerThatItLeavesOutweighsTheRow(t *testing.T) {
-	gets := func(p *place) bool {
+// TestLeavingNoticeOverridesRow checks what cancels a notice that a backend server is leaving. A
+// newer row that never said so does not.
+func TestLeavingNoticeOverridesRow(t *testing.T) {
+	gets := func(p *fixture) bool {
 		byName, refused := p.picks()
 		assert.Equal(t, refused, 0)
 		return byName["u"] > 0
 	}
-	p := placeOf("u", "v", "w")
-	p.heed(t, "u", leaves)
+	p := fixtureWith("u", "v", "w")
+	p.notify(t, "u", leavingNotice)
 	assert.Assert(t, !gets(p))
-	assert.Equal(t, p.leaving(), 1)
-	p.row("u", func(b *version.Backend) { b.Slots = 9 })
+	assert.Equal(t, p.leavingCount(), 1)
+	p.changeRow("u", func(b *version.Backend) { b.Slots = 9 })
 	p.now += time.Hour
-	assert.Assert(t, !gets(p), "its row says something else that is new")
-	p.row("u", func(b *version.Backend) { b.Leaving = true })
+	assert.Assert(t, !gets(p), "the row changed in another field")
+	p.changeRow("u", func(b *version.Backend) { b.Leaving = true })
 	assert.Assert(t, !gets(p))
-	assert.Equal(t, p.leaving(), 0, "its row tells it")
-	p.row("u", func(b *version.Backend) { b.Leaving = false })
-	assert.Assert(t, gets(p), "its row said so, and took it back")
-	p.heed(t, "u", leaves)
-	p.row("u", func(b *version.Backend) { b.Incarnation = 2 })
-	assert.Assert(t, gets(p), "it started again")
+	assert.Equal(t, p.leavingCount(), 0, "the row says so")
+	p.changeRow("u", func(b *version.Backend) { b.Leaving = false })
+	assert.Assert(t, gets(p), "the row said so and no longer does")
+	p.notify(t, "u", leavingNotice)
+	p.changeRow("u", func(b *version.Backend) { b.Incarnation = 2 })
+	assert.Assert(t, gets(p), "it restarted")
 }
 
-// TestAnswerThatItLeavesOutlivesTheRow checks that a backend server whose row lapses while
-// the store is away, and comes back as it was, is still known to leave, and that it is
-// forgotten after a while.
-func TestAnswerThatItLeavesOutlivesTheRow(t *testing.T) {
-	p := placeOf("u", "v")
-	p.heed(t, "u", leaves)
+// TestLeavingNoticeOutlivesRow checks that a backend server whose row expires while the store is
+// unavailable, and reappears unchanged, is still known to be leaving, and that notices are
+// dropped after a while.
+func TestLeavingNoticeOutlivesRow(t *testing.T) {
+	p := fixtureWith("u", "v")
+	p.notify(t, "u", leavingNotice)
 	key := version.Key{Kind: version.KindBackend, Name: "u"}
 	row := p.config.Resources[key]
 	without := func(d time.Duration) {
@@ -100,78 +100,78 @@
 		p.put(row)
 		p.install()
 	}
-	without(noticeKept)
+	without(noticeRetention)
 	byName, _ := p.picks()
 	assert.Equal(t, byName["u"], 0)
-	without(noticeKept + time.Second)
+	without(noticeRetention + time.Second)
 	byName, _ = p.picks()
 	assert.Assert(t, byName["u"] > 0)
 	for i := range 1000 {
-		p.row("u", func(b *version.Backend) { b.Incarnation = int64(i + 2) })
-		p.heed(t, "u", leaves)
+		p.changeRow("u", func(b *version.Backend) { b.Incarnation = int64(i + 2) })
+		p.notify(t, "u", leavingNotice)
 		p.now += time.Second
 	}
-	assert.Assert(t, len(p.notices) <= int(noticeKept/time.Second)+1, "%d kept", len(p.notices))
+	assert.Assert(t, len(p.notices) <= int(noticeRetention/time.Second)+1, "%d notices are kept", len(p.notices))
 }
 
-// TestBackendThatLeavesIsTheLastResort checks that one gets what no other can take, be they
-// gone or full, and only until LeaveWithin has passed.
-func TestBackendThatLeavesIsTheLastResort(t *testing.T) {
-	p := placeOf("u", "v")
-	p.heed(t, "u", leaves)
+// TestLeavingBackendIsLastResort checks that a leaving backend server gets requests that no other
+// can accept, because the others are gone or full, and only during LeavingGrace.
+func TestLeavingBackendIsLastResort(t *testing.T) {
+	p := fixtureWith("u", "v")
+	p.notify(t, "u", leavingNotice)
 	v := p.stateOf("v")
-	v.report(Report{Running: 6, Waiting: 60, Slots: 6}, p.now)
+	v.recordReport(Report{Running: 6, Waiting: 60, Slots: 6}, p.now)
 	k := p.pick(t, 1)
 	assert.Equal(t, k.Name, "u")
 	assert.Assert(t, k.LastResort && k.Allowed())
 	k.Done(Answered, nil)
-	p.now += p.LeaveWithin
-	assert.Assert(t, !k.Allowed(), "one that was chosen before is withdrawn")
-	v.report(Report{Running: 6, Waiting: 60, Slots: 6}, p.now)
+	p.now += p.LeavingGrace
+	assert.Assert(t, !k.Allowed(), "a request that was chosen before is not sent")
+	v.recordReport(Report{Running: 6, Waiting: 60, Slots: 6}, p.now)
 	k, refusal := p.Pick(p.query(1))
 	assert.Assert(t, k == nil)
 	assert.Equal(t, refusal.Code, request.QueueFull)
-	assert.Equal(t, refusal.Why.Leaving, 1)
-	p.row("v", func(b *version.Backend) { b.Leaving = true })
+	assert.Equal(t, refusal.Explanation.Leaving, 1)
+	p.changeRow("v", func(b *version.Backend) { b.Leaving = true })
 	k, refusal = p.Pick(p.query(1))
 	assert.Assert(t, k == nil)
 	assert.Equal(t, refusal.Code, request.NoBackend)
 }
 
-// TestWordThatABackendLeavesSpreads checks that an instance that was not told itself avoids
-// the backend server, that such a word refuses nobody, and that it ends by itself.
-func TestWordThatABackendLeavesSpreads(t *testing.T) {
+// TestLeavingNoticeSpreadsByGossip checks that an instance that learns by gossip that a backend
+// server is leaving avoids it, that this causes no refusal, and that it expires.
+func TestLeavingNoticeSpreadsByGossip(t *testing.T) {
 	a, b, _ := twoInstances("u", "v")
-	a.heed(t, "u", leaves)
-	told := a.Observations(tellAll)
-	assert.Equal(t, len(told), observationBytes)
-	b.Hear(told)
+	a.notify(t, "u", leavingNotice)
+	gossip := a.Observations(noSizeLimit)
+	assert.Equal(t, len(gossip), observationBytes)
+	b.ApplyObservations(gossip)
 	byName, refused := b.picks()
 	assert.Equal(t, byName["u"], 0)
 	assert.Equal(t, refused, 0)
-	assert.Equal(t, len(b.Observations(tellAll)), observationBytes, "passed on while it is new")
-	b.now += observedFor
-	assert.Equal(t, len(b.Observations(tellAll)), 0)
+	assert.Equal(t, len(b.Observations(noSizeLimit)), observationBytes, "passed on while it is new")
+	b.now += observationTTL
+	assert.Equal(t, len(b.Observations(noSizeLimit)), 0)
 	a.now += time.Hour
-	assert.Equal(t, len(a.Observations(tellAll)), observationBytes, "told for as long as its row does not")
-	a.row("u", func(b *version.Backend) { b.Leaving = true })
-	assert.Equal(t, len(a.Observations(tellAll)), 0)
+	assert.Equal(t, len(a.Observations(noSizeLimit)), observationBytes, "announced as long as the row does not say so")
+	a.changeRow("u", func(b *version.Backend) { b.Leaving = true })
+	assert.Equal(t, len(a.Observations(noSizeLimit)), 0)
 
-	b.row("v", func(b *version.Backend) { b.Leaving = true })
+	b.changeRow("v", func(b *version.Backend) { b.Leaving = true })
 	b.now += time.Second
 	_, refused = b.picks()
-	assert.Equal(t, refused, 0, "the word of others refuses nobody")
-	b.row("v", func(b *version.Backend) { b.Leaving = false })
-	b.now += rumourFor
+	assert.Equal(t, refused, 0, "gossip causes no refusal")
+	b.changeRow("v", func(b *version.Backend) { b.Leaving = false })
+	b.now += leavingGossipTTL
 	byName, _ = b.picks()
-	assert.Assert(t, byName["u"] > 0, "it was not told again")
+	assert.Assert(t, byName["u"] > 0, "the gossip has expired")
 }
 
-// TestNoticesTakeHalfOfTheRoomAtMost checks that however many leave, others are told of
-// failures as well, and of each that leaves within some beats.
-func TestNoticesTakeHalfOfTheRoomAtMost(t *testing.T) {
+// TestNoticesTakeAtMostHalfOfGossip checks that however many backend servers are leaving, failures
+// are announced as well, and each leaving one within some heartbeats.
+func TestNoticesTakeAtMostHalfOfGossip(t *testing.T) {
 	const size, backends = 180, 60
-	p := newPlace(1)
+	p := newFixture(1)
 	for i := range backends {
 		p.backend(fmt.Sprintf("u%d", i), 0, nil)
 	}
@@ -179,63 +179,62 @@
 	for i := range p.states {
 		u := p.state(int32(i))
 		if i%2 == 0 {
-			p.noticesOf(u, p.now).leaving.told(p.now)
+			p.noticesOf(u, p.now).leaving.recordResponse(p.now)
 			continue
 		}
 		if i%5 == 0 {
-			u.observed = observation{at: p.now, load: unreachable}
+			u.observed = observation{at: p.now, load: loadUnreachable}
 		}
 	}
-	heard := make(map[byte]int)
-	about := make(map[[4]byte]bool)
+	entries := make(map[byte]int)
+	leaving := make(map[[4]byte]bool)
 	for range 40 {
-		told := p.Observations(size)
-		assert.Assert(t, len(told) <= size)
-		for len(told) > 0 {
-			heard[told[5]]++
-			if told[5] == leavingTold {
-				about[[4]byte(told[:4])] = true
+		gossip := p.Observations(size)
+		assert.Assert(t, len(gossip) <= size)
+		for len(gossip) > 0 {
+			entries[gossip[5]]++
+			if gossip[5] == loadLeaving {
+				leaving[[4]byte(gossip[:4])] = true
 			}
-			told = told[observationBytes:]
+			gossip = gossip[observationBytes:]
 		}
 	}
-	assert.Equal(t, heard[leavingTold], 40*size/2/observationBytes)
-	assert.Equal(t, heard[unreachable], 40*backends/10)
-	assert.Equal(t, len(about), backends/2)
+	assert.Equal(t, entries[loadLeaving], 40*size/2/observationBytes)
+	assert.Equal(t, entries[loadUnreachable], 40*backends/10)
+	assert.Equal(t, len(leaving), backends/2)
 }
 
-// TestNoRequestAfterItsWord draws what instances, rows and the backend server itself may do in
-// any order, with the clock jumping as a suspension makes it, and checks the promise: from
-// LeaveWithin after a start of a backend server has told this instance that it leaves, it is
-// chosen for nothing, and nothing that was chosen may be sent, until a row that said so, too,
-// takes it back.
-func TestNoRequestAfterItsWord(t *testing.T) {
+// TestNoRequestAfterLeavingGrace draws responses, rows, gossip, restarts and clock jumps (as after a
+// suspension of the machine) in any order. LeavingGrace after an incarnation of a backend server
+// notified this instance that it is leaving, no request may be chosen for it or sent to it, until
+// a row that said so as well cancels the notice.
+func TestNoRequestAfterLeavingGrace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := placeOf("u", "v")
-		told := time.Duration(0) // when u told it; zero: not
-		rowLeaves := false
+		p := fixtureWith("u", "v")
+		notifiedAt := time.Duration(0) // when u sent its notice; zero: not
+		rowLeaving := false
 		incarnation := int64(1)
-		var chosen *Pick // of u, not sent yet
-		broken := func() bool { return told != 0 && p.now-told >= p.LeaveWithin }
+		var chosen *Pick // for u, not sent yet
+		expired := func() bool { return notifiedAt != 0 && p.now-notifiedAt >= p.LeavingGrace }
 		t.Repeat(map[string]func(*rapid.T){
 			"time":    func(t *rapid.T) { p.now += time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond },
 			"suspend": func(*rapid.T) { p.now += time.Minute },
-			"rumour": func(*rapid.T) {
-				p.Hear(p.appendEntry(nil, int32(p.indexOf("u")), 0, leavingTold))
+			"gossip": func(*rapid.T) {
+				p.ApplyObservations(p.appendEntry(nil, int32(p.indexOf("u")), 0, loadLeaving))
 			},
 			"row": func(t *rapid.T) {
-				before := rowLeaves
-				rowLeaves = rapid.Bool().Draw(t, "leaves")
-				if before && !rowLeaves {
-					told = 0
+				before := rowLeaving
+				rowLeaving = rapid.Bool().Draw(t, "leaves")
+				if before && !rowLeaving {
+					notifiedAt = 0
 				}
-				p.row("u", func(b *version.Backend) { b.Leaving = rowLeaves })
+				p.changeRow("u", func(b *version.Backend) { b.Leaving = rowLeaving })
 			},
-			"start": func(*rapid.T) {
+			"restart": func(*rapid.T) {
 				incarnation++
-				told, chosen = 0, nil
-				p.row("u", func(b *version.Backend) { b.Incarnation, b.Leaving = incarnation, false })
-				rowLeaves = false
+				notifiedAt, chosen = 0, nil
+				p.changeRow("u", func(b *version.Backend) { b.Incarnation, b.Leaving = incarnation, false })
+				rowLeaving = false
 			},
 			"answer": func(t *rapid.T) {
 				k, _ := p.Pick(p.query(rapid.Uint64Range(1, 50).Draw(t, "object")))
@@ -246,16 +245,16 @@
 					k.Done(Answered, nil)
 					return
 				}
-				assert.Assert(t, !broken(), "chosen %s after its word", p.now-told)
-				k.Heed(leaves)
-				if told == 0 {
-					told = p.now
+				assert.Assert(t, !expired(), "chosen %s after its notice", p.now-notifiedAt)
+				k.ApplyNotice(leavingNotice)
+				if notifiedAt == 0 {
+					notifiedAt = p.now
 				}
 				k.Done(Answered, nil)
 				chosen = k
 			},
 			"send": func(t *rapid.T) {
-				if chosen != nil && broken() {
+				if chosen != nil && expired() {
 					assert.Assert(t, !chosen.Allowed())
 				}
 			},
@@ -263,12 +262,12 @@
 	})
 }
 
-func (p *place) leaving() int {
+func (p *fixture) leavingCount() int {
 	leaving, _ := p.Notices()
 	return leaving
 }
 
-func (p *place) indexOf(name string) int {
+func (p *fixture) indexOf(name string) int {
 	for i := range p.routing.Backends {
 		if p.routing.Backends[i].Name == name {
 			return i
--- a/process/balance/outcome.go
+++ b/process/balance/outcome.go
@@ -4,153 +4,152 @@
 
 import "time"
 
-// Outcome is what came of a request at a backend server.
+// Outcome is the result of sending a request to a backend server.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Answered: a whole answer of the backend server.
+	// Answered: the backend server returned a complete response.
 	Answered Outcome = iota
 	// Refused: the backend server did not run the request.
 	Refused
-	// Unreachable: no connection could be opened, or the one in use is dead.
+	// Unreachable: no connection could be opened, or the existing one is broken.
 	Unreachable
-	// Lost: it was sent, and no whole answer came, or one that is none.
+	// Lost: the request was sent, and no complete or valid response arrived.
 	Lost
-	// Abandoned: the request ended for a reason that is not the backend server's.
+	// Abandoned: the request ended for a reason unrelated to the backend server.
 	Abandoned
 )
 
-// Hold makes the request count as in flight after Done, until Release: the backend
-// server is still sending the rest of an answer. It takes a connection, and no slot.
+// Hold makes the request count as in flight after Done, until Release, while the backend server is
+// still transferring a response. It occupies a connection, but no slot.
 func (p *Pick) Hold() {
 	p.table.mu.Lock()
 	defer p.table.mu.Unlock()
 	p.held = true
-	p.u.sending++
+	p.backend.sending++
 }
 
-// Release ends what Hold began. It is called once.
+// Release ends the effect of Hold. It must be called once.
 func (p *Pick) Release() {
 	p.table.mu.Lock()
 	defer p.table.mu.Unlock()
-	p.u.inFlight--
-	p.u.sending--
-	*p.u.flights--
+	p.backend.inFlight--
+	p.backend.sending--
+	*p.backend.softwareInFlight--
 }
 
-// Done tells what came of the request. Report is the backend server's word on its
-// load, if it gave one.
+// Done reports the result of the request. report is the backend server's load report, or nil.
 func (p *Pick) Done(o Outcome, report *Report) {
 	t := p.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Now()
-	u := p.u
+	u := p.backend
 	if !p.held {
 		u.inFlight--
-		*u.flights--
+		*u.softwareInFlight--
 	}
-	if p.turnedAway {
-		t.turnedAway(p, now)
+	if p.backoffRequested {
+		t.recordBackoffResponse(p, now)
 		return
 	}
 	if u.notices != nil && (o == Answered || o == Refused) {
-		u.notices.backoff.took(p.started)
+		u.notices.backoff.recordAccepted(p.started)
 	}
-	if o == Refused && report.idle() {
-		t.refusedIdle(p, now)
+	if o == Refused && report.hasFreeSlots() {
+		t.recordIdleRefusal(p, now)
 		return
 	}
 	if report != nil {
-		u.report(*report, now)
-		u.share.note(&t.Policy, *report, now)
+		u.recordReport(*report, now)
+		u.share.record(&t.Policy, *report, now)
 	}
 	switch o {
 	case Answered:
-		p.recovered()
+		p.recordRecovery()
 		u.answeredAt = now
-		u.observe(report, now)
-		u.learn(now-p.started, report.paceOr(u.pace.expected(now, t.Policy.PaceLife)))
-		t.seen.note(p.object, p.life, now)
+		u.observeResponse(report, now)
+		u.updateWork(now-p.started, report.slowdownOr(u.slowdown.expected(now, t.Policy.SlowdownDecay)))
+		t.seen.record(p.object, p.incarnationHash, now)
 	case Refused:
 		u.answeredAt = now
-		p.recovered()
+		p.recordRecovery()
 		if report == nil {
 			report = &Report{Running: 1 << 6}
-			u.report(*report, now)
+			u.recordReport(*report, now)
 		}
-		u.observe(report, now)
+		u.observeResponse(report, now)
 	case Unreachable:
 		t.suspend(p, now)
 	case Lost:
-		u.lost++
-		if u.lost >= t.Policy.LostInARow {
+		u.lostInARow++
+		if u.lostInARow >= t.Policy.LostThreshold {
 			t.suspend(p, now)
 		}
 	case Abandoned:
 	}
 }
 
-// refusedIdle notes a refusal of a backend server whose report says that it has slots free.
-// The report is left out, since it would draw more requests to a server that refuses them.
-// From some refusals in a row on it is the last choice, for times that double; one alone may
-// be the request's fault, or that of a deadline that passed on the way. It lives, so that
-// it is not suspended: what no other can take it still gets.
-func (t *Table) refusedIdle(p *Pick, now time.Duration) {
-	u := p.u
+// recordIdleRefusal records a refusal by a backend server that reports free slots. The report is
+// ignored, since it would attract more requests to a server that refuses them. After
+// RefusedThreshold consecutive refusals the server is the last resort, for periods that double. A
+// single one may be caused by the request, or by a deadline that passed in transit. The server is
+// live, so it is not suspended and still gets requests that no other can accept.
+func (t *Table) recordIdleRefusal(p *Pick, now time.Duration) {
+	u := p.backend
 	u.answeredAt = now
-	refused := u.refused + 1
-	p.recovered()
-	u.refused = refused
-	over := u.refused - t.Policy.RefusedInARow
-	if over < 0 {
+	refusals := u.refusedInARow + 1
+	p.recordRecovery()
+	u.refusedInARow = refusals
+	excess := u.refusedInARow - t.Policy.RefusedThreshold
+	if excess < 0 {
 		return
 	}
-	pause := min(t.Policy.SuspendLeast<<min(over, 5), t.Policy.SuspendMost)
+	pause := min(t.Policy.MinSuspension<<min(excess, 5), t.Policy.MaxSuspension)
 	if t.noticesOf(u, now).backoff.avoid(pause, now) && t.OnAvoid != nil {
-		t.OnAvoid(p.Name, u.refused, pause)
+		t.OnAvoid(p.Name, u.refusedInARow, pause)
 	}
 }
 
-// turnedAway notes an answer that asked for a backoff. Nothing else is learnt of it: a backend
-// server that turns everything away is idle and quick, so its load report and the time that
-// it took would send it more than any other gets (0.47 of all requests in place of 0.27, as
-// six of twenty did it).
-func (t *Table) turnedAway(p *Pick, now time.Duration) {
-	p.u.answeredAt = now
-	p.recovered()
+// recordBackoffResponse records a response that requested a backoff. Neither its load report nor
+// its duration is used: a backend server that rejects everything is idle and quick, and would
+// attract more requests than any other (0.47 of all instead of 0.27 when six of twenty did so).
+func (t *Table) recordBackoffResponse(p *Pick, now time.Duration) {
+	p.backend.answeredAt = now
+	p.recordRecovery()
 }
 
-// suspend notes a failure, unless the backend server has answered since.
+// suspend records a failure, unless the backend server has answered since the request was sent.
 func (t *Table) suspend(p *Pick, now time.Duration) {
-	if p.u.answeredAt >= p.started {
+	if p.backend.answeredAt >= p.started {
 		return
 	}
-	pause := p.u.failed(now)
-	t.tell(p.Name, p.u.failures, pause)
+	pause := p.backend.recordFailure(now)
+	t.reportSuspension(p.Name, p.backend.failures, pause)
 }
 
-// recovered notes that the backend server answers.
-func (p *Pick) recovered() {
-	if p.u.failures > 0 {
-		p.table.tell(p.Name, 0, 0)
+// recordRecovery records that the backend server responds again.
+func (p *Pick) recordRecovery() {
+	if p.backend.failures > 0 {
+		p.table.reportSuspension(p.Name, 0, 0)
 	}
-	p.u.failures = 0
-	p.u.lost = 0
-	p.u.refused = 0
+	p.backend.failures = 0
+	p.backend.lostInARow = 0
+	p.backend.refusedInARow = 0
 }
 
-func (t *Table) tell(backend string, failures int, pause time.Duration) {
+// reportSuspension reports a suspension, or with zero failures a recovery, to OnSuspend.
+func (t *Table) reportSuspension(backend string, failures int, pause time.Duration) {
 	if t.OnSuspend != nil {
 		t.OnSuspend(backend, failures, pause)
 	}
 }
 
-// Gone notes that a backend server is no longer at its address.
-func (p *Pick) Gone() {
+// RecordMisdirected records that the backend server is no longer at its address.
+func (p *Pick) RecordMisdirected() {
 	p.table.mu.Lock()
 	defer p.table.mu.Unlock()
-	p.u.failures = max(p.u.failures, 3)
-	p.u.suspended = p.table.Now() + p.table.Policy.SuspendMost
+	p.backend.failures = max(p.backend.failures, 3)
+	p.backend.suspendedUntil = p.table.Now() + p.table.Policy.MaxSuspension
 }
--- a/process/cluster/evidence.go
+++ b/process/cluster/evidence.go
@@ -8,155 +8,154 @@
 	"time"
 )
 
-// Evidence is what instances of a large region tell each other of those whose life was in
-// doubt, or that leave. Of all others nothing is told, so that it does not grow with the
-// region.
+// In a large region instances exchange status reports only about instances that were suspected or
+// are leaving, so that the traffic does not grow with the region.
 
-// verdict is what an entry says of an instance.
-type verdict byte
+// status is the state of an instance in a status report.
+type status byte
 
 const (
-	verdictAlive   verdict = iota // it was heard
-	verdictLost                   // nobody who asked got an answer
-	verdictLeaving                // it said that it leaves
+	statusLive    status = iota // it sent a datagram or responded
+	statusDown                  // it responded to none of the probers
+	statusLeaving               // it announced that it leaves
 )
 
 const (
-	// toldFor is how long evidence is told on: in that time it reaches all, though datagrams are
-	// lost.
-	toldFor = 3 * time.Second
-	// mostEvidence bounds the entries of a datagram.
-	mostEvidence = 48
-	// forwardTo is the number of instances that new evidence is told at once: an epidemic in
-	// which each tells four reaches a region of 1,000 in some six steps.
-	forwardTo = 4
-	// forwardTicks is in how many ticks it is told so: where a third has just died, all four may
-	// be among them.
+	// reportFor is how long a status report is gossiped: long enough to reach all instances
+	// despite lost datagrams.
+	reportFor = 3 * time.Second
+	// maxStatuses bounds the status entries in a datagram.
+	maxStatuses = 48
+	// forwardFanout is the number of instances that a new report is forwarded to at once: an
+	// epidemic with a fanout of four reaches a region of 1,000 in some six steps.
+	forwardFanout = 4
+	// forwardTicks is the number of ticks in which it is forwarded: when a third of the region has
+	// just gone down, all four recipients of one tick may be among them.
 	forwardTicks = 2
 )
 
-// entry is one entry of a datagram's Evidence: three bytes of the hash of the name, one of the
-// incarnation, the verdict, and the age in newsUnit.
-type entry [6]byte
+// statusEntry is one entry of a datagram's Statuses: three bytes of the hash of the name, one of the
+// incarnation, the status, and the age in ageUnit.
+type statusEntry [6]byte
 
-// evidence is the newest that is known of an instance.
-type evidence struct {
-	verdict verdict
-	at      time.Duration // when it was so
-	learned time.Duration // when it was heard here; zero: there is none
-	told    int           // ticks in which it was told on at once
+// statusReport is the newest status report about an instance.
+type statusReport struct {
+	status         status
+	observedAt     time.Duration // when the status was observed
+	receivedAt     time.Duration // when the report reached this instance; zero: there is none
+	forwardedTicks int           // number of ticks in which it was forwarded at once
 }
 
-// entry returns the evidence as it is told.
-func (k *known) entry(now time.Duration) entry {
-	age := min(max(0, (now-k.evidence.at+newsUnit-1)/newsUnit), 0xff)
-	return entry{byte(k.hash), byte(k.hash >> 8), byte(k.hash >> 16), incarnationByte(k.Incarnation), byte(k.evidence.verdict), byte(age)}
+// statusEntry returns the report in its encoded form.
+func (ps *peerState) statusEntry(now time.Duration) statusEntry {
+	age := min(max(0, (now-ps.report.observedAt+ageUnit-1)/ageUnit), 0xff)
+	return statusEntry{byte(ps.hash), byte(ps.hash >> 8), byte(ps.hash >> 16), incarnationByte(ps.Incarnation), byte(ps.report.status), byte(age)}
 }
 
-// takeUp takes evidence up unless something newer is known, and reports whether it says
-// anything new. The caller holds the lock.
-func (m *Members) takeUp(k *known, v verdict, at, now time.Duration) bool {
-	switch v {
-	case verdictAlive:
-		if at <= k.heard {
+// applyStatus applies a status report unless something newer is known, and reports whether it
+// changed anything. The caller holds the lock.
+func (m *Members) applyStatus(ps *peerState, s status, at, now time.Duration) bool {
+	switch s {
+	case statusLive:
+		if at <= ps.lastSeen {
 			return false
 		}
-		wasLost := k.lost()
-		k.heard = at
-		if !wasLost || k.lost() {
+		wasDown := ps.down()
+		ps.lastSeen = at
+		if !wasDown || ps.down() {
 			return false
 		}
-	case verdictLost:
-		if at <= k.heard || at <= k.lostAt {
-			m.refute(k, now)
+	case statusDown:
+		if at <= ps.lastSeen || at <= ps.downAt {
+			m.refuteDown(ps, now)
 			return false
 		}
-		again := k.lost()
-		k.lostAt = at
-		m.doubtAt = now
-		if again {
+		wasDown := ps.down()
+		ps.downAt = at
+		m.suspectedAt = now
+		if wasDown {
 			return false
 		}
-	case verdictLeaving:
-		if k.Leaving {
+	case statusLeaving:
+		if ps.Leaving {
 			return false
 		}
-		k.Leaving = true
+		ps.Leaving = true
 	default:
-		return false // of a newer release
+		return false // a status added by a newer release
 	}
-	m.note(k, v, at, now)
+	m.queueReport(ps, s, at, now)
 	return true
 }
 
-// refute lets others know that an instance lives that they take for lost. The caller holds the
-// lock.
-func (m *Members) refute(k *known, now time.Duration) {
-	if !k.lost() && now-k.evidence.learned > toldFor {
-		m.note(k, verdictAlive, k.heard, now)
+// refuteDown queues a live report about an instance that others still report as down. The caller
+// holds the lock.
+func (m *Members) refuteDown(ps *peerState, now time.Duration) {
+	if !ps.down() && now-ps.report.receivedAt > reportFor {
+		m.queueReport(ps, statusLive, ps.lastSeen, now)
 	}
 }
 
-// note lets evidence be told. The caller holds the lock.
-func (m *Members) note(k *known, v verdict, at, now time.Duration) {
-	k.evidence = evidence{verdict: v, at: at, learned: now}
-	if m.doubted == nil {
-		m.doubted = make(map[*known]struct{})
+// queueReport queues a report to be gossiped. The caller holds the lock.
+func (m *Members) queueReport(ps *peerState, s status, at, now time.Duration) {
+	ps.report = statusReport{status: s, observedAt: at, receivedAt: now}
+	if m.pendingReports == nil {
+		m.pendingReports = make(map[*peerState]struct{})
 	}
-	m.doubted[k] = struct{}{}
+	m.pendingReports[ps] = struct{}{}
 }
 
-// noteHeard notes that an instance spoke; one that was taken for lost is told of. The caller
-// holds the lock.
-func (m *Members) noteHeard(k *known, now time.Duration) {
-	if k.lost() && m.probes() {
-		m.takeUp(k, verdictAlive, now, now)
+// markSeen records that an instance has just been found live, and queues a report if it was down.
+// The caller holds the lock.
+func (m *Members) markSeen(ps *peerState, now time.Duration) {
+	if ps.down() && m.usesProbing() {
+		m.applyStatus(ps, statusLive, now, now)
 	}
-	k.heard = now
+	ps.lastSeen = now
 }
 
-// lost reports whether others found that an instance does not answer, and nothing was heard of
-// it since.
-func (k *known) lost() bool { return k.lostAt > k.heard }
+// down reports whether the instance was found to be down and has not been seen since.
+func (ps *peerState) down() bool { return ps.downAt > ps.lastSeen }
 
-// tellEvidence returns what to tell now, any of it if there is more than a datagram holds; fresh
-// lets only what was not told on yet be told. The caller holds the lock.
-func (m *Members) tellEvidence(now time.Duration, fresh bool) []byte {
-	var tell []*known
-	for k := range m.doubted {
+// statusEntries returns the encoded reports to send, a random sample if a datagram cannot hold all.
+// With onlyNew it returns only reports that still have to be forwarded at once. The caller holds the
+// lock.
+func (m *Members) statusEntries(now time.Duration, onlyNew bool) []byte {
+	var reported []*peerState
+	for ps := range m.pendingReports {
 		switch {
-		case now-k.evidence.learned > toldFor:
-			delete(m.doubted, k)
-		case !fresh || k.evidence.told < forwardTicks:
-			tell = append(tell, k)
+		case now-ps.report.receivedAt > reportFor:
+			delete(m.pendingReports, ps)
+		case !onlyNew || ps.report.forwardedTicks < forwardTicks:
+			reported = append(reported, ps)
 		}
 	}
-	slices.SortFunc(tell, func(a, b *known) int { return cmp.Compare(a.Name, b.Name) }) // so that a model repeats
-	tell = some(m.shuffle, tell, mostEvidence)
-	out := make([]byte, 0, len(entry{})*len(tell))
-	for _, k := range tell {
-		if fresh {
-			k.evidence.told++
+	slices.SortFunc(reported, func(a, b *peerState) int { return cmp.Compare(a.Name, b.Name) }) // keeps simulations reproducible
+	reported = sample(m.shuffle, reported, maxStatuses)
+	out := make([]byte, 0, len(statusEntry{})*len(reported))
+	for _, ps := range reported {
+		if onlyNew {
+			ps.report.forwardedTicks++
 		}
-		e := k.entry(now)
+		e := ps.statusEntry(now)
 		out = append(out, e[:]...)
 	}
 	return out
 }
 
-// hearEvidence takes up what another instance told. The caller holds the lock.
-func (m *Members) hearEvidence(text []byte, now time.Duration) {
-	if len(text) == 0 {
+// mergeStatuses applies the status entries of another instance. The caller holds the lock.
+func (m *Members) mergeStatuses(data []byte, now time.Duration) {
+	if len(data) == 0 {
 		return
 	}
-	entries := make(map[[4]byte]entry, len(text)/len(entry{}))
-	for e := range slices.Chunk(text, len(entry{})) {
-		entries[[4]byte(e[:4])] = entry(e)
+	entries := make(map[[4]byte]statusEntry, len(data)/len(statusEntry{}))
+	for e := range slices.Chunk(data, len(statusEntry{})) {
+		entries[[4]byte(e[:4])] = statusEntry(e)
 	}
-	for _, k := range m.order {
-		id := [4]byte{byte(k.hash), byte(k.hash >> 8), byte(k.hash >> 16), incarnationByte(k.Incarnation)}
+	for _, ps := range m.sorted {
+		id := [4]byte{byte(ps.hash), byte(ps.hash >> 8), byte(ps.hash >> 16), incarnationByte(ps.Incarnation)}
 		if e, ok := entries[id]; ok {
-			m.takeUp(k, verdict(e[4]), now-time.Duration(e[5])*newsUnit, now)
+			m.applyStatus(ps, status(e[4]), now-time.Duration(e[5])*ageUnit, now)
 		}
 	}
 }
--- a/process/edge/configuration.go
+++ b/process/edge/configuration.go
@@ -14,18 +14,17 @@
 )
 
 const (
-	// gatherPerRow is how long changes of backend servers gather before they are taken
-	// up, for each backend server that there is: taking up costs some 2 us of a core for
-	// each, so that changes that come all the time take at most 2 in 100 of one.
-	gatherPerRow = 100 * time.Microsecond
-	// gatherMost bounds that: backend servers that leave must get nothing more in time.
-	gatherMost = 300 * time.Millisecond
+	// coalescePerRow is how long changes of backend servers are collected before a compilation, for
+	// each backend server in force: compiling costs some 2 us of CPU time for each, so that
+	// permanent changes take at most 2 % of one core.
+	coalescePerRow = 100 * time.Microsecond
+	// maxCoalesce bounds that delay: backend servers that leave must stop getting requests in time.
+	maxCoalesce = 300 * time.Millisecond
 )
 
-// takeUp compiles what the tables say whenever they change: at once when the
-// operator changed something or a roll-out took a step, and after a moment when backend
-// servers did.
-func (e *Edge) takeUp(ctx context.Context) {
+// watchTables compiles the tables whenever they change: at once after a change by the operator or a
+// step of a rollout, and after a short delay when only backend servers have changed.
+func (e *Edge) watchTables(ctx context.Context) {
 	operator := e.follower.Tables[e.deployment.OperatorTable]
 	backends := e.follower.Tables[e.deployment.BackendTable]
 	for ctx.Err() == nil {
@@ -35,19 +34,19 @@
 		case <-operatorChanged:
 		case <-recordsChanged:
 		case <-backendsChanged:
-			e.gather(ctx, operatorChanged)
+			e.coalesceChanges(ctx, operatorChanged)
 		case <-ctx.Done():
 		}
 	}
 }
 
-// gather waits for further changes of backend servers, until the operator's tables change.
-func (e *Edge) gather(ctx context.Context, operatorChanged <-chan struct{}) {
+// coalesceChanges waits for further changes of backend servers, until the operator's table changes.
+func (e *Edge) coalesceChanges(ctx context.Context, operatorChanged <-chan struct{}) {
 	routing := e.table.Routing()
 	if routing == nil {
 		return
 	}
-	t := time.NewTimer(min(gatherMost, time.Duration(len(routing.Backends))*gatherPerRow))
+	t := time.NewTimer(min(maxCoalesce, time.Duration(len(routing.Backends))*coalescePerRow))
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -56,89 +55,89 @@
 	}
 }
 
-// recompile puts in force what the tables say, once both are known.
+// recompile puts the content of the tables in force, once the tables are known.
 func (e *Edge) recompile() {
 	operator := e.follower.Tables[e.deployment.OperatorTable]
 	backends := e.follower.Tables[e.deployment.BackendTable]
 	_, operatorKnown := operator.Version()
 	_, backendsKnown := backends.Version()
-	spare := e.spare.is.Load()
+	spare := e.spare.active.Load()
 	if !operatorKnown || !backendsKnown && !spare {
 		return
 	}
-	e.compiling.Lock()
-	defer e.compiling.Unlock()
+	e.compileMu.Lock()
+	defer e.compileMu.Unlock()
 	if spare {
-		backends.Forget()
-		e.lapses = lapses{keep: e.lapses.keep}
+		backends.Reset()
+		e.expiredRows = expiredRows{keepFor: e.expiredRows.keepFor}
 		e.compile(operator.Rows(), nil, spare)
 		return
 	}
 	now := e.now()
 	present := backends.Rows()
-	rows, again := e.lapses.rows(present, backends.Returned(), now)
+	rows, again := e.expiredRows.merge(present, backends.StoreRecoveredAt(), now)
 	if len(rows) > len(present) {
 		e.log.Info().Int("kept", len(rows)-len(present)).Dur("until", again-now).Msg("backends-lapsed")
 	}
 	e.compile(operator.Rows(), rows, spare)
-	if e.lapseEnd != nil {
-		e.lapseEnd.Stop()
+	if e.expiredRowsTimer != nil {
+		e.expiredRowsTimer.Stop()
 	}
 	if again != 0 {
-		e.lapseEnd = time.AfterFunc(again-now, e.recompile)
+		e.expiredRowsTimer = time.AfterFunc(again-now, e.recompile)
 	}
 }
 
-// compile puts what the rows say in force, on a spare instance with other instances in place of
-// backend servers. What can't be read leaves the last good version in force.
+// compile puts the configuration in the rows in force; on a spare instance other instances take the
+// place of the backend servers. If the rows are invalid, the last valid version stays in force.
 func (e *Edge) compile(operator, backends []state.Row, spare bool) {
 	c, problems := e.documents.Configuration(operator, backends)
 	e.logSkipped(problems)
 	if c == nil {
 		return
 	}
-	if e.follower.Tables[e.deployment.BackendTable].Holding() {
-		laterStarts(c.Announced, e.announced)
+	if e.follower.Tables[e.deployment.BackendTable].Retaining() {
+		keepLaterStarts(c.Announced, e.lastAnnounced)
 	}
-	e.announced = c.Announced
-	e.spare.keyed.Store(len(c.List(version.KindWorkspace)) > 0)
+	e.lastAnnounced = c.Announced
+	e.spare.usesKeys.Store(len(c.List(version.KindWorkspace)) > 0)
 	old := e.table.Routing()
 	orders, records := e.ordersAndRecords(c)
-	if old == nil && (e.awaitsRecords(orders, records) || e.awaitsQuarantine()) {
+	if old == nil && (e.mustAwaitRecords(orders, records) || e.mustAwaitQuarantine()) {
 		return
 	}
-	e.letThrough(c)
+	e.applyReleased(c)
 	if spare {
-		e.spare.addOnward(c) // these serve by whatever software is in force
+		e.spare.addForwardTargets(c) // the instances that requests are forwarded to choose the software version
 	} else {
 		e.admitSoftware(c, orders, records)
 	}
 	r := version.CompileRouting(c, old)
 	services := rolloutServices(r, c.Software, orders, records)
-	// The table first: in between, a request may be for the target of a roll-out that has
-	// ended by the table, and gets the version that is in force now. The other way round
-	// it would go to the version that the table still has.
+	// The table is installed first: a request that arrives in between may be for the target of a
+	// rollout that has ended by the table, and gets the version that is now in force. In the
+	// reverse order it would go to the version that the table still has.
 	e.table.Install(r)
 	e.rollouts.Install(services)
 	e.quota.Install(r.Workspaces)
-	e.noteRollouts(services, orders, records)
+	e.updateRolloutState(services, orders, records)
 	e.logBackends(old, r)
 	if old == nil || old.Seq != r.Seq {
 		e.log.Info().Int64("version", r.Seq).Int("backends", len(r.Backends)).Msg("version-in-force")
 	}
 }
 
-// otherReason is the reason of a problem that is not of one row.
-const otherReason = "other"
+// reasonOther is the reason of a problem that does not concern a single row.
+const reasonOther = "other"
 
-// logSkipped writes which rows can't be used that could before, or are new, a few at a time,
-// and counts all by reason. The caller holds compiling.
+// logSkipped logs the rows that have become unusable since the last compilation, at most maxNames
+// of them, and counts all unusable rows by reason. The caller holds compileMu.
 func (e *Edge) logSkipped(problems []error) {
 	skipped := make(map[string]string, len(problems))
 	counts := make(map[string]int64)
-	turned := 0
+	logged := 0
 	for _, p := range problems {
-		key, reason := "", otherReason
+		key, reason := "", reasonOther
 		var row *state.RowError
 		if errors.As(p, &row) {
 			key, reason = row.Key, row.Reason
@@ -150,17 +149,17 @@
 		if e.skipped[key] == reason {
 			continue
 		}
-		if turned++; turned <= maxNames {
+		if logged++; logged <= maxNames {
 			e.log.Warn().Err(p).Str("row", key).Str("reason", reason).Int("skipped", len(problems)).Msg("row-skipped")
 		}
 	}
-	if turned > maxNames {
-		e.log.Warn().Int("more", turned-maxNames).Int("skipped", len(problems)).Msg("rows-skipped")
+	if logged > maxNames {
+		e.log.Warn().Int("more", logged-maxNames).Int("skipped", len(problems)).Msg("rows-skipped")
 	}
 	e.skipped = skipped
 	for reason := range e.skippedCounts {
 		if counts[reason] == 0 {
-			counts[reason] = 0 // so that its gauge falls
+			counts[reason] = 0 // resets its gauge
 		}
 	}
 	for reason, n := range counts {
@@ -169,16 +168,16 @@
 	e.skippedCounts = counts
 }
 
-// Reloaded is told when the adapter has read its settings again, or why it
-// could not.
-func (e *Edge) Reloaded(err error) {
+// SettingsReloaded is called after the adapter has read its settings again; err is set if it
+// failed to.
+func (e *Edge) SettingsReloaded(err error) {
 	if err != nil {
 		e.log.Warn().Err(err).Msg("settings-kept")
 		return
 	}
 	e.log.Info().Msg("settings-reloaded")
-	e.compiling.Lock()
-	e.documents.Reread()
-	e.compiling.Unlock()
+	e.compileMu.Lock()
+	e.documents.RetryRejected()
+	e.compileMu.Unlock()
 	e.recompile()
 }
--- /dev/null
+++ b/process/edge/discovery.go
@@ -0,0 +1,195 @@
+// SPDX-License-Identifier: MIT
+
+package edge
+
+import (
+	"context"
+	"encoding/json"
+	"math/rand/v2"
+	"time"
+
+	"github.com/juju/errors"
+
+	"shalewick/clock"
+	"shalewick/process/cluster"
+	"shalewick/process/state"
+)
+
+// Times of instance rows and of the discovery of other instances.
+const (
+	storeTimeout   = 2 * time.Second // of one call of the store
+	rereadInterval = time.Minute
+	minRetryPause  = 100 * time.Millisecond // after a failure; doubles
+	firstSeedPause = 300 * time.Millisecond // before the seeds are queried; doubles
+	maxRetryPause  = 2 * time.Second
+)
+
+// smallFleet is the number of instances up to which each one reads the rows of all others and
+// announces itself to all of them. In a larger fleet the cost of a start of all instances would
+// grow with the square of their number: there an instance reads some rows, announces itself to some
+// instances, and follows the table of instances along the distribution tree.
+const smallFleet = cluster.MaxSmallFleet
+
+// register writes this instance's row and reads those of the others, and reads them again at
+// intervals. At the first start of the whole system it writes first, so that of two instances that
+// start at the same time at least one finds the other. Otherwise the rows of the others are
+// present, and reading them first provides the tables sooner.
+func (e *Edge) register(ctx context.Context) {
+	written, read := false, false
+	pause := minRetryPause
+	for ctx.Err() == nil {
+		if e.settings.First && !written {
+			written = e.storeCall(ctx, e.writeInstanceRow) == nil
+		}
+		if !read {
+			read = e.storeCall(ctx, e.readInstanceRows) == nil
+		}
+		if !written {
+			written = e.storeCall(ctx, e.writeInstanceRow) == nil
+		}
+		if written && read {
+			read = e.followsInstances.Load() // the table is followed, so the rows need not be read again
+			pause = minRetryPause
+			written = !e.awaitReread(ctx)
+			continue
+		}
+		clock.Sleep(ctx, pause/2+rand.N(pause))
+		pause = min(2*pause, maxRetryPause)
+	}
+}
+
+// awaitReread waits until the rows have to be read again, and reports whether this instance's row
+// has to be written again before.
+func (e *Edge) awaitReread(ctx context.Context) bool {
+	select {
+	case <-e.rowLost:
+		clock.Sleep(ctx, rand.N(maxRetryPause)) // spreads the writes, since all instances write again
+		return true
+	case <-time.After(rereadInterval):
+	case <-ctx.Done():
+	}
+	return false
+}
+
+func (e *Edge) writeInstanceRow(ctx context.Context) error {
+	value, err := json.Marshal(e.members.Self())
+	if err != nil {
+		return errors.Trace(err)
+	}
+	return e.deployment.Store.Put(ctx, e.deployment.InstanceTable, e.settings.Instance, value)
+}
+
+func (e *Edge) readInstanceRows(ctx context.Context) error {
+	rows, more, err := e.deployment.Store.ReadPage(ctx, e.deployment.InstanceTable, "", smallFleet)
+	if err != nil {
+		return err
+	}
+	if more {
+		e.followsInstances.Store(true)
+		adjacent, _, err := e.deployment.Store.ReadPage(ctx, e.deployment.InstanceTable, e.settings.Instance, smallFleet)
+		if err != nil {
+			return err
+		}
+		rows = append(rows, adjacent...) // adjacent names mostly belong to the same hall
+	}
+	first := !e.members.Listed()
+	e.mergeInstanceRows(rows)
+	e.members.MarkListed()
+	if first {
+		e.heartbeats.Announce()
+	}
+	return nil
+}
+
+// mergeInstanceRows adds the instances in the rows to the known ones.
+func (e *Edge) mergeInstanceRows(rows []state.Row) {
+	list := make([]cluster.Member, 0, len(rows))
+	for _, r := range rows {
+		var m cluster.Member
+		if err := json.Unmarshal(r.Value, &m); err != nil {
+			e.log.Warn().Err(err).Str("row", r.Key).Msg("instance-row-skipped")
+			continue
+		}
+		list = append(list, m)
+	}
+	e.members.Merge(false, list...)
+}
+
+// followInstances merges changes of the table of instances, if it is followed, until the context
+// ends. A deleted row is ignored: an instance that stops announces that itself, and a late delete
+// may remove the row of its next start.
+func (e *Edge) followInstances(ctx context.Context) {
+	table := e.follower.Tables[e.deployment.InstanceTable]
+	var before []state.Row
+	for ctx.Err() == nil {
+		changed := table.Changed()
+		rows := table.Rows()
+		e.mergeInstanceRows(changedRows(before, rows))
+		before = rows
+		select {
+		case <-changed:
+		case <-ctx.Done():
+		}
+	}
+}
+
+// changedRows returns the rows in now that before lacks or has in another version. Both lists are
+// ordered by key.
+func changedRows(before, now []state.Row) (out []state.Row) {
+	for _, r := range now {
+		for len(before) > 0 && before[0].Key < r.Key {
+			before = before[1:]
+		}
+		if len(before) == 0 || before[0].Key != r.Key || before[0].Version != r.Version {
+			out = append(out, r)
+		}
+	}
+	return out
+}
+
+// storeCall makes a call of the store that is limited to storeTimeout.
+func (e *Edge) storeCall(ctx context.Context, f func(context.Context) error) error {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
+	defer cancel()
+	err := f(ctx)
+	if err != nil {
+		e.log.Debug().Err(err).Msg("store-call-failed")
+	}
+	return err
+}
+
+// querySeeds discovers other instances through the seeds while the store provides none, until there
+// is a configuration.
+func (e *Edge) querySeeds(ctx context.Context) {
+	pause := firstSeedPause
+	for e.table.Routing() == nil && clock.Sleep(ctx, pause) {
+		pause = min(2*pause, maxRetryPause)
+		if e.members.Listed() && len(e.members.Sources()) > 0 {
+			continue
+		}
+		for _, seed := range e.settings.Seeds {
+			if seed != e.settings.Control {
+				e.querySeed(ctx, seed)
+			}
+		}
+	}
+}
+
+// queryPeer fetches the known instances of another instance.
+func (e *Edge) queryPeer(address string) {
+	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
+	defer cancel()
+	err := e.peers.FetchMembers(ctx, address)
+	e.log.Info().Str("from", address).AnErr("error", err).Int("live", len(e.members.Live())).Msg("instances-asked")
+}
+
+// querySeed fetches the known instances of a seed, and announces this instance to them.
+func (e *Edge) querySeed(ctx context.Context, seed string) {
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
+	defer cancel()
+	if err := e.peers.FetchMembers(ctx, seed); err != nil {
+		e.log.Debug().Err(err).Str("seed", seed).Msg("seed-failed")
+		return
+	}
+	e.heartbeats.Announce()
+}
--- a/process/edge/drain_test.go
+++ b/process/edge/drain_test.go
@@ -13,31 +13,30 @@
 	"gotest.tools/v3/assert"
 )
 
-// stalled is a listener whose process does not get to accepting for a while.
-type stalled struct {
+// blockedListener accepts no connections until unblock is closed.
+type blockedListener struct {
 	*drainListener
-	start <-chan struct{}
+	unblock <-chan struct{}
 }
 
-func (s stalled) Accept() (net.Conn, error) {
-	<-s.start
+func (s blockedListener) Accept() (net.Conn, error) {
+	<-s.unblock
 	return s.drainListener.Accept()
 }
 
-// TestConnectionsThatWaitAreServedBeforeTheListenerCloses lets clients connect and
-// send while the process does not accept, and then stops it as planned: each of
-// them must get its answer.
-func TestConnectionsThatWaitAreServedBeforeTheListenerCloses(t *testing.T) {
+// TestDrainServesWaitingConnections checks that clients that have connected and sent a request
+// while the process was not accepting still get a response after a planned stop.
+func TestDrainServesWaitingConnections(t *testing.T) {
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	l := &drainListener{TCPListener: inner.(*net.TCPListener)}
-	proceed := make(chan struct{})
-	var open freshConnections
+	unblock := make(chan struct{})
+	var conns newConnections
 	s := &http.Server{
 		Handler:   http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "done") }),
-		ConnState: open.note,
+		ConnState: conns.onStateChange,
 	}
-	go func() { _ = s.Serve(stalled{l, proceed}) }()
+	go func() { _ = s.Serve(blockedListener{l, unblock}) }()
 	var clients sync.WaitGroup
 	for range 8 {
 		c, err := net.Dial("tcp4", l.Addr().String())
@@ -46,12 +45,12 @@
 		assert.NilError(t, err)
 		clients.Go(func() {
 			defer c.Close()
-			answer, err := io.ReadAll(c)
-			assert.Check(t, err == nil && len(answer) > 0, "%q %v", answer, err)
+			response, err := io.ReadAll(c)
+			assert.Check(t, err == nil && len(response) > 0, "%q %v", response, err)
 		})
 	}
 	l.Drain()
-	close(proceed)
+	close(unblock)
 	clients.Wait()
 	for range 20 {
 		var c net.Conn
@@ -59,27 +58,27 @@
 			break
 		}
 		assert.NilError(t, c.Close())
-		time.Sleep(3 * acceptQuiet)
+		time.Sleep(3 * acceptIdleTime)
 	}
 	assert.ErrorContains(t, err, "refused")
 	for range 100 {
-		if open.count() == 0 {
+		if conns.count() == 0 {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	assert.Equal(t, open.count(), 0)
+	assert.Equal(t, conns.count(), 0)
 	assert.NilError(t, s.Close())
 }
 
-// TestDrainEndsWhileConnectionsKeepComing checks that a listener closes although
-// clients go on connecting.
-func TestDrainEndsWhileConnectionsKeepComing(t *testing.T) {
+// TestDrainEndsUnderContinuousConnections checks that a listener closes although clients keep
+// connecting.
+func TestDrainEndsUnderContinuousConnections(t *testing.T) {
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	l := &drainListener{TCPListener: inner.(*net.TCPListener)}
 	l.Drain()
-	begun := time.Now()
+	start := time.Now()
 	go func() {
 		for {
 			c, err := net.Dial("tcp4", l.Addr().String())
@@ -97,21 +96,21 @@
 		}
 		_ = c.Close()
 	}
-	assert.Assert(t, time.Since(begun) < 2*acceptMost)
+	assert.Assert(t, time.Since(start) < 2*maxDrainTime)
 }
 
-// TestSilentConnectionHoldsNoStopUp checks that a connection without a request
-// counts for a bounded time only.
-func TestSilentConnectionHoldsNoStopUp(t *testing.T) {
-	var open freshConnections
+// TestConnectionWithoutRequestDelaysStopBriefly checks that a connection without a request delays a
+// planned stop for a limited time only.
+func TestConnectionWithoutRequestDelaysStopBriefly(t *testing.T) {
+	var conns newConnections
 	a, b := net.Pipe()
 	defer a.Close()
 	defer b.Close()
-	open.note(a, http.StateNew)
-	assert.Equal(t, open.count(), 1)
-	open.opened[a] = time.Now().Add(-firstRequestTime)
-	assert.Equal(t, open.count(), 0)
-	open.note(b, http.StateNew)
-	open.note(b, http.StateActive)
-	assert.Equal(t, open.count(), 0)
+	conns.onStateChange(a, http.StateNew)
+	assert.Equal(t, conns.count(), 1)
+	conns.openedAt[a] = time.Now().Add(-firstRequestTimeout)
+	assert.Equal(t, conns.count(), 0)
+	conns.onStateChange(b, http.StateNew)
+	conns.onStateChange(b, http.StateActive)
+	assert.Equal(t, conns.count(), 0)
 }
--- a/process/edge/rolloutview.go
+++ b/process/edge/rolloutview.go
@@ -9,20 +9,20 @@
 	"shalewick/version"
 )
 
-// rolloutStatus returns what operators are shown of the roll-out of a service.
+// rolloutStatus returns the status of a service's rollout for operators.
 func (e *Edge) rolloutStatus(service string) (rolloutview.Status, bool) {
-	e.compiling.Lock()
-	defer e.compiling.Unlock()
-	order, known := e.rolling.orders[service], e.rolling.records[service]
+	e.compileMu.Lock()
+	defer e.compileMu.Unlock()
+	order, known := e.rolloutState.orders[service], e.rolloutState.records[service]
 	if order == nil && known.record == nil {
 		return rolloutview.Status{}, false
 	}
-	s := rolloutview.Status{Service: service, InForce: e.rolling.software[service].InForce, Record: known.record}
+	s := rolloutview.Status{Service: service, InForce: e.rolloutState.admitted[service].InForce, Record: known.record}
 	if order != nil {
 		s.Order, s.Target, s.Within = order.ID, order.Target, version.Duration(order.Within)
 	}
-	if now, clocked := e.deployment.Store.Clock(); clocked && known.running() {
-		s.Left = version.Duration(max(0, time.Duration(known.record.Deadline)-now))
+	if now, clockKnown := e.deployment.Store.Clock(); clockKnown && known.running() {
+		s.Remaining = version.Duration(max(0, time.Duration(known.record.Deadline)-now))
 	}
 	return s, true
 }
--- a/process/held/budget_test.go
+++ b/process/held/budget_test.go
@@ -12,41 +12,41 @@
 	"pgregory.net/rapid"
 )
 
-// fixture is a budget with a clock that the test moves.
+// fixture is a budget with a clock that the test controls.
 type fixture struct {
 	*Budget
-	now time.Duration
-	cut []string // owners of the leases that were cut off, in order
+	now          time.Duration
+	cutOffOwners []string // owners of the leases that were cut off, in order
 }
 
-// newFixture returns a budget with room for so many requests.
+// newFixture returns a budget for the given number of requests.
 func newFixture(requests int64) *fixture {
 	f := &fixture{now: time.Hour}
-	f.Budget = &Budget{Limit: requests * Overhead, Now: func() time.Duration { return f.now }}
+	f.Budget = &Budget{Limit: requests * RequestOverhead, Now: func() time.Duration { return f.now }}
 	return f
 }
 
 func (f *fixture) admit(t *testing.T, owner string) *Lease {
 	t.Helper()
 	l, ok := f.tryAdmit(owner)
-	assert.Assert(t, ok, "no room for %s", owner)
+	assert.Assert(t, ok, "%s was not admitted", owner)
 	return l
 }
 
 func (f *fixture) tryAdmit(owner string) (*Lease, bool) {
-	return f.Admit(owner, func(Kind) { f.cut = append(f.cut, owner) })
+	return f.Admit(owner, func(Kind) { f.cutOffOwners = append(f.cutOffOwners, owner) })
 }
 
 func (f *fixture) total() (n int64) {
-	for k := range kinds {
+	for k := range numKinds {
 		n += f.Held(k)
 	}
 	return n
 }
 
-// TestOneOwnerLeavesRoomForOthers checks that whoever asks for all that there is gets a part, so
-// that a new owner finds room, however many others hold what they may.
-func TestOneOwnerLeavesRoomForOthers(t *testing.T) {
+// TestGreedyOwnersLeaveCapacityForNewOnes checks that an owner that takes all it can get receives
+// only a part, so that a new owner is admitted however many others hold their maximum.
+func TestGreedyOwnersLeaveCapacityForNewOnes(t *testing.T) {
 	for _, owners := range []int{1, 5, 20} {
 		f := newFixture(1000)
 		for i := range owners {
@@ -56,19 +56,20 @@
 				}
 			}
 		}
-		// Each takes its part of what the ones before have left.
-		least := float64(f.Limit) * math.Pow(1-1.0/(ownerShare+1), float64(owners))
+		// Each owner takes its share of what the ones before it left.
+		minFree := float64(f.Limit) * math.Pow(1-1.0/(ownerDivisor+1), float64(owners))
 		free := f.free()
-		assert.Assert(t, float64(free) >= least-float64(owners*Overhead), "%d owners leave %d of %d", owners, free, f.Limit)
+		assert.Assert(t, float64(free) >= minFree-float64(owners*RequestOverhead), "%d owners leave %d of %d", owners, free, f.Limit)
 		f.admit(t, "new")
-		assert.Equal(t, len(f.cut), 0)
+		assert.Equal(t, len(f.cutOffOwners), 0)
 	}
 }
 
-// TestAnswersLeaveRoomForRequests tells of quick callers that were refused with MEMORY_FULL in the
-// first second of 2,000 slow ones: the answers of other quick callers, of 1 MB each, had taken all
-// that was free, while nobody had stalled for long enough to be cut off.
-func TestAnswersLeaveRoomForRequests(t *testing.T) {
+// TestResponsesLeaveCapacityForRequests guards against refusals with MEMORY_FULL while no owner has
+// stalled for long enough to be cut off. In the first second of 2,000 slow callers, fast callers
+// were refused because the responses of other fast callers, of 1 MB each, had taken all free
+// memory.
+func TestResponsesLeaveCapacityForRequests(t *testing.T) {
 	const requests = 400
 	f := newFixture(requests)
 	var readers []*Lease
@@ -76,91 +77,91 @@
 		readers = append(readers, f.admit(t, fmt.Sprint("reader", i)))
 	}
 	for _, l := range readers {
-		for l.Grow(Answers, Overhead) {
+		for l.Grow(Responses, RequestOverhead) {
 			continue
 		}
 	}
-	for i := range requests/admitShare - 1 {
+	for i := range requests/reserveDivisor - 1 {
 		f.admit(t, fmt.Sprint("late", i))
 	}
 }
 
-// TestStalledAreCutOffForOthers checks that a request finds room though others hold it all, once
-// these have stalled, and that those who move are left alone.
-func TestStalledAreCutOffForOthers(t *testing.T) {
+// TestStalledLeasesAreCutOffForNewRequests checks that new requests are admitted although others
+// hold all memory, once these have stalled, and that leases that make progress are not cut off.
+func TestStalledLeasesAreCutOffForNewRequests(t *testing.T) {
 	f := newFixture(40)
-	var slow, quick []*Lease
+	var slow, fast []*Lease
 	for i := range 40 {
 		l := f.admit(t, fmt.Sprint("owner", i))
-		l.Wait(Answers)
+		l.Wait(Responses)
 		if i%2 == 0 {
 			slow = append(slow, l)
 		} else {
-			quick = append(quick, l)
+			fast = append(fast, l)
 		}
 	}
 	_, ok := f.tryAdmit("new")
-	assert.Assert(t, !ok, "nobody has stalled yet")
-	f.now += stalledLeast
-	for _, l := range quick {
-		l.Moved()
+	assert.Assert(t, !ok, "no lease has stalled yet")
+	f.now += minStall
+	for _, l := range fast {
+		l.StopWaiting()
 	}
 	for i := range 20 {
 		f.admit(t, fmt.Sprint("new", i))
 	}
-	assert.Equal(t, len(f.cut), 20)
-	for _, owner := range f.cut {
+	assert.Equal(t, len(f.cutOffOwners), 20)
+	for _, owner := range f.cutOffOwners {
 		var i int
 		_, err := fmt.Sscanf(owner, "owner%d", &i)
 		assert.NilError(t, err)
-		assert.Equal(t, i%2, 0, "%s moved", owner)
+		assert.Equal(t, i%2, 0, "%s made progress", owner)
 	}
-	for _, l := range append(slow, quick...) {
+	for _, l := range append(slow, fast...) {
 		l.End()
 	}
-	assert.Equal(t, f.total(), int64(20*Overhead))
+	assert.Equal(t, f.total(), int64(20*RequestOverhead))
 }
 
-// TestWhoHoldsMostIsCutOffFirst checks the order.
-func TestWhoHoldsMostIsCutOffFirst(t *testing.T) {
+// TestLargestHolderIsCutOffFirst checks the order of cut-offs.
+func TestLargestHolderIsCutOffFirst(t *testing.T) {
 	f := newFixture(100)
 	small, large := f.admit(t, "small"), f.admit(t, "large")
-	assert.Assert(t, large.Grow(Answers, 9*Overhead))
+	assert.Assert(t, large.Grow(Responses, 9*RequestOverhead))
 	for i := range 89 {
 		f.admit(t, fmt.Sprint("other", i))
 	}
-	small.Wait(Answers)
-	large.Wait(Answers)
-	f.now += stalledLeast
+	small.Wait(Responses)
+	large.Wait(Responses)
+	f.now += minStall
 	_, ok := f.tryAdmit("new")
 	assert.Assert(t, ok)
-	assert.DeepEqual(t, f.cut, []string{"large"})
+	assert.DeepEqual(t, f.cutOffOwners, []string{"large"})
 }
 
-// TestServerThatDoesNotReadIsCutOff checks that a body that its backend server does not take is
-// given up, even if there is room, and that other waits are not.
-func TestServerThatDoesNotReadIsCutOff(t *testing.T) {
+// TestBackendThatDoesNotReadIsCutOff checks that a body that its backend server does not read is
+// cut off even if there is free memory, and that other waits are not.
+func TestBackendThatDoesNotReadIsCutOff(t *testing.T) {
 	f := newFixture(100)
-	for _, k := range []Kind{Requests, Bodies, Answers} {
+	for _, k := range []Kind{Requests, Bodies, Responses} {
 		f.admit(t, k.String()).Wait(k)
 	}
-	f.now += StalledMost - 1
-	f.CutStalled()
-	assert.Equal(t, len(f.cut), 0)
+	f.now += MaxStall - 1
+	f.CutOffStalled()
+	assert.Equal(t, len(f.cutOffOwners), 0)
 	f.now++
-	f.CutStalled()
-	f.CutStalled()
-	assert.DeepEqual(t, f.cut, []string{"bodies"})
+	f.CutOffStalled()
+	f.CutOffStalled()
+	assert.DeepEqual(t, f.cutOffOwners, []string{"bodies"})
 }
 
-// TestBudgetHolds checks, over any order of calls, that no more is held than the limit but for what
-// was cut off and has not ended, and that all comes back.
-func TestBudgetHolds(t *testing.T) {
+// TestBudgetIsNeverExceeded checks, for any order of calls, that leases hold no more than the
+// limit, except for those that were cut off and have not ended, and that all bytes are released.
+func TestBudgetIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFixture(rapid.Int64Range(1, 30).Draw(t, "requests"))
 		var leases []*Lease
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			f.now += time.Duration(rapid.Int64Range(0, int64(stalledLeast)).Draw(t, "pause"))
+			f.now += time.Duration(rapid.Int64Range(0, int64(minStall)).Draw(t, "pause"))
 			step := rapid.IntRange(0, 5).Draw(t, "step")
 			if step == 0 || len(leases) == 0 {
 				if l, ok := f.tryAdmit(fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "owner"))); ok {
@@ -169,29 +170,29 @@
 				continue
 			}
 			i := rapid.IntRange(0, len(leases)-1).Draw(t, "lease")
-			l, k := leases[i], Kind(rapid.IntRange(0, int(kinds)-1).Draw(t, "kind"))
+			l, k := leases[i], Kind(rapid.IntRange(0, int(numKinds)-1).Draw(t, "kind"))
 			switch step {
 			case 1:
-				l.Grow(k, rapid.Int64Range(1, 4*Overhead).Draw(t, "bytes"))
+				l.Grow(k, rapid.Int64Range(1, 4*RequestOverhead).Draw(t, "bytes"))
 			case 2:
 				l.Wait(k)
 			case 3:
-				l.Moved()
+				l.StopWaiting()
 			case 4:
 				l.Free(k)
 			case 5:
 				l.End()
 				leases = append(leases[:i], leases[i+1:]...)
 			}
-			if over := f.total() - f.ending; over > f.Limit {
-				t.Fatalf("%d of %d", over, f.Limit)
+			if excess := f.total() - f.releasing; excess > f.Limit {
+				t.Fatalf("%d of %d", excess, f.Limit)
 			}
 		}
 		for _, l := range leases {
 			l.End()
 		}
-		if f.total() != 0 || f.ending != 0 || len(f.owners) != 0 {
-			t.Fatalf("%d bytes, %d ending, %d owners are left", f.total(), f.ending, len(f.owners))
+		if f.total() != 0 || f.releasing != 0 || len(f.owners) != 0 {
+			t.Fatalf("left over: %d bytes, %d releasing, %d owners", f.total(), f.releasing, len(f.owners))
 		}
 	})
 }
--- a/process/proxy/lapse.go
+++ b/process/proxy/lapse.go
@@ -9,80 +9,82 @@
 	"time"
 )
 
-// leastSuspended is what the two clocks of a request may differ by without a suspension of the
-// machine: they are read one after the other, and a thread may be held up in between.
-const leastSuspended = 100 * time.Millisecond
+// minSuspension is the smallest difference between the two clocks of a request that counts as a
+// suspension of the machine. The clocks are read one after the other, and the thread may be
+// descheduled in between.
+const minSuspension = 100 * time.Millisecond
 
-// left returns the time until the request's deadline. Contexts, timers and sockets wait by a
-// clock that stands still while the machine is suspended; the caller's time goes on.
-func (c *call) left() time.Duration {
-	left := time.Until(c.deadline)
-	if lost := (c.now() - c.begun) - time.Since(c.began); lost >= leastSuspended {
-		left -= lost
+// timeLeft returns the time until the request's deadline. Contexts, timers and sockets use a clock
+// that stops while the machine is suspended; the caller's deadline does not.
+func (c *call) timeLeft() time.Duration {
+	remaining := time.Until(c.deadline)
+	if suspended := (c.bootClock() - c.startedOnBootClock) - time.Since(c.startedAt); suspended >= minSuspension {
+		remaining -= suspended
 	}
-	return left
+	return remaining
 }
 
-// reading tells whether a request's body is being read. The zero value is ready.
-type reading struct {
-	mu sync.Mutex
-	on bool
+// bodyReadState records whether a request's body is being read. The zero value is ready to use.
+type bodyReadState struct {
+	mu     sync.Mutex
+	active bool
 }
 
-// reads lets the reading of the body end at a time; zero: it is over.
-func (c *call) reads(until time.Time) {
-	c.reading.mu.Lock()
-	defer c.reading.mu.Unlock()
-	c.reading.on = !until.IsZero()
-	_ = http.NewResponseController(c.w).SetReadDeadline(until) // an error means that the caller is gone
+// setBodyReadDeadline starts the reading of the body with a deadline. A zero time ends it.
+func (c *call) setBodyReadDeadline(until time.Time) {
+	c.bodyRead.mu.Lock()
+	defer c.bodyRead.mu.Unlock()
+	c.bodyRead.active = !until.IsZero()
+	_ = http.NewResponseController(c.w).SetReadDeadline(until) // an error means that the caller has disconnected
 }
 
-// endReading ends the reading of the body, if it is being read. At any other time it would look
-// as if the caller had left.
-func (c *call) endReading() {
-	c.reading.mu.Lock()
-	defer c.reading.mu.Unlock()
-	if c.reading.on {
-		_ = http.NewResponseController(c.w).SetReadDeadline(past) // an error means that the caller is gone
+// abortBodyRead aborts the reading of the body if it is in progress. At any other time, a read
+// deadline would be taken for a disconnect of the caller.
+func (c *call) abortBodyRead() {
+	c.bodyRead.mu.Lock()
+	defer c.bodyRead.mu.Unlock()
+	if c.bodyRead.active {
+		_ = http.NewResponseController(c.w).SetReadDeadline(aLongTimeAgo) // an error means that the caller has disconnected
 	}
 }
 
-// calls are the requests under way that have a deadline. The zero value is ready.
-type calls struct {
-	mu sync.Mutex
-	of map[*call]context.CancelFunc
+// callSet is the set of requests in flight that have a deadline. The zero value is ready to use.
+type callSet struct {
+	mu      sync.Mutex
+	cancels map[*call]context.CancelFunc
 }
 
-func (s *calls) add(c *call, cancel context.CancelFunc) {
+func (s *callSet) add(c *call, cancel context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.of == nil {
-		s.of = make(map[*call]context.CancelFunc)
+	if s.cancels == nil {
+		s.cancels = make(map[*call]context.CancelFunc)
 	}
-	s.of[c] = cancel
+	s.cancels[c] = cancel
 }
 
-func (s *calls) remove(c *call) {
+func (s *callSet) remove(c *call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.of, c)
+	delete(s.cancels, c)
 }
 
-// past is a deadline that ends all waiting.
-var past = time.Unix(1, 0)
+// aLongTimeAgo is a deadline that interrupts pending I/O immediately.
+var aLongTimeAgo = time.Unix(1, 0)
 
-// EndLapsed ends the requests whose deadline passed while the machine was suspended: nothing
-// else would, for as long as that took. Answers that are there by now have been read.
-func (p *Proxy) EndLapsed() (ended int) {
+// CancelExpired cancels the requests whose deadline passed while the machine was suspended, and
+// returns their number. Their timers did not advance, so they would otherwise continue for as long as
+// the suspension lasted. Responses that have arrived by now have already been read.
+func (p *Proxy) CancelExpired() (cancelled int) {
 	p.calls.mu.Lock()
 	defer p.calls.mu.Unlock()
-	for c, cancel := range p.calls.of {
-		if c.left() > 0 {
+	for c, cancel := range p.calls.cancels {
+		if c.timeLeft() > 0 {
 			continue
 		}
 		cancel()
-		c.endReading()
-		ended++
+		c.abortBodyRead()
+		cancelled++
 	}
-	return ended
+	return cancelled
 }
--- a/process/proxy/limit.go
+++ b/process/proxy/limit.go
@@ -10,70 +10,70 @@
 	"shalewick/process/balance"
 )
 
-// permitTries is the number of backend servers that name a rate limit for which an attempt asks for
-// a permit; each may cost it the way to another region and back. After them it goes to one that
-// names none.
-const permitTries = 2
+// maxPermitTries is the number of rate-limited backend servers for which an attempt requests a
+// permit. Each request may take a round trip to another region. After that, the attempt uses a
+// backend server that has no limit.
+const maxPermitTries = 2
 
-// pickPermitted chooses a backend server as pick does. For one that names a rate limit it gets a
-// permit.
-func (t *trial) pickPermitted(ctx context.Context) (*balance.Pick, balance.Refusal) {
-	defer func() { t.query.Unlimited = false }()
+// pickWithPermit picks a backend server as pick does, and acquires a permit if it is rate-limited.
+func (t *transaction) pickWithPermit(ctx context.Context) (*balance.Pick, balance.Refusal) {
+	defer func() { t.query.SkipLimited = false }()
 	for tries := 0; ; tries++ {
-		t.query.Unlimited = tries == permitTries
+		t.query.SkipLimited = tries == maxPermitTries
 		pick, refusal := t.pick()
-		if pick == nil || t.permitted(ctx, pick) {
+		if pick == nil || t.acquirePermit(ctx, pick) {
 			return pick, refusal
 		}
 		pick.Done(balance.Abandoned, nil)
-		t.query.Left, t.query.Elapsed = t.c.left(), time.Since(t.c.began)
+		t.query.Left, t.query.Elapsed = t.c.timeLeft(), time.Since(t.c.startedAt)
 	}
 }
 
-// permitted reports whether the request may go to a backend server, which may name a rate limit.
-func (t *trial) permitted(ctx context.Context, pick *balance.Pick) bool {
-	t.permit = 0
-	if t.p.Limits == nil || !t.p.Limits.Limited(pick.Limitable().Start) {
+// acquirePermit reports whether the request may be sent to the backend server, and acquires a
+// permit if that is rate-limited.
+func (t *transaction) acquirePermit(ctx context.Context, pick *balance.Pick) bool {
+	t.permitFrom = 0
+	if t.p.Limits == nil || !t.p.Limits.Limited(pick.RateLimitBackend().IncarnationHash) {
 		return true
 	}
-	if t.query.Unlimited {
-		return false // its limit began after the pick
+	if t.query.SkipLimited {
+		return false // the limit was reported after the pick
 	}
-	at, ok := t.p.Limits.Acquire(ctx, pick.Limitable(), t.query.Priority)
-	t.permit = at
+	from, ok := t.p.Limits.Acquire(ctx, pick.RateLimitBackend(), t.query.Priority)
+	t.permitFrom = from
 	return ok
 }
 
-// withinLimit reports whether the request may leave now for a backend server, whose rate limit may
-// have begun after the pick.
-func (t *trial) withinLimit(pick *balance.Pick) bool {
-	return t.p.Limits == nil || t.p.Limits.Valid(pick.Limitable().Start, t.permit)
+// permitValid reports whether the request may be sent to the backend server now. Its rate limit may
+// have been reported after the pick.
+func (t *transaction) permitValid(pick *balance.Pick) bool {
+	return t.p.Limits == nil || t.p.Limits.Valid(pick.RateLimitBackend().IncarnationHash, t.permitFrom)
 }
 
-// returnPermit gives back a permit with which nothing was sent.
-func (t *trial) returnPermit(pick *balance.Pick) {
+// returnPermit returns the permit of an attempt that sent nothing.
+func (t *transaction) returnPermit(pick *balance.Pick) {
 	if t.p.Limits != nil {
-		t.p.Limits.Return(pick.Limitable().Start, t.permit)
+		t.p.Limits.Return(pick.RateLimitBackend().IncarnationHash, t.permitFrom)
 	}
 }
 
-// rateLimit takes up the rate limit that an answer names, and returns it; zero: none. A misdirected
-// request was answered by another server than the chosen one.
-func (t *trial) rateLimit(res *http.Response, pick *balance.Pick) float64 {
+// applyRateLimit applies the rate limit that a response reports, and returns it; zero means none. A
+// misdirected request (421) was answered by a different server than the one that was picked.
+func (t *transaction) applyRateLimit(res *http.Response, pick *balance.Pick) float64 {
 	if res.StatusCode == http.StatusMisdirectedRequest {
 		return 0
 	}
 	limit, err := t.p.Names.RateLimit(res.Header)
 	if err != nil {
-		t.p.Metrics.BadRateLimit(t.c.service)
-		t.line(pick).Err(err).Msg("rate-limit-skipped")
+		t.p.Metrics.InvalidRateLimit(t.c.service)
+		t.logLine(pick).Err(err).Msg("rate-limit-skipped")
 		return 0
 	}
 	if limit > 0 {
 		t.p.Metrics.RateLimit(t.c.service)
 	}
 	if t.p.Limits != nil {
-		t.p.Limits.Answered(pick.Limitable(), limit, t.sentAt)
+		t.p.Limits.RecordResponse(pick.RateLimitBackend(), limit, t.sentAt)
 	}
 	return limit
 }
--- a/process/proxy/proxy_test.go
+++ b/process/proxy/proxy_test.go
@@ -28,31 +28,31 @@
 	"shalewick/version"
 )
 
-// fixture is a proxy before some backend servers, in one process.
+// fixture is a proxy with some backend servers, in one process.
 type fixture struct {
-	t        testing.TB
-	proxy    *Proxy
-	table    *balance.Table
-	front    *httptest.Server
-	backends []*server.Server
-	config   *version.Config
+	t           testing.TB
+	proxy       *Proxy
+	table       *balance.Table
+	proxyServer *httptest.Server
+	backends    []*server.Server
+	config      *version.Config
 }
 
 func newFixture(t testing.TB, backends int) *fixture {
 	t.Helper()
 	f := &fixture{t: t, config: &version.Config{Seq: 1, Resources: map[version.Key]version.Resource{}}}
-	begun := time.Now()
-	now := func() time.Duration { return time.Since(begun) + time.Hour }
-	one := func() int { return 1 }
+	start := time.Now()
+	now := func() time.Duration { return time.Since(start) + time.Hour }
+	oneInstance := func() int { return 1 }
 	f.table = &balance.Table{
-		Now: now, Place: func() (int, int) { return 0, 1 }, Region: "north",
+		Now: now, MemberIndex: func() (int, int) { return 0, 1 }, Region: "north",
 		NewPool: func(a string) *conn.Pool {
 			return &conn.Pool{Address: a, Dialer: conn.NewDialer(200*time.Millisecond, time.Second)}
 		},
 	}
 	f.proxy = &Proxy{
 		Names: request.OwnNames, Table: f.table, Metrics: metric.NewSet(), Log: zerolog.Nop(), Now: now,
-		Retries: &retry.Window{Span: 10 * time.Second, Ratio: 0.2, Fixed: 20, Instances: one},
+		RetryBudget: &retry.Window{Span: 10 * time.Second, Ratio: 0.2, Fixed: 20, Instances: oneInstance},
 	}
 	f.put(version.Resource{Key: version.Key{Kind: version.KindRegion, Name: "north"}, Region: &version.Region{}})
 	f.put(version.Resource{Key: version.Key{Kind: version.KindHall, Name: "n1"}, Hall: &version.Hall{Region: "north"}})
@@ -68,8 +68,8 @@
 		f.backend(s.Name, s.Address())
 	}
 	f.install()
-	f.front = httptest.NewServer(f.proxy)
-	t.Cleanup(f.front.Close)
+	f.proxyServer = httptest.NewServer(f.proxy)
+	t.Cleanup(f.proxyServer.Close)
 	return f
 }
 
@@ -87,26 +87,26 @@
 	f.put(version.Resource{Key: version.Key{Kind: version.KindRoute, Name: name}, Route: &version.Route{
 		Host: "a.example", Prefix: prefix, Class: class, Repeatable: repeatable, Attempts: 2, Sticky: true,
 		Timeout: version.Duration(600 * time.Millisecond), Objective: version.Duration(300 * time.Millisecond),
-		Split: []version.Weighted{{Service: "s", Weight: 1}},
+		Split: []version.WeightedService{{Service: "s", Weight: 1}},
 	}})
 }
 
-// firstFails sets the fault of the backend server that is asked first, which has run
-// one request then.
-func (f *fixture) firstFails(fault server.Fault) {
+// failFirstBackend sets the fault of the backend server that is used first. It has run one request
+// by then.
+func (f *fixture) failFirstBackend(fault server.Fault) {
 	f.t.Helper()
-	f.own(f.send("first", "/reads/1", ""), "first")
+	f.assertServed(f.send("first", "/reads/1", ""), "first")
 	for _, s := range f.backends {
 		if len(s.Runs()) == 1 {
-			s.Next(fault)
+			s.InjectFaults(fault)
 		}
 	}
 }
 
-// allShed makes all backend servers refuse.
-func (f *fixture) allShed() {
+// shedAll makes all backend servers refuse requests.
+func (f *fixture) shedAll() {
 	for _, s := range f.backends {
-		s.Next(server.Shed, server.Shed, server.Shed)
+		s.InjectFaults(server.Shed, server.Shed, server.Shed)
 	}
 }
 
@@ -135,32 +135,32 @@
 	if body != "" {
 		method = http.MethodPost
 	}
-	req, err := http.NewRequest(method, f.front.URL+path, strings.NewReader(body))
+	req, err := http.NewRequest(method, f.proxyServer.URL+path, strings.NewReader(body))
 	assert.NilError(f.t, err)
 	req.Host = "a.example"
 	req.Header.Set(request.OwnNames.ID, id)
 	req.Header.Set(request.OwnNames.Affinity, object)
-	begun := time.Now()
+	start := time.Now()
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return reply{err: err, took: time.Since(begun)}
+		return reply{err: err, took: time.Since(start)}
 	}
 	defer res.Body.Close()
 	b, err := io.ReadAll(res.Body)
-	return reply{status: res.StatusCode, header: res.Header, body: string(b), err: err, took: time.Since(begun)}
+	return reply{status: res.StatusCode, header: res.Header, body: string(b), err: err, took: time.Since(start)}
 }
 
-func (f *fixture) own(r reply, id string) {
+func (f *fixture) assertServed(r reply, id string) {
 	f.t.Helper()
 	assert.NilError(f.t, r.err)
 	assert.Equal(f.t, r.status, http.StatusOK)
-	assert.Equal(f.t, r.body, server.Body(id))
+	assert.Equal(f.t, r.body, server.ResponseBody(id))
 	assert.Equal(f.t, r.header.Get(request.OwnNames.Seal), "seal-"+id)
 }
 
-func TestRequestArrivesUnaltered(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	f := newFixture(t, 1)
-	f.own(f.send("x1", "/bids/a%2Fb/%7Ec?q=1&r=%20", "two lots"), "x1")
+	f.assertServed(f.send("x1", "/bids/a%2Fb/%7Ec?q=1&r=%20", "two lots"), "x1")
 	runs := f.runs()
 	assert.Equal(t, len(runs), 1)
 	assert.Equal(t, runs[0].Path, "/bids/a%2Fb/%7Ec?q=1&r=%20")
@@ -171,60 +171,60 @@
 	assert.Assert(t, left > 0 && left <= 600, "%d", left)
 }
 
-// TestFaultsOfBackends checks, for each way in which a backend server misbehaves,
-// what the client gets and how often the request ran.
-func TestFaultsOfBackends(t *testing.T) {
+// TestBackendFaults checks, for each kind of backend fault, what the caller receives and how often
+// the request ran.
+func TestBackendFaults(t *testing.T) {
 	for _, x := range []struct {
 		name        string
 		fault       server.Fault
-		reads, bids int // status; 200 is the client's own whole answer
+		reads, bids int // expected status; 200 stands for the complete response to this request
 		bidRuns     int
 	}{
-		{"cut", server.Cut, 200, 502, 1},
-		{"lost", server.Lost, 200, 502, 1},
-		{"silent", server.Silent, 504, 504, 1},
-		{"no answer", server.NotAnswer, 200, 502, 1},
-		{"unframed", server.Unframed, 200, 200, 1},
-		{"unframed and reset", server.UnframedCut, 200, 502, 1},
-		{"surplus before", server.Surplus, 200, 200, 1},
-		{"surplus after", server.SurplusAfter, 200, 200, 1},
+		{"cut", server.Truncated, 200, 502, 1},
+		{"lost", server.ResetAfterRun, 200, 502, 1},
+		{"unresponsive", server.NoResponse, 504, 504, 1},
+		{"no response", server.NotHTTP, 200, 502, 1},
+		{"unframed", server.CloseDelimited, 200, 200, 1},
+		{"unframed and reset", server.CloseDelimitedReset, 200, 502, 1},
+		{"surplus before", server.ExtraBefore, 200, 200, 1},
+		{"surplus after", server.ExtraAfter, 200, 200, 1},
 		{"shed", server.Shed, 200, 200, 1},
-		{"moved", server.Moved, 200, 200, 1},
-		{"early", server.Early, 200, 200, 1},
+		{"moved", server.Misdirected, 200, 200, 1},
+		{"early", server.RejectEarly, 200, 200, 1},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			f := newFixture(t, 2)
-			f.firstFails(x.fault)
+			f.failFirstBackend(x.fault)
 			read := f.send("r1", "/reads/1", "")
-			f.expect(read, x.reads, "r1")
+			f.assertResult(read, x.reads, "r1")
 			f = newFixture(t, 2)
-			f.firstFails(x.fault)
+			f.failFirstBackend(x.fault)
 			bid := f.send("b1", "/bids/1", "an offer")
-			f.expect(bid, x.bids, "b1")
+			f.assertResult(bid, x.bids, "b1")
 			assert.Equal(t, len(f.runs()), 1+x.bidRuns)
-			f.own(f.send("b2", "/bids/1", "next"), "b2")
+			f.assertServed(f.send("b2", "/bids/1", "next"), "b2")
 		})
 	}
 }
 
-func (f *fixture) expect(r reply, status int, id string) {
+func (f *fixture) assertResult(r reply, status int, id string) {
 	f.t.Helper()
 	if status == http.StatusOK {
-		f.own(r, id)
+		f.assertServed(r, id)
 		return
 	}
 	assert.NilError(f.t, r.err)
 	assert.Equal(f.t, r.status, status)
-	assert.Equal(f.t, r.header.Get(request.OwnNames.Seal), "", "no seal on an answer of our own")
+	assert.Equal(f.t, r.header.Get(request.OwnNames.Seal), "", "responses of the proxy carry no seal")
 	assert.Equal(f.t, r.header.Get(request.HeaderRan), string(request.RanUnknown))
 	assert.Equal(f.t, r.header.Get("Retry-After"), "")
 }
 
-// TestRefusalIsAtOnceAndSaysWhenToComeBack checks that a request for which
-// there is no backend server is not held.
-func TestRefusalIsAtOnceAndSaysWhenToComeBack(t *testing.T) {
+// TestRefusalIsImmediateWithRetryAfter checks that a request for which no backend server is
+// available is not queued.
+func TestRefusalIsImmediateWithRetryAfter(t *testing.T) {
 	f := newFixture(t, 2)
-	f.allShed()
+	f.shedAll()
 	r := f.send("b1", "/bids/1", "an offer")
 	assert.Equal(t, r.status, http.StatusServiceUnavailable)
 	assert.Equal(t, r.header.Get(request.HeaderRan), string(request.RanNo))
@@ -235,7 +235,7 @@
 	assert.Equal(t, len(f.runs()), 0)
 }
 
-func TestDeadBackendIsLeftForAnother(t *testing.T) {
+func TestDownBackendIsReplacedByAnother(t *testing.T) {
 	f := newFixture(t, 2)
 	for i := range 20 {
 		if i == 5 {
@@ -243,20 +243,19 @@
 		}
 		id := fmt.Sprintf("x%d", i)
 		r := f.send(id, fmt.Sprintf("/reads/%d", i), "")
-		f.own(r, id)
+		f.assertServed(r, id)
 	}
 }
 
-// TestNothingIsTriedOnWhenThereIsNoOther checks that a request whose only
-// backend could not be reached, or refused it, gets its final answer at once
-// and takes one retry at most.
-func TestNothingIsTriedOnWhenThereIsNoOther(t *testing.T) {
-	for name, spoil := range map[string]func(f *fixture){
-		"dead":    func(f *fixture) { f.backends[0].Close() },
-		"refuses": func(f *fixture) { f.allShed() },
+// TestSingleBackendFailureIsFinalImmediately checks that a request whose only backend server could
+// not be reached, or refused it, is answered immediately and takes at most one retry.
+func TestSingleBackendFailureIsFinalImmediately(t *testing.T) {
+	for name, fail := range map[string]func(f *fixture){
+		"down":     func(f *fixture) { f.backends[0].Close() },
+		"refusing": func(f *fixture) { f.shedAll() },
 	} {
 		f := newFixture(t, 1)
-		spoil(f)
+		fail(f)
 		r := f.send("x", "/reads/1", "")
 		assert.Equal(t, r.status, http.StatusServiceUnavailable, name)
 		assert.Assert(t, r.took < 250*time.Millisecond, "%s: after %s", name, r.took)
@@ -273,10 +272,10 @@
 	empty := &Proxy{Names: request.OwnNames, Table: &balance.Table{}, Metrics: metric.NewSet(), Log: zerolog.Nop()}
 	rec := httptest.NewRecorder()
 	empty.ServeHTTP(rec, httptest.NewRequest(http.MethodGet, "/reads/1", nil))
-	assert.Equal(t, rec.Code, http.StatusServiceUnavailable, "404 only with a configuration")
+	assert.Equal(t, rec.Code, http.StatusServiceUnavailable, "404 is allowed only with a configuration")
 }
 
-func TestTimeoutOfTheRouteIsKept(t *testing.T) {
+func TestRouteTimeout(t *testing.T) {
 	f := newFixture(t, 1)
 	f.backends[0].Work = 3 * time.Second
 	r := f.send("x", "/bids/1", "b")
@@ -284,12 +283,13 @@
 	assert.Assert(t, r.took > 500*time.Millisecond && r.took < 800*time.Millisecond, "%s", r.took)
 }
 
-// leave sends a request that its caller gives up after a time, before its answer.
-func (f *fixture) leave(id string, after time.Duration) {
+// sendAndAbandon sends a request that its caller abandons after the given time, before the
+// response.
+func (f *fixture) sendAndAbandon(id string, after time.Duration) {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), after)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, f.front.URL+"/reads/1", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, f.proxyServer.URL+"/reads/1", nil)
 	assert.NilError(f.t, err)
 	req.Host = "a.example"
 	req.Header.Set(request.OwnNames.ID, id)
@@ -297,26 +297,26 @@
 	assert.Assert(f.t, err != nil)
 }
 
-// TestClientThatLeavesEndsItsRequest checks that a backend server sees within half a
-// second that the client left.
-func TestClientThatLeavesEndsItsRequest(t *testing.T) {
+// TestCallerDisconnectCancelsRequest checks that a backend server notices within half a second that
+// the caller has disconnected.
+func TestCallerDisconnectCancelsRequest(t *testing.T) {
 	f := newFixture(t, 1)
 	f.backends[0].Work = 500 * time.Millisecond
-	f.leave("x", 100*time.Millisecond)
+	f.sendAndAbandon("x", 100*time.Millisecond)
 	for range 40 {
-		if f.backends[0].Left() == 1 {
+		if f.backends[0].Disconnects() == 1 {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the backend server still works")
+	t.Fatal("the backend server is still working")
 }
 
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	f := newFixture(t, 1)
 	for i := range 10 {
 		id := fmt.Sprintf("x%d", i)
-		f.own(f.send(id, "/bids/1", "offer"), id)
+		f.assertServed(f.send(id, "/bids/1", "offer"), id)
 	}
 	assert.Assert(t, f.backends[0].Connections() <= 2, "%d", f.backends[0].Connections())
 }
@@ -324,10 +324,10 @@
 func TestLimitsAndLargeBodies(t *testing.T) {
 	f := newFixture(t, 1)
 	large := strings.Repeat("v", 2<<20)
-	f.own(f.send("big", "/bids/1", large), "big")
+	f.assertServed(f.send("big", "/bids/1", large), "big")
 	assert.Equal(t, f.runs()[0].Body, large)
 	assert.Equal(t, f.send("more", "/bids/1", strings.Repeat("v", 3<<20+1)).status, http.StatusRequestEntityTooLarge)
-	req, err := http.NewRequest(http.MethodGet, f.front.URL+"/reads/1", nil)
+	req, err := http.NewRequest(http.MethodGet, f.proxyServer.URL+"/reads/1", nil)
 	assert.NilError(t, err)
 	req.Host = "a.example"
 	req.Header.Set("X-Long", strings.Repeat("h", 5000))
@@ -337,10 +337,10 @@
 	assert.Equal(t, res.StatusCode, http.StatusRequestHeaderFieldsTooLarge)
 }
 
-func TestLeavingProxyAnswersAndCloses(t *testing.T) {
+func TestDisabledKeepAlivesCloseConnections(t *testing.T) {
 	f := newFixture(t, 1)
-	f.proxy.Leave()
-	c, err := net.Dial("tcp", f.front.Listener.Addr().String())
+	f.proxy.DisableKeepAlives()
+	c, err := net.Dial("tcp", f.proxyServer.Listener.Addr().String())
 	assert.NilError(t, err)
 	defer c.Close()
 	fmt.Fprintf(c, "GET /reads/1 HTTP/1.1\r\nHost: a.example\r\n%s: x\r\n\r\n", request.OwnNames.ID)
@@ -350,9 +350,9 @@
 	assert.Assert(t, res.Close)
 }
 
-// TestHalfSentRequestsRunNothing sends bodies that end early, in both framings,
-// and a smuggled length.
-func TestHalfSentRequestsRunNothing(t *testing.T) {
+// TestTruncatedRequestsRunNothing sends bodies that end early, in both framings, conflicting
+// lengths and encodings as in request smuggling, and malformed headers.
+func TestTruncatedRequestsRunNothing(t *testing.T) {
 	f := newFixture(t, 1)
 	for _, text := range []string{
 		"POST /bids/1 HTTP/1.1\r\nHost: a.example\r\nContent-Length: 50\r\n\r\nhalf",
@@ -361,7 +361,7 @@
 		"POST /bids/1 HTTP/1.1\r\nHost: a.example\r\nTransfer-Encoding: chunked, chunked\r\n\r\n0\r\n\r\n",
 		"GET /reads/1 HTTP/1.1\r\nHost: a.example\r\nX: a\r\n b\x00c\r\n\r\n",
 	} {
-		c, err := net.Dial("tcp", f.front.Listener.Addr().String())
+		c, err := net.Dial("tcp", f.proxyServer.Listener.Addr().String())
 		assert.NilError(t, err)
 		_, err = io.WriteString(c, text)
 		assert.NilError(t, err)
--- a/process/proxy/rollout.go
+++ b/process/proxy/rollout.go
@@ -13,105 +13,107 @@
 	"shalewick/process/rollout"
 )
 
-// rolled is one attempt at a request as roll-outs see it: a *rollout.Attempt, or
-// noRollout.
-type rolled interface {
+// rolloutAttempt is an attempt as the rollout controller tracks it: a *rollout.Attempt or noRollout.
+type rolloutAttempt interface {
 	Target() string
-	Decline(over bool) bool
+	Decline(ended bool) bool
 	Done(o rollout.Outcome)
 }
 
-// beginner begins an attempt as rollout.Rollouts.Begin does.
-type beginner func(service, route string, first bool, home func() (hash uint64, ok bool)) rolled
+// beginRolloutFunc begins an attempt as rollout.Controller.Begin does.
+type beginRolloutFunc func(service, route string, first bool, home func() (hash uint64, ok bool)) rolloutAttempt
 
-// noRollout is an attempt at a request of a service whose version does not change.
+// noRollout is an attempt at a service that has no rollout.
 type noRollout struct{}
 
 func (noRollout) Target() string       { return "" }
 func (noRollout) Decline(bool) bool    { return true }
 func (noRollout) Done(rollout.Outcome) {}
 
-// begin begins an attempt. One that is not the first at a request goes to a target only
-// while nothing may go to the version before any more.
-func (t *trial) begin() {
-	first := !t.begun
-	t.begun = true
-	t.rolled = t.beginAt(t.c.service, t.c.route.Name, first)
+// beginAttempt begins an attempt. Only the first attempt of a request goes to the target, unless
+// the previous version is closed to requests.
+func (t *transaction) beginAttempt() {
+	first := !t.attempted
+	t.attempted = true
+	t.rolloutAttempt = t.newRolloutAttempt(t.c.service, t.c.route.Name, first)
 }
 
-func (t *trial) beginAt(service, route string, first bool) rolled {
-	if t.p.begin != nil {
-		return t.p.begin(service, route, first, t.home)
+func (t *transaction) newRolloutAttempt(service, route string, first bool) rolloutAttempt {
+	if t.p.beginRollout != nil {
+		return t.p.beginRollout(service, route, first, t.targetHome)
 	}
 	if t.p.Rollouts == nil {
 		return noRollout{}
 	}
-	// The literal is not kept by Begin, so it takes no memory; a method value would.
-	a := t.p.Rollouts.Begin(service, route, first, func() (uint64, bool) { return t.home() })
+	// Begin does not retain the function literal, so it does not escape to the heap. A method value
+	// would.
+	a := t.p.Rollouts.Begin(service, route, first, func() (uint64, bool) { return t.targetHome() })
 	if a == nil {
 		return noRollout{}
 	}
 	return a
 }
 
-// home returns the home of the request's object at the target.
-func (t *trial) home() (hash uint64, ok bool) { return t.p.Table.TargetHome(&t.query) }
+// targetHome returns the home of the request's object among the target's backend servers.
+func (t *transaction) targetHome() (hash uint64, ok bool) { return t.p.Table.TargetHome(&t.query) }
 
-// pick chooses a backend server: of the target if the attempt goes there and one takes
-// it, else of the version in force, unless nothing may go there any more.
-func (t *trial) pick() (*balance.Pick, balance.Refusal) {
-	t.query.Target = t.rolled.Target()
+// pick picks a backend server of the target if the attempt goes there and one can take it.
+// Otherwise it picks one of the version in force, unless that is closed to requests.
+func (t *transaction) pick() (*balance.Pick, balance.Refusal) {
+	t.query.Target = t.rolloutAttempt.Target()
 	pick, refusal := t.p.Table.Pick(&t.query)
 	if pick != nil || t.query.Target == "" {
 		return pick, refusal
 	}
-	if !t.rolled.Decline(refusal.NoRollout) {
+	if !t.rolloutAttempt.Decline(refusal.NoRollout) {
 		return nil, refusal
 	}
-	t.declined = true
+	t.targetDeclined = true
 	t.query.Target = ""
 	return t.p.Table.Pick(&t.query)
 }
 
-// instead makes one more attempt at a request that a target answered with a failure of
-// its own, since a version that is tried must not cost callers their answers: at the
-// version in force, as long as that may be used. If nothing else is had, the failure is
-// the answer. One that is too large to be held is passed on as it is.
-func (t *trial) instead(ctx context.Context, a *answer) *answer {
-	if !a.target || !a.failed() || a.ex != nil || !t.c.route.Repeatable || !t.allowed(ctx) {
-		return a
+// retryTargetFailure retries a request that the target answered with a server error, since a trial
+// of a new version must not cost callers their responses. The retry goes to the version in force as
+// long as that accepts requests. If it gets no response, the target's error is returned. A response
+// that is too large to buffer is not retried.
+func (t *transaction) retryTargetFailure(ctx context.Context, resp *response) *response {
+	if !resp.fromTarget || !resp.isServerError() || resp.ex != nil || !t.c.route.Repeatable || !t.retryAllowed(ctx) {
+		return resp
 	}
-	t.triedAgain(func(e *zerolog.Event) { e.Int("status", a.res.StatusCode) })
-	other, _ := t.attempt(ctx) // its end was logged
-	if other == nil {
-		return a
+	t.logRetry(func(e *zerolog.Event) { e.Int("status", resp.res.StatusCode) })
+	retried, _ := t.attempt(ctx) // attempt logs how it ended
+	if retried == nil {
+		return resp
 	}
-	return other
+	return retried
 }
 
-// failed reports whether the answer is a failure of the backend server's own.
-func (a *answer) failed() bool { return a.res.StatusCode >= http.StatusInternalServerError }
+// isServerError reports whether the response is a server error (5xx).
+func (r *response) isServerError() bool { return r.res.StatusCode >= http.StatusInternalServerError }
 
-// answered tells roll-outs of an answer.
-func (t *trial) answered(a *answer, took time.Duration) {
-	t.over(a.pick, rollout.Outcome{Failed: a.failed(), Took: took, Unseen: a.pick.Unseen, Cold: a.pick.Cold})
+// reportResponse reports a response to the rollout controller.
+func (t *transaction) reportResponse(resp *response, took time.Duration) {
+	t.reportOutcome(resp.pick, rollout.Outcome{Failed: resp.isServerError(), Latency: took, Unseen: resp.pick.Unseen, Cold: resp.pick.Cold})
 }
 
-// over tells roll-outs what came of an attempt, and counts it for the version that had it.
-func (t *trial) over(pick *balance.Pick, o rollout.Outcome) {
-	t.rolled.Done(o)
+// reportOutcome reports the outcome of an attempt to the rollout controller, and counts it for the
+// software version of the backend server.
+func (t *transaction) reportOutcome(pick *balance.Pick, o rollout.Outcome) {
+	t.rolloutAttempt.Done(o)
 	if !o.Inconclusive {
-		t.p.Metrics.Software(t.c.service, pick.Software, o.Failed, o.Took)
+		t.p.Metrics.Software(t.c.service, pick.Software, o.Failed, o.Latency)
 	}
 }
 
-// tooShort reports whether a caller's own deadline left an attempt that was sent at a
-// time less than usual answers there take, so that it tells nothing of the backend server.
-func (c *call) tooShort(pick *balance.Pick, sent time.Time) bool {
-	return c.own && c.deadline.Sub(sent) < pick.Needs
+// deadlineTooShort reports whether the caller's own deadline left the attempt, sent at the given
+// time, less time than the backend server usually needs. Its failure then says nothing about the
+// backend server.
+func (c *call) deadlineTooShort(pick *balance.Pick, sent time.Time) bool {
+	return c.callerDeadline && c.deadline.Sub(sent) < pick.ExpectedTime
 }
 
-// line begins a log line on an attempt at a backend server.
-func (t *trial) line(pick *balance.Pick) *zerolog.Event {
+// logLine begins a log line about an attempt at a backend server.
+func (t *transaction) logLine(pick *balance.Pick) *zerolog.Event {
 	return t.p.Log.Info().Str("id", t.c.id).Str("backend", pick.Name).Str("software", pick.Software).Bool("target", t.query.Target != "")
 }
--- a/process/quarantine/exchange.go
+++ b/process/quarantine/exchange.go
@@ -8,23 +8,23 @@
 	"shalewick/request"
 )
 
-// Hear takes up a message of another instance from its address, and reports whether it is
-// one of a quarantine.
-func (q *Quarantine) Hear(from string, text []byte) bool {
-	if len(text) == 0 || text[0] < kindReport || text[0] > kindAnswered {
+// Receive processes a message from the address of another instance, and reports whether it is
+// a quarantine message.
+func (q *Quarantine) Receive(from string, payload []byte) bool {
+	if len(payload) == 0 || payload[0] < kindReport || payload[0] > kindObjection {
 		return false
 	}
-	kind, body := text[0], text[1:]
+	kind, body := payload[0], payload[1:]
 	var err error
 	switch kind {
 	case kindReport:
-		err = q.hearReport(from, body)
-	case kindConfirmed:
-		err = q.hearConfirmed(from, body)
+		err = q.receiveReport(from, body)
+	case kindConfirmation:
+		err = q.receiveConfirmation(from, body)
 	case kindEntry:
-		err = q.hearEntry(from, body)
-	case kindAnswered:
-		err = q.hearObjection(from, body)
+		err = q.receiveEntry(from, body)
+	case kindObjection:
+		err = q.receiveObjection(from, body)
 	}
 	if err != nil {
 		q.Log.Info().Err(err).Str("from", from).Msg("quarantine-message-skipped")
@@ -32,26 +32,26 @@
 	return true
 }
 
-func (q *Quarantine) hearReport(from string, body []byte) error {
+func (q *Quarantine) receiveReport(from string, body []byte) error {
 	r, err := decodeReport(body)
 	if err != nil {
 		return err
 	}
-	text, err := encode(kindConfirmed, &confirmed{Seq: r.Seq})
+	payload, err := encode(kindConfirmation, &confirmation{Seq: r.Seq})
 	if err != nil {
 		return err
 	}
 	q.mu.Lock()
 	now := q.Now()
-	q.count(&r, now-duration(r.AgeMs), now)
+	q.addReport(&r, now-duration(r.AgeMs), now)
 	q.mu.Unlock()
-	q.Send(from, text)
+	q.Send(from, payload)
 	q.wakeUp()
 	return nil
 }
 
-func (q *Quarantine) hearConfirmed(from string, body []byte) error {
-	c, err := decode[confirmed](body)
+func (q *Quarantine) receiveConfirmation(from string, body []byte) error {
+	c, err := decode[confirmation](body)
 	if err != nil {
 		return err
 	}
@@ -66,37 +66,37 @@
 			p.confirmedBy = owner.Name
 		}
 		if regional.Address == from {
-			p.heldBy = regional.Name
+			p.regionalBy = regional.Name
 		}
 	}
 	return nil
 }
 
-// hearEntry takes up an entry, and objects if this instance has answered the request since
-// the first crash that it is blamed for.
-func (q *Quarantine) hearEntry(from string, body []byte) error {
-	t, err := decode[told](body)
+// receiveEntry merges an entry, and objects if this instance has answered the request since
+// the first crash attributed to it.
+func (q *Quarantine) receiveEntry(from string, body []byte) error {
+	u, err := decode[entryUpdate](body)
 	if err != nil {
 		return err
 	}
 	q.mu.Lock()
 	now := q.Now()
-	news := q.merge(t.Entry, from)
+	isNew := q.merge(u.Entry, from)
 	q.mu.Unlock()
-	at, answered := q.answers.last(t.Entry.Request)
-	if !news || !t.Entry.Quarantined() || !answered || at <= now-duration(t.FirstMs) {
+	answeredAt, answered := q.responses.last(u.Entry.Request)
+	if !isNew || !u.Entry.Quarantined() || !answered || answeredAt <= now-duration(u.FirstMs) {
 		return nil
 	}
-	text, err := encode(kindAnswered, &objection{Request: t.Entry.Request, Stamp: t.Entry.Stamp})
+	payload, err := encode(kindObjection, &objection{Request: u.Entry.Request, Stamp: u.Entry.Stamp})
 	if err != nil {
 		return err
 	}
-	q.Send(from, text)
+	q.Send(from, payload)
 	return nil
 }
 
-// hearObjection withdraws an entry.
-func (q *Quarantine) hearObjection(_ string, body []byte) error {
+// receiveObjection withdraws an entry.
+func (q *Quarantine) receiveObjection(_ string, body []byte) error {
 	o, err := decode[objection](body)
 	if err != nil {
 		return err
@@ -106,59 +106,57 @@
 	var out []message
 	if e.Stamp == o.Stamp && e.Quarantined() {
 		e.Stamp++
-		out = q.change(e, 0)
+		out = q.announce(e, 0)
 	}
 	q.mu.Unlock()
-	q.sendOut(out)
+	q.sendMessages(out)
 	return nil
 }
 
-// Digest tells whether two instances know the same entries: then theirs are equal.
+// Digest returns a digest that is equal for two instances if they know the same entries.
 func (q *Quarantine) Digest() uint64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.list.digest
 }
 
-// Learned reports whether the instance knows what others knew when it started.
-func (q *Quarantine) Learned() bool {
+// Synced reports whether the instance has the entries that others had when it started.
+func (q *Quarantine) Synced() bool {
 	select {
-	case <-q.learned:
+	case <-q.synced:
 		return true
 	default:
 		return false
 	}
 }
 
-// LearnedAll returns a channel that is closed once Learned.
-func (q *Quarantine) LearnedAll() <-chan struct{} { return q.learned }
+// SyncDone returns a channel that is closed once Synced returns true.
+func (q *Quarantine) SyncDone() <-chan struct{} { return q.synced }
 
-// Learn takes up entries that were kept somewhere, and notes that what was known at the
-// start is known now.
-func (q *Quarantine) Learn(entries []Entry, from string) {
+// LoadEntries merges entries that were stored, and marks the instance as synced.
+func (q *Quarantine) LoadEntries(entries []Entry, from string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.takeUp(entries, from)
-	q.noteLearned()
+	q.mergeAll(entries, from)
+	q.markSynced()
 }
 
-// takeUp merges a list. The caller holds the lock.
-func (q *Quarantine) takeUp(entries []Entry, from string) {
+// mergeAll merges a list of entries. The caller must hold q.mu.
+func (q *Quarantine) mergeAll(entries []Entry, from string) {
 	for _, e := range entries {
 		q.merge(e, from)
 	}
 }
 
-// noteLearned says that what was known at the start is known now. The caller holds the lock.
-func (q *Quarantine) noteLearned() {
-	if !q.Learned() {
-		close(q.learned)
+// markSynced marks the instance as synced. The caller must hold q.mu.
+func (q *Quarantine) markSynced() {
+	if !q.Synced() {
+		close(q.synced)
 	}
 }
 
-// Crashes returns how many backend servers had ended under a request when it went into
-// quarantine.
-func (q *Quarantine) Crashes(f request.Fingerprint) int {
+// CrashCount returns the number of crashes attributed to a request when it was quarantined.
+func (q *Quarantine) CrashCount(f request.Fingerprint) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.list.entries[f].Crashes
@@ -171,7 +169,7 @@
 	return q.list.entries[f].Service
 }
 
-// Count returns the number of requests that are refused.
+// Count returns the number of refused requests.
 func (q *Quarantine) Count() int {
 	m := q.refused.Load()
 	if m == nil {
@@ -180,41 +178,41 @@
 	return len(*m)
 }
 
-// Entries returns what the instance knows, the oldest first.
+// Entries returns all known entries, oldest first.
 func (q *Quarantine) Entries() []Entry {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.list.sorted()
 }
 
-// Reply returns the list for another instance that asks for it.
-func (q *Quarantine) Reply() ([]byte, error) {
-	text, err := encode(0, &reply{Learned: q.Learned(), Entries: q.Entries()})
+// EncodeReply returns the list for another instance that requests it.
+func (q *Quarantine) EncodeReply() ([]byte, error) {
+	payload, err := encode(0, &reply{Learned: q.Synced(), Entries: q.Entries()})
 	if err != nil {
 		return nil, err
 	}
-	return text[1:], nil
+	return payload[1:], nil
 }
 
-// errNotLearned says that the instance that was asked waits for others itself.
-const errNotLearned = errors.ConstError("the other instance has not learned the quarantine yet")
+// errNotSynced is returned if the other instance is not synced itself.
+const errNotSynced = errors.ConstError("the other instance has not received the quarantine entries yet")
 
-// TakeReply takes up the list of another instance. The entries count even if it has not
-// learned all itself, which the error says.
-func (q *Quarantine) TakeReply(text []byte, from string) error {
-	r, err := decode[reply](text)
+// MergeReply merges the list of another instance. Its entries are merged even if that instance
+// is not synced itself, for which the error is errNotSynced.
+func (q *Quarantine) MergeReply(payload []byte, from string) error {
+	r, err := decode[reply](payload)
 	if err != nil {
 		return err
 	}
-	if len(r.Entries) > MostEntries {
-		return errors.Errorf("list of %d entries", len(r.Entries))
+	if len(r.Entries) > MaxEntries {
+		return errors.Errorf("list with %d entries exceeds the maximum", len(r.Entries))
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.takeUp(r.Entries, from)
+	q.mergeAll(r.Entries, from)
 	if !r.Learned {
-		return errNotLearned
+		return errNotSynced
 	}
-	q.noteLearned()
+	q.markSynced()
 	return nil
 }
--- a/process/quarantine/fleet_test.go
+++ b/process/quarantine/fleet_test.go
@@ -15,61 +15,62 @@
 	"shalewick/request"
 )
 
-// fleet is a model of instances that tell each other of crashes: datagrams take a while and
-// some are lost; who differs from another one asks it for its list at a beat.
+// fleet simulates instances that report crashes to each other. Datagrams are delayed and some
+// are lost. On each heartbeat an instance requests the list of another one if their digests
+// differ.
 type fleet struct {
-	now       time.Duration
-	random    *rand.Rand
-	instances []*instance
-	flying    []flying
-	loss      float64
-	datagrams int
-	bytes     int
-	started   int                   // backend servers
-	again     []request.Fingerprint // that crash nothing and were at the last crash
+	now          time.Duration
+	random       *rand.Rand
+	instances    []*instance
+	inFlight     []datagram
+	loss         float64
+	datagrams    int
+	bytes        int
+	crashes      int                   // names the backend servers
+	lastSuspects []request.Fingerprint // harmless requests in flight at the last crash
 }
 
 type instance struct {
 	*Quarantine
-	fleet  *fleet
-	name   string
-	region int
-	down   bool // it neither sends nor hears
-	beat   time.Duration
+	fleet         *fleet
+	name          string
+	region        int
+	down          bool // neither sends nor receives
+	nextHeartbeat time.Duration
 }
 
-// flying is a datagram on its way.
-type flying struct {
+// datagram is a message in flight.
+type datagram struct {
 	at       time.Duration
 	from, to *instance
-	text     []byte
+	payload  []byte
 }
 
 const (
-	modelStep  = 10 * time.Millisecond
-	modelBeat  = 500 * time.Millisecond
-	nearTime   = 2 * time.Millisecond
-	farTime    = 40 * time.Millisecond
-	modelZones = 6
+	modelStep      = 10 * time.Millisecond
+	modelHeartbeat = 500 * time.Millisecond
+	regionalDelay  = 2 * time.Millisecond
+	remoteDelay    = 40 * time.Millisecond
+	modelRegions   = 6
 )
 
 func newFleet(n int, seed uint64) *fleet {
 	f := &fleet{random: rand.New(rand.NewPCG(seed, 5)), loss: 0.02, now: time.Hour}
 	for i := range n {
-		f.add(fmt.Sprintf("i%03d", i), i%modelZones)
+		f.add(fmt.Sprintf("i%03d", i), i%modelRegions)
 	}
 	return f
 }
 
 func (f *fleet) add(name string, region int) *instance {
-	x := &instance{Quarantine: New(), fleet: f, name: name, region: region, beat: f.now + time.Duration(f.random.Int64N(int64(modelBeat)))}
+	x := &instance{Quarantine: New(), fleet: f, name: name, region: region, nextHeartbeat: f.now + time.Duration(f.random.Int64N(int64(modelHeartbeat)))}
 	x.Now = func() time.Duration { return f.now }
 	x.Log = zerolog.Nop()
 	x.Owners = x.owners
-	x.Send = func(to string, text []byte) { x.send(f.find(to), text) }
-	x.SendAll = func(text []byte) {
+	x.Send = func(to string, payload []byte) { x.send(f.find(to), payload) }
+	x.SendAll = func(payload []byte) {
 		for _, to := range f.instances {
-			x.send(to, text)
+			x.send(to, payload)
 		}
 	}
 	f.instances = append(f.instances, x)
@@ -85,10 +86,10 @@
 	return nil
 }
 
-// owners takes the first instance for the owner, and the first of the region: down or not,
-// since nobody has noticed yet.
+// owners returns the first instance as the owner, and the first of the region as the regional
+// owner, whether down or not: the failure has not been detected yet.
 func (x *instance) owners(string) (owner, regional Owner) {
-	of := func(o *instance) Owner {
+	asOwner := func(o *instance) Owner {
 		if o == x {
 			return Owner{Name: o.name}
 		}
@@ -96,106 +97,106 @@
 	}
 	for _, o := range x.fleet.instances {
 		if o.region == x.region {
-			return of(x.fleet.instances[0]), of(o)
+			return asOwner(x.fleet.instances[0]), asOwner(o)
 		}
 	}
-	panic("it is in its own region")
+	panic("the instance is in its own region")
 }
 
-func (x *instance) send(to *instance, text []byte) {
+func (x *instance) send(to *instance, payload []byte) {
 	f := x.fleet
 	if to == nil || to == x || x.down || to.down {
 		return
 	}
 	f.datagrams++
-	f.bytes += len(text)
+	f.bytes += len(payload)
 	if f.random.Float64() < f.loss {
 		return
 	}
-	took := nearTime
+	delay := regionalDelay
 	if to.region != x.region {
-		took = farTime
+		delay = remoteDelay
 	}
-	f.flying = append(f.flying, flying{f.now + took, x, to, text})
+	f.inFlight = append(f.inFlight, datagram{f.now + delay, x, to, payload})
 }
 
-// step lets time pass.
+// step advances the clock.
 func (f *fleet) step() {
 	f.now += modelStep
-	due := f.flying
-	f.flying = nil
+	due := f.inFlight
+	f.inFlight = nil
 	for _, d := range due {
 		switch {
 		case d.at > f.now:
-			f.flying = append(f.flying, d)
+			f.inFlight = append(f.inFlight, d)
 		case !d.to.down:
-			d.to.Hear(d.from.name, d.text)
+			d.to.Receive(d.from.name, d.payload)
 		}
 	}
 	for _, x := range f.instances {
 		if x.down {
 			continue
 		}
-		if f.now%TickTime == 0 {
+		if f.now%TickInterval == 0 {
 			x.Tick()
 		}
-		if f.now >= x.beat {
-			x.beat += modelBeat
-			x.compare()
+		if f.now >= x.nextHeartbeat {
+			x.nextHeartbeat += modelHeartbeat
+			x.exchangeLists()
 		}
 	}
 }
 
-// compare compares the list with that of another instance, as beats do.
-func (x *instance) compare() {
+// exchangeLists compares the digest with that of a random instance, and requests its list if
+// they differ.
+func (x *instance) exchangeLists() {
 	o := x.fleet.instances[x.fleet.random.IntN(len(x.fleet.instances))]
 	if o.down || o.Digest() == 0 || o.Digest() == x.Digest() {
 		return
 	}
-	text, err := o.Reply()
+	payload, err := o.EncodeReply()
 	if err == nil {
-		_ = x.TakeReply(text, o.name) // it may not have learned all
+		_ = x.MergeReply(payload, o.name) // the other instance may not be synced
 	}
 }
 
-// crash ends a backend server, with requests in flight from instances.
+// crash ends a backend server with requests of several instances in flight.
 func (f *fleet) crash(inFlight map[*instance][]request.Fingerprint) {
-	f.started++
-	for _, x := range f.instances { // in a fixed order, so that a seed repeats its play
-		if fs := inFlight[x]; len(fs) > 0 && !x.down {
-			x.Crashed(crash.Crash{Backend: fmt.Sprint("b", f.started), Service: "s", Suspects: suspects(fs...)})
+	f.crashes++
+	for _, x := range f.instances { // in a fixed order, so that a seed is reproducible
+		if requests := inFlight[x]; len(requests) > 0 && !x.down {
+			x.RecordCrash(crash.Crash{Backend: fmt.Sprint("b", f.crashes), Service: "s", Suspects: suspects(requests...)})
 		}
 	}
 }
 
-// lostAgain is the part of the requests that were beside a crash which are beside the next.
-// Origin: of 134 that were lost in an incident with eight crashes a second 13 were.
-const lostAgain = 0.2
+// repeatFraction is the fraction of the requests at a crash that are also at the next. In an
+// incident with eight crashes per second, 13 of 134 lost requests were.
+const repeatFraction = 0.2
 
-// beside returns requests that are in flight at a backend server from any instances. Some of
-// those that were at the crash before are there again, at another instance; the others
-// were answered meanwhile.
-func (f *fleet) beside(n int) map[*instance][]request.Fingerprint {
+// randomInFlight returns the harmless requests in flight at a backend server, by instance. Some
+// were at the last crash and are retried at another instance; the others were answered since.
+func (f *fleet) randomInFlight(n int) map[*instance][]request.Fingerprint {
 	out := make(map[*instance][]request.Fingerprint)
 	var all []request.Fingerprint
 	for i := range n {
 		r := request.Fingerprint(f.random.Uint64() | 1)
-		if i < len(f.again) {
-			if f.random.Float64() < lostAgain {
-				r = f.again[i]
+		if i < len(f.lastSuspects) {
+			if f.random.Float64() < repeatFraction {
+				r = f.lastSuspects[i]
 			} else {
-				f.up().Answered(f.again[i])
+				f.randomLive().RecordResponse(f.lastSuspects[i])
 			}
 		}
-		x := f.up()
+		x := f.randomLive()
 		out[x] = append(out[x], r)
 		all = append(all, r)
 	}
-	f.again = all
+	f.lastSuspects = all
 	return out
 }
 
-func (f *fleet) up() *instance {
+func (f *fleet) randomLive() *instance {
 	for {
 		if x := f.instances[f.random.IntN(len(f.instances))]; !x.down {
 			return x
@@ -203,26 +204,26 @@
 	}
 }
 
-// attack sends a request that crashes what runs it to any instance, two attempts each, for a
-// time. It returns when it had crashed the third, and how often it was sent later than contact
-// after that.
-func (f *fleet) attack(r request.Fingerprint, lasts, pause, contact time.Duration) (crashed, late int) {
+// attack sends a request that crashes backend servers to random instances, with two attempts
+// each, for a duration. It returns the number of crashes, and how often the request was sent
+// later than notice after the third crash.
+func (f *fleet) attack(r request.Fingerprint, duration, pause, notice time.Duration) (crashed, late int) {
 	var third time.Duration
 	next := f.now
-	for until := f.now + lasts; f.now < until; f.step() {
+	for until := f.now + duration; f.now < until; f.step() {
 		if f.now < next {
 			continue
 		}
 		next = f.now + time.Duration(f.random.Int64N(int64(2*pause)))
-		x := f.up()
+		x := f.randomLive()
 		for range 2 {
 			if x.Refuses(r) {
 				break
 			}
-			if third != 0 && f.now > third+contact {
+			if third != 0 && f.now > third+notice {
 				late++
 			}
-			inFlight := f.beside(6)
+			inFlight := f.randomInFlight(6)
 			inFlight[x] = append(inFlight[x], r)
 			f.crash(inFlight)
 			crashed++
@@ -234,21 +235,21 @@
 	return crashed, late
 }
 
-// wronglyRefused returns how many requests other than the given ones some instance refuses.
-func (f *fleet) wronglyRefused(right ...request.Fingerprint) int {
-	wrong := make(map[request.Fingerprint]bool)
+// wronglyRefused returns how many requests other than the culprits are refused by some instance.
+func (f *fleet) wronglyRefused(culprits ...request.Fingerprint) int {
+	quarantined := make(map[request.Fingerprint]bool)
 	for _, x := range f.instances {
 		for _, e := range x.Entries() {
-			wrong[e.Request] = wrong[e.Request] || e.Quarantined()
+			quarantined[e.Request] = quarantined[e.Request] || e.Quarantined()
 		}
 	}
 	n := 0
-	for r, is := range wrong {
-		if is {
+	for r, refused := range quarantined {
+		if refused {
 			n++
 		}
-		for _, x := range right {
-			if is && r == x {
+		for _, x := range culprits {
+			if refused && r == x {
 				n--
 			}
 		}
@@ -256,11 +257,12 @@
 	return n
 }
 
-const modelContact = time.Second
+// modelNotice is the time after the third crash by which all instances must refuse the request.
+const modelNotice = time.Second
 
-// TestFleetStopsARequest attacks fleets of all sizes and counts what reaches backend
-// servers late, who is refused wrongly, and what it costs.
-func TestFleetStopsARequest(t *testing.T) {
+// TestFleetQuarantinesRequest attacks fleets of several sizes, and counts the requests that
+// reach backend servers late, those refused wrongly, and the datagrams.
+func TestFleetQuarantinesRequest(t *testing.T) {
 	for _, n := range []int{1, 12, 77, 620} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			seeds := max(2, 60/n)
@@ -268,7 +270,7 @@
 			f := &fleet{}
 			for seed := range seeds {
 				f = newFleet(n, uint64(seed))
-				crashed, late := f.attack(7, 8*time.Second, 150*time.Millisecond, modelContact)
+				crashed, late := f.attack(7, 8*time.Second, 150*time.Millisecond, modelNotice)
 				worst = max(worst, late)
 				crashes = max(crashes, crashed)
 				wrong += f.wronglyRefused(7)
@@ -281,9 +283,9 @@
 	}
 }
 
-// TestSeveralRequestsAreToldApart attacks with several requests at once, while backend
-// servers also end for other reasons.
-func TestSeveralRequestsAreToldApart(t *testing.T) {
+// TestSeveralCulpritsAreDistinguished attacks with several requests at once, while backend
+// servers also crash for other reasons.
+func TestSeveralCulpritsAreDistinguished(t *testing.T) {
 	wrong, missed := 0, 0
 	const seeds = 40
 	for seed := range uint64(seeds) {
@@ -293,8 +295,8 @@
 			if f.random.IntN(100) >= 8 {
 				continue
 			}
-			x := f.up()
-			inFlight := f.beside(8)
+			x := f.randomLive()
+			inFlight := f.randomInFlight(8)
 			if r := culprits[f.random.IntN(len(culprits))]; f.random.IntN(4) > 0 {
 				if x.Refuses(r) {
 					continue
@@ -315,9 +317,9 @@
 	assert.Equal(t, wrong, 0)
 }
 
-// TestOrdinaryCrashesBlameNobody ends a backend server each 80 ms for 20 s, with requests
-// that were at the crash before: none of them is the cause.
-func TestOrdinaryCrashesBlameNobody(t *testing.T) {
+// TestUnrelatedCrashesQuarantineNothing crashes a backend server every 80 ms for 20 s. Some
+// requests were also at the previous crash, but none is the cause.
+func TestUnrelatedCrashesQuarantineNothing(t *testing.T) {
 	wrong, requests := 0, 0
 	for seed := range uint64(20) {
 		f := newFleet(12, seed)
@@ -325,7 +327,7 @@
 			if f.now%(8*modelStep) != 0 {
 				continue
 			}
-			f.crash(f.beside(8))
+			f.crash(f.randomInFlight(8))
 			requests += 8
 		}
 		wrong += f.wronglyRefused()
@@ -334,9 +336,9 @@
 	assert.Equal(t, wrong, 0)
 }
 
-// TestAnsweredRequestIsLetThroughAgain checks that an instance that has answered a request
-// has its quarantine withdrawn everywhere, and that a real culprit's stays.
-func TestAnsweredRequestIsLetThroughAgain(t *testing.T) {
+// TestAnsweredRequestIsWithdrawn checks that the entry of a request that an instance has
+// answered is withdrawn everywhere, and that the entry of a real culprit is not.
+func TestAnsweredRequestIsWithdrawn(t *testing.T) {
 	f := newFleet(12, 1)
 	for i := range 3 {
 		f.crash(map[*instance][]request.Fingerprint{f.instances[i]: {7}})
@@ -344,22 +346,22 @@
 			f.step()
 		}
 	}
-	f.instances[9].Answered(7)
+	f.instances[9].RecordResponse(7)
 	for range 100 {
 		f.step()
 	}
 	for _, x := range f.instances {
 		assert.Assert(t, !x.Refuses(7), x.name)
 	}
-	f.attack(7, 5*time.Second, 150*time.Millisecond, modelContact)
+	f.attack(7, 5*time.Second, 150*time.Millisecond, modelNotice)
 	for _, x := range f.instances {
 		assert.Assert(t, x.Refuses(7), x.name)
 	}
 }
 
-// TestOwnerIsDown checks that the owners within regions stop a request while nobody has
-// noticed that the owner is down.
-func TestOwnerIsDown(t *testing.T) {
+// TestRegionalOwnersActWhileOwnerIsDown checks that the owners within the regions quarantine a
+// request before the failure of the owner is detected.
+func TestRegionalOwnersActWhileOwnerIsDown(t *testing.T) {
 	f := newFleet(24, 3)
 	f.instances[0].down = true
 	crashed, late := f.attack(7, 10*time.Second, 150*time.Millisecond, 3*time.Second)
@@ -368,24 +370,24 @@
 	assert.Equal(t, f.wronglyRefused(7), 0)
 }
 
-// TestInstanceThatWasAwayLearns checks one that was down during the attack, and one that
-// starts after it.
-func TestInstanceThatWasAwayLearns(t *testing.T) {
+// TestLateInstancesReceiveEntries checks an instance that was down during the attack, and one
+// that starts after it.
+func TestLateInstancesReceiveEntries(t *testing.T) {
 	f := newFleet(24, 4)
 	f.instances[5].down = true
-	f.attack(7, 3*time.Second, 100*time.Millisecond, modelContact)
+	f.attack(7, 3*time.Second, 100*time.Millisecond, modelNotice)
 	assert.Assert(t, !f.instances[5].Refuses(7))
 	f.instances[5].down = false
 	x := f.add("new", 2)
-	for range int(3 * modelBeat / modelStep) {
+	for range int(3 * modelHeartbeat / modelStep) {
 		f.step()
 	}
 	assert.Assert(t, f.instances[5].Refuses(7))
 	assert.Assert(t, x.Refuses(7))
 }
 
-// TestInstanceAloneStopsARequest checks one that is cut off from all others.
-func TestInstanceAloneStopsARequest(t *testing.T) {
+// TestIsolatedInstanceQuarantinesRequest checks an instance that is isolated from all others.
+func TestIsolatedInstanceQuarantinesRequest(t *testing.T) {
 	f := newFleet(24, 5)
 	for _, x := range f.instances[:23] {
 		x.down = true
@@ -395,19 +397,19 @@
 	assert.Assert(t, late <= 3, "%d", late)
 }
 
-// TestOperatorsDecide checks that a request that they let through is neither refused nor
-// blamed again, and is refused once they have changed their mind.
-func TestOperatorsDecide(t *testing.T) {
+// TestOperatorsOverrideQuarantine checks that a request which operators released is neither
+// refused nor quarantined again, and is refused after they revert that.
+func TestOperatorsOverrideQuarantine(t *testing.T) {
 	f := newFleet(3, 6)
-	f.attack(7, 3*time.Second, 100*time.Millisecond, modelContact)
+	f.attack(7, 3*time.Second, 100*time.Millisecond, modelNotice)
 	x := f.instances[2]
 	assert.Assert(t, x.Refuses(7))
-	let := map[request.Fingerprint]bool{7: true}
+	released := map[request.Fingerprint]bool{7: true}
 	for _, x := range f.instances {
-		x.LetThrough(let)
+		x.SetReleased(released)
 	}
-	f.attack(7, 2*time.Second, 100*time.Millisecond, modelContact)
+	f.attack(7, 2*time.Second, 100*time.Millisecond, modelNotice)
 	assert.Assert(t, !x.Refuses(7))
-	x.LetThrough(nil)
+	x.SetReleased(nil)
 	assert.Assert(t, x.Refuses(7))
 }
--- a/process/quota/wire.go
+++ b/process/quota/wire.go
@@ -9,20 +9,20 @@
 	"github.com/juju/errors"
 )
 
-// The first byte of a message says what its entries are.
+// The first byte of a message is the kind of its entries.
 const (
-	kindAsk    = 1
-	kindAnswer = 2
+	kindRequest  = 1
+	kindResponse = 2
 )
 
 const (
-	// askBytes and answerBytes are the sizes of an entry.
-	askBytes    = 8 + 1 + 1 + 2 + 2 + 2
-	answerBytes = 8 + 1 + 1 + 2 + 2
-	// mostEntries bounds the entries of a message, so that it fits in a datagram.
-	mostEntries = 60
-	// usedUnit is the unit of answer.used on the wire.
-	usedUnit = 1.0 / 1024
+	// requestBytes and responseBytes are the sizes of an entry.
+	requestBytes  = 8 + 1 + 1 + 2 + 2 + 2
+	responseBytes = 8 + 1 + 1 + 2 + 2
+	// maxEntries limits the entries of a message, so that it fits in a datagram.
+	maxEntries = 60
+	// usageUnit is the unit of tokenResponse.usage on the wire.
+	usageUnit = 1.0 / 1024
 )
 
 // Flags of entries.
@@ -31,83 +31,83 @@
 	flagScarce  = 1
 )
 
-// ask is what an instance tells the owner of a workspace.
-type ask struct {
-	hash    uint64 // of the workspace's name
-	seq     byte   // rises with each ask of the instance for the workspace
-	spent   uint16 // requests that came in without a token
-	want    uint16 // tokens wanted
-	back    uint16 // tokens given back
-	release bool   // no more requests come
+// tokenRequest is what an instance sends to the owner of a workspace.
+type tokenRequest struct {
+	hash       uint64 // of the workspace name
+	seq        byte   // increases with each token request of the instance for the workspace
+	unreported uint16 // requests admitted without a token
+	wanted     uint16 // tokens requested
+	returned   uint16 // tokens returned
+	release    bool   // no more requests are expected
 }
 
-// answer is what the owner says.
-type answer struct {
+// tokenResponse is the owner's answer to a token request.
+type tokenResponse struct {
 	hash    uint64
-	seq     byte // of the ask
+	seq     byte // of the token request
 	granted uint16
 	scarce  bool    // the bucket is less than half full
-	used    float64 // what all instances use, relative to the rate
+	usage   float64 // total usage of all instances, relative to the rate
 }
 
-// whole returns the whole number of a count.
-func whole(n float64) uint16 { return uint16(min(math.MaxUint16, max(0, math.Ceil(n)))) }
+// toCount rounds a count up and limits it to the range of the wire format.
+func toCount(n float64) uint16 { return uint16(min(math.MaxUint16, max(0, math.Ceil(n)))) }
 
-func flag(set bool, bit byte) byte {
+func flagByte(set bool, bit byte) byte {
 	if set {
 		return bit
 	}
 	return 0
 }
 
-func encodeAsks(list []ask) []byte {
-	out := []byte{kindAsk}
-	for _, x := range list {
-		out = binary.LittleEndian.AppendUint64(out, x.hash)
-		out = append(out, x.seq, flag(x.release, flagRelease))
-		out = binary.LittleEndian.AppendUint16(out, x.spent)
-		out = binary.LittleEndian.AppendUint16(out, x.want)
-		out = binary.LittleEndian.AppendUint16(out, x.back)
+func encodeRequests(list []tokenRequest) []byte {
+	out := []byte{kindRequest}
+	for _, r := range list {
+		out = binary.LittleEndian.AppendUint64(out, r.hash)
+		out = append(out, r.seq, flagByte(r.release, flagRelease))
+		out = binary.LittleEndian.AppendUint16(out, r.unreported)
+		out = binary.LittleEndian.AppendUint16(out, r.wanted)
+		out = binary.LittleEndian.AppendUint16(out, r.returned)
 	}
 	return out
 }
 
-func encodeAnswers(list []answer) []byte {
-	out := []byte{kindAnswer}
-	for _, x := range list {
-		out = binary.LittleEndian.AppendUint64(out, x.hash)
-		out = append(out, x.seq, flag(x.scarce, flagScarce))
-		out = binary.LittleEndian.AppendUint16(out, x.granted)
-		out = binary.LittleEndian.AppendUint16(out, uint16(min(math.MaxUint16, x.used/usedUnit)))
+func encodeResponses(list []tokenResponse) []byte {
+	out := []byte{kindResponse}
+	for _, r := range list {
+		out = binary.LittleEndian.AppendUint64(out, r.hash)
+		out = append(out, r.seq, flagByte(r.scarce, flagScarce))
+		out = binary.LittleEndian.AppendUint16(out, r.granted)
+		out = binary.LittleEndian.AppendUint16(out, uint16(min(math.MaxUint16, r.usage/usageUnit)))
 	}
 	return out
 }
 
-// decode reads a message: asks or answers.
-func decode(text []byte) (asks []ask, answers []answer, err error) {
-	if len(text) == 0 {
+// decode parses a message into token requests or responses.
+func decode(payload []byte) (requests []tokenRequest, responses []tokenResponse, err error) {
+	if len(payload) == 0 {
 		return nil, nil, errors.New("empty message")
 	}
-	entries := text[1:]
-	switch kind := text[0]; {
-	case kind == kindAsk && len(entries)%askBytes == 0 && len(entries) <= mostEntries*askBytes:
-		for ; len(entries) > 0; entries = entries[askBytes:] {
-			asks = append(asks, ask{
+	entries := payload[1:]
+	switch kind := payload[0]; {
+	case kind == kindRequest && len(entries)%requestBytes == 0 && len(entries) <= maxEntries*requestBytes:
+		for ; len(entries) > 0; entries = entries[requestBytes:] {
+			requests = append(requests, tokenRequest{
 				hash: binary.LittleEndian.Uint64(entries), seq: entries[8], release: entries[9]&flagRelease != 0,
-				spent: binary.LittleEndian.Uint16(entries[10:]), want: binary.LittleEndian.Uint16(entries[12:]),
-				back: binary.LittleEndian.Uint16(entries[14:]),
+				unreported: binary.LittleEndian.Uint16(entries[10:]), wanted: binary.LittleEndian.Uint16(entries[12:]),
+				returned: binary.LittleEndian.Uint16(entries[14:]),
 			})
 		}
-	case kind == kindAnswer && len(entries)%answerBytes == 0 && len(entries) <= mostEntries*answerBytes:
-		for ; len(entries) > 0; entries = entries[answerBytes:] {
-			answers = append(answers, answer{
+	case kind == kindResponse && len(entries)%responseBytes == 0 && len(entries) <= maxEntries*responseBytes:
+		for ; len(entries) > 0; entries = entries[responseBytes:] {
+			responses = append(responses, tokenResponse{
 				hash: binary.LittleEndian.Uint64(entries), seq: entries[8], scarce: entries[9]&flagScarce != 0,
 				granted: binary.LittleEndian.Uint16(entries[10:]),
-				used:    float64(binary.LittleEndian.Uint16(entries[12:])) * usedUnit,
+				usage:   float64(binary.LittleEndian.Uint16(entries[12:])) * usageUnit,
 			})
 		}
 	default:
-		return nil, nil, errors.Errorf("message of kind %d with %d bytes", text[0], len(text))
+		return nil, nil, errors.Errorf("invalid message of kind %d with %d bytes", payload[0], len(payload))
 	}
-	return asks, answers, nil
+	return requests, responses, nil
 }
--- a/process/ratelimit/exchange.go
+++ b/process/ratelimit/exchange.go
@@ -2,92 +2,93 @@
 
 package ratelimit
 
-// Hear takes up a message from an address, and reports whether it was one of this package.
-func (l *Limiter) Hear(from string, text []byte) bool {
-	if len(text) == 0 || text[0] < kindAsk || text[0] > kindReport {
+// Receive handles a message from an address, and reports whether it is a message of this package.
+func (l *Limiter) Receive(from string, text []byte) bool {
+	if len(text) == 0 || text[0] < kindRequest || text[0] > kindReport {
 		return false
 	}
-	if text[0] == kindAnswer {
-		l.hearAnswer(text)
+	if text[0] == kindResponse {
+		l.handleResponse(text)
 		return true
 	}
-	if out := l.hearAsk(from, text); out != nil {
+	if out := l.handleRequest(from, text); out != nil {
 		l.Send(from, out)
 	}
 	return true
 }
 
-// hearAsk answers an ask; nil: there is nothing to say.
-func (l *Limiter) hearAsk(from string, text []byte) []byte {
+// handleRequest returns the response to a permit request or report, or nil if there is none.
+func (l *Limiter) handleRequest(from string, text []byte) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Now()
-	x, err := decodeAsk(text, now)
-	if err != nil || x.start == 0 {
-		return nil // it is of no instance of this version
+	x, err := decodeRequest(text, now)
+	if err != nil || x.incarnationHash == 0 {
+		return nil // it was sent by an instance of another software version
 	}
-	k := l.backends[x.start]
+	k := l.backends[x.incarnationHash]
 	if k == nil {
-		if !x.word.limited(now) {
-			k = &backend{} // nothing is known of it, nor worth keeping
+		if !x.observed.limited(now) {
+			k = &backend{} // nothing is known of it, and nothing needs to be kept
 		} else {
-			k = l.add(x.start)
+			k = l.add(x.incarnationHash)
 		}
 	}
-	k.used = now
-	l.learn(k, x.word, false)
+	k.lastUsed = now
+	l.update(k, x.observed, false)
 	if text[0] == kindReport {
 		return nil
 	}
-	out := answer{seq: x.seq, start: x.start, status: notOwner, wait: retryOwner, word: k.word}
-	if o := l.Owner(x.region, x.start); o.Name == "" || o.Address != "" {
+	out := permitResponse{seq: x.seq, incarnationHash: x.incarnationHash, status: notOwner, wait: ownerRetryDelay, observed: k.observed}
+	if o := l.Owner(x.region, x.incarnationHash); o.Name == "" || o.Address != "" {
 		return out.encode(now)
 	}
 	if k.bucket != nil {
-		if again, ok := k.bucket.asker(from).repeated(x.seq); ok {
-			return again.encode(now)
+		if previous, ok := k.bucket.requester(from).previousResponse(x.seq); ok {
+			return previous.encode(now)
 		}
 	}
 	out.status, out.wait = l.grant(k, from, int(x.priority), now)
 	if k.bucket != nil {
-		k.bucket.asker(from).keep(out)
+		k.bucket.requester(from).store(out)
 	}
 	return out.encode(now)
 }
 
-// hearAnswer takes up the answer to an ask. If nobody waits for it any more, a permit is kept for
-// another request.
-func (l *Limiter) hearAnswer(text []byte) {
+// handleResponse handles the response to a permit request. If no request waits for it any more, a
+// permit is kept for another one.
+func (l *Limiter) handleResponse(text []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Now()
-	x, err := decodeAnswer(text, now)
+	x, err := decodeResponse(text, now)
 	if err != nil {
 		return
 	}
-	k := l.backends[x.start]
+	k := l.backends[x.incarnationHash]
 	if k == nil {
 		return
 	}
-	l.learn(k, x.word, false)
+	l.update(k, x.observed, false)
 	p := l.pending[x.seq]
 	if p == nil || p.backend != k {
 		return
 	}
 	delete(l.pending, x.seq)
-	l.count(x.status)
+	l.countResult(x.status)
 	switch {
 	case x.status != granted:
 		k.block(p.priority, x.wait, now)
-	case p.left:
-		k.spare = append(k.spare, now)
+	case p.abandoned:
+		k.unusedPermits = append(k.unusedPermits, now)
 	}
-	p.answered <- x.status == granted
+	p.result <- x.status == granted
 }
 
-// Tick tells owners of limits that have ended, and forgets what is of no use any more.
+// Tick reports limits that have ended to their owners, and drops state that is no longer needed.
+// It must be called every TickInterval.
 func (l *Limiter) Tick() {
-	if !l.any.Load() {
+	if !l.active.Load() {
 		return
 	}
 	type message struct {
@@ -97,28 +98,28 @@
 	var out []message
 	l.mu.Lock()
 	now := l.Now()
-	l.share(now)
-	for start, k := range l.backends {
-		if k.bucket != nil && l.Owner(k.Region, start).Address != "" {
+	l.liveShare(now)
+	for incarnationHash, k := range l.backends {
+		if k.bucket != nil && l.Owner(k.Region, incarnationHash).Address != "" {
 			k.bucket = nil
 		}
-		if k.reports > 0 {
-			k.reports--
-			if o := l.Owner(k.Region, start); o.Address != "" {
-				x := ask{start: start, word: k.word, region: k.Region}
+		if k.reportsLeft > 0 {
+			k.reportsLeft--
+			if o := l.Owner(k.Region, incarnationHash); o.Address != "" {
+				x := permitRequest{incarnationHash: incarnationHash, observed: k.observed, region: k.Region}
 				out = append(out, message{o.Address, x.encode(kindReport, now)})
 			}
 		}
-		if now-k.used > forgetAfter {
-			delete(l.backends, start)
+		if now-k.lastUsed > forgetAfter {
+			delete(l.backends, incarnationHash)
 		}
 	}
 	for seq, p := range l.pending {
-		if now-p.asked > permitFor {
+		if now-p.sentAt > permitTTL {
 			delete(l.pending, seq)
 		}
 	}
-	l.any.Store(len(l.backends) > 0)
+	l.active.Store(len(l.backends) > 0)
 	l.mu.Unlock()
 	for _, m := range out {
 		l.Send(m.address, m.text)
--- a/process/rollout/attempt.go
+++ b/process/rollout/attempt.go
@@ -4,113 +4,112 @@
 
 import "time"
 
-// Attempt is one attempt at a request of a service whose roll-out runs. Nil: there is
-// none.
+// Attempt is one attempt at a request of a service with a running rollout. It is nil if there is no
+// rollout.
 type Attempt struct {
-	r      *Rollouts
-	s      *service
-	trial  *trial
-	route  *routeTrial
-	order  int64
-	target string // the version that it goes to; "": it goes to the version before
-	ended  bool
+	controller *Controller
+	service    *service
+	stats      *localStats
+	route      *routeStats
+	orderID    int64
+	target     string // "": the attempt goes to the previous version
+	ended      bool
 }
 
-// Outcome is what came of an attempt.
+// Outcome is the result of an attempt.
 type Outcome struct {
-	// Failed: the answer was a failure of the backend server, or none came.
+	// Failed is set if the backend server responded with a failure, or not at all.
 	Failed bool
-	// Inconclusive: nothing was sent, or the caller gave up, so that it tells nothing of
-	// the backend server.
+	// Inconclusive is set if nothing was sent or the caller gave up, so that the outcome says
+	// nothing about the backend server.
 	Inconclusive bool
-	// Took is the time from sending to the answer.
-	Took time.Duration
-	// Unseen: the backend server had not worked on the object lately; Cold: it counts
-	// as cold.
+	// Latency is the time from sending the request to the response.
+	Latency time.Duration
+	// Unseen is set if the backend server had not worked on the object lately, Cold if it counts as
+	// cold.
 	Unseen, Cold bool
 }
 
-// Begin begins an attempt. First is false for a further attempt at the same request:
-// it goes to the target only while nothing may go to the version before any more.
-// Home returns the hash of the backend server that the request's object has as its
-// home among the target's; ok is false if none takes work. It is called only if the
-// answer matters, and may call the roll-outs.
-func (r *Rollouts) Begin(service, route string, first bool, home func() (hash uint64, ok bool)) *Attempt {
-	if !r.running.Load() {
+// Begin begins an attempt. First is false for a retry of the same request: a retry goes to the
+// target only if nothing may go to the previous version any more. Home returns the hash of the
+// object's home among the target's backend servers; ok is false if none accepts requests. It is
+// called only if the result matters, and may call the Controller.
+func (r *Controller) Begin(service, route string, first bool, home func() (hash uint64, ok bool)) *Attempt {
+	if !r.active.Load() {
 		return nil
 	}
-	a, way := r.begin(service, route, first)
-	if way != ifOpen {
+	a, dest := r.begin(service, route, first)
+	if dest != ifActive {
 		return a
 	}
 	hash, ok := home()
 	r.mu.Lock()
 	defer r.unlock()
-	r.send(a, r.wayIfOpen(a, hash, ok))
+	r.assign(a, r.destinationByHome(a, hash, ok))
 	return a
 }
 
-// begin begins an attempt as far as that goes without the home of its object.
-func (r *Rollouts) begin(service, route string, first bool) (*Attempt, way) {
+// begin begins an attempt as far as that is possible without the home of its object.
+func (r *Controller) begin(service, route string, first bool) (*Attempt, destination) {
 	r.mu.Lock()
 	defer r.unlock()
 	s := r.services[service]
-	if s == nil || !s.runs() {
-		return nil, toBefore
+	if s == nil || !s.inProgress() {
+		return nil, toPrevious
 	}
 	now := r.Now()
-	a := &Attempt{r: r, s: s, trial: s.trial, route: s.trial.route(route), order: s.Order.ID}
-	s.reports.cameAt = now
-	s.reports.came = true
-	s.gate.came(r.Bounds.Share, r.saveFor(s), now)
-	way := r.way(a, first, now)
-	if way != ifOpen {
-		r.send(a, way)
-	}
-	return a, way
+	a := &Attempt{controller: r, service: s, stats: s.stats, route: s.stats.route(route), orderID: s.Order.ID}
+	s.reportState.lastRequestAt = now
+	s.reportState.hadRequest = true
+	s.gate.addAttempt(r.Bounds.Share, r.creditPeriod(s), now)
+	dest := r.destination(a, first, now)
+	if dest != ifActive {
+		r.assign(a, dest)
+	}
+	return a, dest
 }
 
-// send notes where an attempt goes. The caller holds the lock.
-func (r *Rollouts) send(a *Attempt, to way) {
-	if to == toTarget {
-		a.target = a.s.Order.Target
-		a.s.gate.take(r.Bounds.Share, r.Now())
+// assign records where an attempt goes. The caller holds the lock.
+func (r *Controller) assign(a *Attempt, dest destination) {
+	if dest == toTarget {
+		a.target = a.service.Order.Target
+		a.service.gate.addTargetAttempt(r.Bounds.Share, r.Now())
 		return
 	}
-	a.s.toBefore++
+	a.service.inFlightToPrevious++
 }
 
-// way decides on an attempt. The caller holds the lock.
-func (r *Rollouts) way(a *Attempt, first bool, now time.Duration) way {
-	g := &a.s.gate
-	chance := g.chance(a.route.hash, a.trial.part(a.route))
-	return g.way(r.Bounds.Share, first, chance > 0 && r.random() < chance, now)
+// destination decides on an attempt. The caller holds the lock.
+func (r *Controller) destination(a *Attempt, first bool, now time.Duration) destination {
+	g := &a.service.gate
+	probability := g.evidenceProbability(a.route.hash, a.stats.trafficFraction(a.route))
+	return g.decide(r.Bounds.Share, first, probability > 0 && r.random() < probability, now)
 }
 
-// wayIfOpen decides on an attempt whose object has a home. The roll-out may have moved
-// while that was looked up. The caller holds the lock.
-func (r *Rollouts) wayIfOpen(a *Attempt, home uint64, ok bool) way {
-	s, now := a.s, r.Now()
-	if !ok || s.Order == nil || s.Order.ID != a.order || !s.runs() {
-		return toBefore
+// destinationByHome decides on an attempt by the home of its object. The rollout may have changed
+// since begin, as the lock was free meanwhile. The caller holds the lock.
+func (r *Controller) destinationByHome(a *Attempt, home uint64, ok bool) destination {
+	s, now := a.service, r.Now()
+	if !ok || s.Order == nil || s.Order.ID != a.orderID || !s.inProgress() {
+		return toPrevious
 	}
-	way := s.gate.way(r.Bounds.Share, true, false, now)
-	if way == ifOpen && s.turns.open(home, s.gate.turn(now), canaryPart*r.Bounds.Share) {
+	dest := s.gate.decide(r.Bounds.Share, true, false, now)
+	if dest == ifActive && s.rotation.isActive(home, s.gate.round(now), canaryFraction*r.Bounds.Share) {
 		return toTarget
 	}
-	if way == ifOpen {
-		return toBefore
+	if dest == ifActive {
+		return toPrevious
 	}
-	return way
+	return dest
 }
 
-// saveFor is over how long the share is saved: at least until a backend server is open
-// again.
-func (r *Rollouts) saveFor(s *service) time.Duration {
-	return max(saveTime, time.Duration(s.turns.every(canaryPart*r.Bounds.Share))*turnTime)
+// creditPeriod is the time over which unused share accumulates: at least until a backend server is
+// active again.
+func (r *Controller) creditPeriod(s *service) time.Duration {
+	return max(creditTime, time.Duration(s.rotation.roundInterval(canaryFraction*r.Bounds.Share))*roundTime)
 }
 
-// Target returns the version that the attempt goes to if it goes to the target, else "".
+// Target returns the target version if the attempt goes to the target, else "".
 func (a *Attempt) Target() string {
 	if a == nil {
 		return ""
@@ -118,35 +117,34 @@
 	return a.target
 }
 
-// Decline sends the attempt to the version in force after all, since the target can't
-// take it. It reports whether it may go there: not while the instance has said that
-// nothing goes there any more. Over says that the tables have no roll-out of the service
-// any more: what was said while it ran does not bind then, and the roll-outs are told of
-// its end in the next moment.
-func (a *Attempt) Decline(over bool) bool {
+// Decline sends the attempt to the version in force after all, since the target can't take it. It
+// returns false if the attempt must not go there because the instance has promised to send nothing
+// there. Ended is set if the tables have no rollout of the service any more. The promise is then
+// void, and the Controller is about to receive the end of the rollout.
+func (a *Attempt) Decline(ended bool) bool {
 	if a.Target() == "" {
 		return true
 	}
-	a.r.mu.Lock()
-	defer a.r.unlock()
-	s := a.s
-	if !over && s.gate.closed(a.r.Now()) {
+	a.controller.mu.Lock()
+	defer a.controller.unlock()
+	s := a.service
+	if !ended && s.gate.closed(a.controller.Now()) {
 		return false
 	}
 	a.target = ""
-	s.toBefore++
-	if s.Order != nil && s.Order.ID == a.order {
-		s.gate.giveBack()
+	s.inFlightToPrevious++
+	if s.Order != nil && s.Order.ID == a.orderID {
+		s.gate.undoTargetAttempt()
 	}
 	return true
 }
 
-// Done tells what came of the attempt. It is called once.
+// Done reports the outcome of the attempt. It is called once.
 func (a *Attempt) Done(o Outcome) {
 	if a == nil {
 		return
 	}
-	r, s := a.r, a.s
+	r, s := a.controller, a.service
 	r.mu.Lock()
 	defer r.unlock()
 	if a.ended {
@@ -154,51 +152,51 @@
 	}
 	a.ended = true
 	if a.target == "" {
-		s.toBefore--
+		s.inFlightToPrevious--
 	}
 	if o.Inconclusive {
-		a.inconclusive()
+		a.uncount()
 		return
 	}
 	now := r.Now()
 	c := a.count(o)
-	if a.trial != s.trial || !s.runs() {
-		return // of a roll-out that has ended
+	if a.stats != s.stats || !s.inProgress() {
+		return // it belongs to a rollout that has ended
 	}
 	if a.target == "" {
-		s.trial.local.base(a.route.hash, c, now)
+		s.stats.analysis.addBase(a.route.hash, c, now)
 		return
 	}
-	s.trial.local.target(a.route.hash, c, now, now)
+	s.stats.analysis.addTarget(a.route.hash, c, now, now)
 	if c.bad() > 0 {
-		s.reports.hasty = true
+		s.reportState.urgent = true
 	}
-	if s.trial.local.cause != "" && !s.gate.halted {
-		s.gate.halted = true // what was promised holds until then
-		r.note(s, "instance-stopped", s.trial.local.cause, &s.trial.local, 0)
+	if s.stats.analysis.cause != "" && !s.gate.halted {
+		s.gate.halted = true // a drain promise stays valid until it ends
+		r.logEvent(s, "instance-stopped", s.stats.analysis.cause, &s.stats.analysis, 0)
 	}
 }
 
-// inconclusive takes an attempt at the version before out of the count of all. Some of
-// them were sent, so the share is kept a little more strictly than it has to be.
-func (a *Attempt) inconclusive() {
-	s := a.s
-	if a.target == "" && s.Order != nil && s.Order.ID == a.order {
-		s.gate.all--
+// uncount removes an inconclusive attempt at the previous version from the count of all attempts.
+// Some of these were sent, so the limit on the share is slightly stricter than necessary.
+func (a *Attempt) uncount() {
+	s := a.service
+	if a.target == "" && s.Order != nil && s.Order.ID == a.orderID {
+		s.gate.attempts--
 	}
 }
 
-// count classes the outcome and counts it.
+// count classifies the outcome and counts it.
 func (a *Attempt) count(o Outcome) Counts {
 	c := Counts{Requests: 1}
 	if o.Failed {
 		c.Failed = 1
 	} else {
-		doubts := &a.trial.doubtsOfBase
+		filter := &a.stats.baseAmbiguous
 		if a.target != "" {
-			doubts = &a.trial.doubtsOfTarget
+			filter = &a.stats.targetAmbiguous
 		}
-		timed, slow := doubts.note(a.route.usual.class(o, a.lateness()))
+		timed, slow := filter.resolve(a.route.typical.classify(o, a.schedulingDelay()))
 		c.Timed, c.Slow = oneIf(timed), oneIf(slow)
 	}
 	if a.target != "" {
@@ -207,20 +205,21 @@
 	}
 	a.route.base.add(c)
 	if !o.Failed && !o.Cold && !o.Unseen {
-		a.route.usual.add(o.Took)
+		a.route.typical.add(o.Latency)
 	}
 	return c
 }
 
-// lateness is by how much this instance's machine may have delayed an answer, as far as that
-// matters: most of the time the baseline has answers of the same moment, some of which it delayed
-// as much, and the verdict compares. Where many are, or there are none since the target has been
-// promoted, that is too rough.
-func (a *Attempt) lateness() time.Duration {
-	if a.s.gate.phase != Promote && a.trial.doubtsOfBase.part < doubtSpell {
+// schedulingDelay returns how much a stall of this instance's own process may have added to a
+// response, or zero if that may be ignored. It may be ignored as long as the baseline has responses
+// of the same time, some of which were delayed as much: the analysis compares the two. That is too
+// rough if many responses are delayed, or if there is no baseline since the target has been
+// promoted.
+func (a *Attempt) schedulingDelay() time.Duration {
+	if a.service.gate.phase != Promote && a.stats.baseAmbiguous.slowFraction < stallFraction {
 		return 0
 	}
-	return a.r.late()
+	return a.controller.schedulingDelay()
 }
 
 func oneIf(set bool) int64 {
--- a/process/rollout/gate.go
+++ b/process/rollout/gate.go
@@ -10,198 +10,206 @@
 
 // gate decides at one instance which attempts go to the target.
 type gate struct {
-	// all are the attempts since the instance heard of the order, and sent those of them
-	// that went to the target.
-	all, sent int64
-	// extra is the number of requests that may go there besides the share, and used how
+	// attempts counts the attempts since the instance received the order, and targetAttempts those
+	// of them that went to the target.
+	attempts, targetAttempts int64
+	// slack is how many requests may go to the target in addition to the share, and slackUsed how
 	// many of them have.
-	extra, used float64
-	// saved are parts of requests for the next open backend server.
-	saved float64
-	rate  rateMeter
-
-	phase  Phase
-	halted bool // the owner stopped the target, or this instance did
-	lease  time.Duration
-	// stamp is the owner's clock in milliseconds as of stampAt.
-	stamp   uint32
-	stampAt time.Duration
-	// bound is until when the share is bounded. Zero: not known.
-	bound      time.Duration
-	lacking    []routeHash
-	allLacking bool
-	// promised is until when nothing goes to the version before.
-	promised time.Duration
-}
-
-// renewed is the gate for an order that replaces one for the same target: shares count
-// from there, and nothing goes to the target until the owner has taken it up. What was
-// promised holds: the last step for the order before may be in the store.
-func (g *gate) renewed() gate {
-	return gate{extra: max(0, g.extra-g.used), halted: g.halted, rate: g.rate, promised: g.promised}
-}
-
-// closed reports whether nothing may go to the version before.
+	slack, slackUsed float64
+	// credit is the unused part of the share, in requests, that is kept until a backend server of
+	// the target is active.
+	credit float64
+	rate   rateMeter
+
+	phase      Phase
+	halted     bool // by the owner or by this instance
+	leaseUntil time.Duration
+	// ownerClock is the owner's clock in milliseconds at ownerClockAt.
+	ownerClock   uint32
+	ownerClockAt time.Duration
+	// shareLimitUntil is when the limit on the share ends. Zero: not known.
+	shareLimitUntil time.Duration
+	lackingRoutes   []routeHash
+	allLacking      bool
+	// drainedUntil is until when this instance has promised to send nothing to the previous
+	// version.
+	drainedUntil time.Duration
+}
+
+// forNewOrder returns the gate for an order that replaces one for the same target. The share counts
+// from zero, and nothing goes to the target until the owner has adopted the new order. A drain
+// promise stays valid, since the last step of the old order may already be in the store.
+func (g *gate) forNewOrder() gate {
+	return gate{slack: max(0, g.slack-g.slackUsed), halted: g.halted, rate: g.rate, drainedUntil: g.drainedUntil}
+}
+
+// closed reports whether nothing may go to the previous version.
 func (g *gate) closed(now time.Duration) bool {
-	return g.phase == Completed || now < g.promised
+	return g.phase == Completed || now < g.drainedUntil
 }
 
-// goOn takes up a phase, unless it is further.
-func (g *gate) goOn(p Phase) {
-	if numberOf(p) > numberOf(g.phase) {
+// advanceTo sets the phase, unless the gate is already in a later one.
+func (g *gate) advanceTo(p Phase) {
+	if phaseNumber(p) > phaseNumber(g.phase) {
 		g.phase = p
 	}
 }
 
-// way is where an attempt goes.
-type way int
+// destination is where an attempt goes.
+type destination int
 
 const (
-	toBefore way = iota
+	toPrevious destination = iota
 	toTarget
-	ifOpen // to the target if the home of its object is open
+	ifActive // to the target if the home backend server of its object is active
 )
 
-// way decides on an attempt as far as that follows without the home of its object.
-// Random is set if it goes to the target for the evidence, within the bound.
-func (g *gate) way(share float64, first, random bool, now time.Duration) way {
+// decide decides on an attempt as far as that is possible without the home backend server of its
+// object. Random is set if the attempt was selected at random to collect evidence; it goes to the
+// target if the share allows it.
+func (g *gate) decide(share float64, first, random bool, now time.Duration) destination {
 	switch {
 	case g.closed(now):
 		return toTarget
-	case g.halted || !first || now >= g.lease:
-		return toBefore
-	case g.phase == Promote && (g.free(now) || g.within(g.part()*share)):
+	case g.halted || !first || now >= g.leaseUntil:
+		return toPrevious
+	case g.phase == Promote && (g.shareLimitEnded(now) || g.fits(g.usableFraction()*share)):
 		return toTarget
-	case g.phase != Canary || !g.within(g.part()*share) || g.saved < 1:
-		return toBefore
+	case g.phase != Canary || !g.fits(g.usableFraction()*share) || g.credit < 1:
+		return toPrevious
 	case random:
 		return toTarget
-	case len(g.lacking) > 0 && g.allLacking && g.saved < spareRequests:
-		return toBefore
+	case len(g.lackingRoutes) > 0 && g.allLacking && g.credit < spareCredit:
+		return toPrevious
 	}
-	return ifOpen
+	return ifActive
 }
 
-// chance is the part of the attempts on a route that goes to the target for the
-// evidence. Part is the part of all requests that the route has.
-func (g *gate) chance(route routeHash, part float64) float64 {
+// evidenceProbability returns the probability with which an attempt on a route is sent to the
+// target to collect evidence. Fraction is the part of all requests that the route gets.
+func (g *gate) evidenceProbability(route routeHash, fraction float64) float64 {
 	switch {
-	case slices.Contains(g.lacking, route):
-		return rarePart / part
-	case g.allLacking && (len(g.lacking) == 0 || g.saved >= spareRequests):
-		return evidencePart
+	case slices.Contains(g.lackingRoutes, route):
+		return scarceRouteFraction / fraction
+	case g.allLacking && (len(g.lackingRoutes) == 0 || g.credit >= spareCredit):
+		return evidenceFraction
 	}
 	return 0
 }
 
-// part is the part of the set share that may be used now.
-func (g *gate) part() float64 {
+// usableFraction returns which fraction of the configured share may be used in the current phase.
+func (g *gate) usableFraction() float64 {
 	switch {
 	case g.phase == Promote:
-		return promotePart
+		return promoteFraction
 	case g.allLacking:
-		return scarcePart
+		return scarceFraction
 	}
-	return canaryPart
+	return canaryFraction
 }
 
-// free reports whether the time is over for which the share is bounded.
-func (g *gate) free(now time.Duration) bool { return g.bound > 0 && now >= g.bound }
+// shareLimitEnded reports whether the limit on the share has ended.
+func (g *gate) shareLimitEnded(now time.Duration) bool {
+	return g.shareLimitUntil > 0 && now >= g.shareLimitUntil
+}
 
-// within reports whether one more request at the target is within a share.
-func (g *gate) within(share float64) bool { return g.over(share) <= g.extra }
+// fits reports whether one more request to the target stays within a share and the slack.
+func (g *gate) fits(share float64) bool { return g.excess(share) <= g.slack }
 
-// over is the part of one more request that is above a share.
-func (g *gate) over(share float64) float64 { return float64(g.sent+1) - share*float64(g.all) }
+// excess returns by how many requests the target would exceed a share with one more request.
+func (g *gate) excess(share float64) float64 {
+	return float64(g.targetAttempts+1) - share*float64(g.attempts)
+}
 
-// came counts an attempt.
-func (g *gate) came(share float64, period time.Duration, now time.Duration) {
-	g.all++
+// addAttempt counts an attempt and adds its part of the share to the credit. Period is the time
+// over which credit accumulates.
+func (g *gate) addAttempt(share float64, period time.Duration, now time.Duration) {
+	g.attempts++
 	g.rate.add(now)
-	part := g.part() * share
-	most := 1 + g.extra + part*g.rate.now(now)*period.Seconds()
-	g.saved = min(most, g.saved+part)
+	fraction := g.usableFraction() * share
+	maxCredit := 1 + g.slack + fraction*g.rate.perSecond(now)*period.Seconds()
+	g.credit = min(maxCredit, g.credit+fraction)
 }
 
-// take counts one that goes to the target.
-func (g *gate) take(share float64, now time.Duration) {
-	if !g.free(now) {
-		g.used = max(g.used, g.over(g.part()*share))
+// addTargetAttempt counts an attempt that goes to the target.
+func (g *gate) addTargetAttempt(share float64, now time.Duration) {
+	if !g.shareLimitEnded(now) {
+		g.slackUsed = max(g.slackUsed, g.excess(g.usableFraction()*share))
 	}
-	g.sent++
-	g.saved = max(0, g.saved-1)
+	g.targetAttempts++
+	g.credit = max(0, g.credit-1)
 }
 
-// giveBack takes back one that did not go there.
-func (g *gate) giveBack() {
-	g.sent--
-	g.saved++
+// undoTargetAttempt reverses addTargetAttempt for an attempt that did not go there after all.
+func (g *gate) undoTargetAttempt() {
+	g.targetAttempts--
+	g.credit++
 }
 
-// turn is the number of the present turn by the owner's clock.
-func (g *gate) turn(now time.Duration) int64 {
-	return (int64(g.stamp) + (now - g.stampAt).Milliseconds()) / turnTime.Milliseconds()
+// round returns the number of the current round by the owner's clock.
+func (g *gate) round(now time.Duration) int64 {
+	return (int64(g.ownerClock) + (now - g.ownerClockAt).Milliseconds()) / roundTime.Milliseconds()
 }
 
-// halt stops the target for good, and takes back what was promised.
+// halt stops sending to the target permanently and withdraws the drain promise.
 func (g *gate) halt() {
 	g.halted = true
-	g.promised = 0
+	g.drainedUntil = 0
 }
 
-// hear takes up an answer of the owner. SentAt is when the report went that it is to, and
-// lease how long the lease lasts from then. Zero: there is none.
-func (g *gate) hear(x *answer, lease, sentAt, now time.Duration) {
-	g.goOn(x.phase)
+// apply applies a reply of the owner. SentAt is when the report it replies to was sent, and lease
+// how long the lease lasts from then. Zero: the reply grants none.
+func (g *gate) apply(x *reply, lease, sentAt, now time.Duration) {
+	g.advanceTo(x.phase)
 	if x.halted || x.phase == Reverted {
 		g.halt()
 		return
 	}
-	if lease > 0 { // an owner that gives none does not know yet what is lacking, either
-		g.lease = max(g.lease, sentAt+lease)
-		g.lacking, g.allLacking = x.lacking, x.allLacking
+	if lease > 0 { // an owner that grants no lease does not know yet which routes lack evidence
+		g.leaseUntil = max(g.leaseUntil, sentAt+lease)
+		g.lackingRoutes, g.allLacking = x.lackingRoutes, x.allLacking
 	}
-	g.stamp, g.stampAt = x.stamp, now
-	if x.timed {
-		g.bound = max(1, now+x.left)
+	g.ownerClock, g.ownerClockAt = x.ownerClock, now
+	if x.hasRemaining {
+		g.shareLimitUntil = max(1, now+x.remaining)
 	}
 }
 
-// promise says, if it can be said, that nothing will go to the version before. The
-// caller has seen that nothing is there.
-func (g *gate) promise(share float64, now time.Duration) bool {
-	if g.halted || g.phase != Promote || now >= g.lease {
+// promiseDrain promises, if that is possible, to send nothing to the previous version for
+// drainPromiseTime. The caller has checked that no request is in flight there.
+func (g *gate) promiseDrain(share float64, now time.Duration) bool {
+	if g.halted || g.phase != Promote || now >= g.leaseUntil {
 		return false
 	}
-	if !g.free(now) && !g.hasRoom(share, now) {
+	if !g.shareLimitEnded(now) && !g.shareSuffices(share, now) {
 		return false
 	}
-	g.promised = now + promiseTime
+	g.drainedUntil = now + drainPromiseTime
 	return true
 }
 
-// hasRoom reports whether the bound holds for the requests that are to be expected in
-// the time of a promise, as far as that lies before the end of the bound.
-func (g *gate) hasRoom(share float64, now time.Duration) bool {
-	bounded := promiseTime
-	if g.bound > 0 {
-		bounded = min(bounded, g.bound-now)
+// shareSuffices reports whether the share covers the requests expected during a drain promise, up
+// to the time when the limit on the share ends.
+func (g *gate) shareSuffices(share float64, now time.Duration) bool {
+	duration := drainPromiseTime
+	if g.shareLimitUntil > 0 {
+		duration = min(duration, g.shareLimitUntil-now)
 	}
-	expected := promiseRoom * g.rate.now(now) * bounded.Seconds()
-	return float64(g.sent)+expected*(1-promotePart*share) <= promotePart*share*float64(g.all)+g.extra
+	expected := drainPromiseMargin * g.rate.perSecond(now) * duration.Seconds()
+	return float64(g.targetAttempts)+expected*(1-promoteFraction*share) <= promoteFraction*share*float64(g.attempts)+g.slack
 }
 
-// rateMeter measures how many attempts come a second, by an average that forgets.
+// rateMeter measures attempts per second with an exponentially decaying average.
 type rateMeter struct {
-	rate float64
-	at   time.Duration
+	rate      float64
+	updatedAt time.Duration
 }
 
-func (f *rateMeter) add(now time.Duration) {
-	f.rate = f.now(now) + 1/saveTime.Seconds()
-	f.at = now
+func (m *rateMeter) add(now time.Duration) {
+	m.rate = m.perSecond(now) + 1/creditTime.Seconds()
+	m.updatedAt = now
 }
 
-func (f *rateMeter) now(now time.Duration) float64 {
-	return f.rate * math.Exp(-float64(now-f.at)/float64(saveTime))
+func (m *rateMeter) perSecond(now time.Duration) float64 {
+	return m.rate * math.Exp(-float64(now-m.updatedAt)/float64(creditTime))
 }
--- a/process/slots/sim_test.go
+++ b/process/slots/sim_test.go
@@ -15,19 +15,19 @@
 	"shalewick/version"
 )
 
-// The simulation runs a few members on one virtual clock, with messages that
-// are lost or late, members that freeze, die and are declared dead, splits
-// whose answers are lost, and caps that change. Whenever a request leaves, it
-// checks that no other request uses the same token.
+// The simulation runs a few members on one virtual clock. Messages are lost or
+// delayed, members freeze, stop and are declared down, responses to writes of
+// splits are lost, and caps change. Whenever a request is sent, it checks that no
+// other request uses the same token.
 
-// variant switches one rule off, to see that the check finds it.
+// variant disables one rule of the protocol, to verify that the check detects it.
 type variant struct {
-	noFence     bool // tokens of the dead are used at once
-	noConfirm   bool // an unconfirmed member goes on dispatching
-	lateLease   bool // leases count from the answer's arrival
-	noDeadline  bool // a lessor takes back at the end of the lease
-	noRest      bool // rate tokens are free again at once
-	uncedeEarly bool // ceding is undone although its write may still land
+	noFence             bool // tokens of members that are down are used at once
+	noConfirmation      bool // a member whose view is unconfirmed continues to dispatch
+	leaseFromArrival    bool // leases count from the arrival of the response
+	reclaimAtLeaseEnd   bool // the lessor reclaims tokens when their lease ends
+	noCooldown          bool // rate tokens are free again at once
+	cancelTransferEarly bool // a transfer is cancelled although its write may still be carried out
 }
 
 const (
@@ -35,55 +35,55 @@
 	simRate  = 2
 )
 
-// sim is one run.
+// sim is the state of one run.
 type sim struct {
-	rnd     *rand.Rand
-	variant variant
-	now     time.Duration
-	members []*simMember
-	row     *Split // in the platform
-	rev     int64
-	late    []lateWrite
-	flying  []*flight
-	starts  map[string][]time.Duration // of rate pools
-	mail    []mail
-	size    int
-	err     error
-	// deadline is that of requests, lapse how long a member must be frozen
-	// or dead before it is declared dead; both are drawn for each run.
-	deadline time.Duration
-	lapse    time.Duration
+	rnd            *rand.Rand
+	variant        variant
+	now            time.Duration
+	members        []*simMember
+	storedSplit    *Split // in the platform
+	storedRevision int64
+	lateWrites     []lateWrite
+	inFlight       []*simRequest
+	starts         map[string][]time.Duration // of rate pools
+	messages       []message
+	size           int
+	err            error
+	// deadline is that of requests; downAfter is how long a member must be frozen or
+	// stopped before it is declared down. Both are drawn for each run.
+	deadline  time.Duration
+	downAfter time.Duration
 }
 
 type simMember struct {
-	id        string
-	table     *Table
-	counters  *version.Counters
-	view      *version.View
-	frozen    bool
-	dead      bool
-	since     time.Duration // frozen or dead since
-	confirmed time.Duration
-	ceding    []TokenID
-	boundTo   int64
+	id                  string
+	table               *Table
+	counters            *version.Counters
+	view                *version.View
+	frozen              bool
+	down                bool
+	since               time.Duration // when it froze or stopped
+	confirmed           time.Duration
+	transferring        []TokenID
+	conditionalRevision int64 // revision on which the last write was conditional; -1 if none
 }
 
-// flight is a request at a backend server.
-type flight struct {
+// simRequest is a request at a backend server.
+type simRequest struct {
 	by    *simMember
 	grant Grant
 	names []TokenID
 	end   time.Duration
 }
 
-// lateWrite is a split whose write the platform carries out later.
+// lateWrite is a write of a split that the platform carries out later.
 type lateWrite struct {
 	next *Split
 	rev  int64
 }
 
-// mail is a message on its way.
-type mail struct {
+// message is a message in transit.
+type message struct {
 	to      *simMember
 	deliver func()
 }
@@ -117,22 +117,22 @@
 func newSim(seed uint64, v variant) *sim {
 	s := &sim{
 		rnd: rand.New(rand.NewPCG(seed, 1)), variant: v, now: time.Hour,
-		row: &Split{}, starts: make(map[string][]time.Duration), size: simSlots,
+		storedSplit: &Split{}, starts: make(map[string][]time.Duration), size: simSlots,
 	}
 	s.deadline = []time.Duration{time.Second, 12 * time.Second}[s.rnd.IntN(2)]
-	s.lapse = []time.Duration{0, 3 * time.Second}[s.rnd.IntN(2)]
+	s.downAfter = []time.Duration{0, 3 * time.Second}[s.rnd.IntN(2)]
 	for range 3 {
-		s.join()
+		s.addMember()
 	}
-	// The first member has all tokens at first and cedes to the others.
+	// The first member owns all tokens at first and transfers them to the others.
 	first := Candidate{ID: s.members[0].id, Region: "a"}
-	s.row, _ = Plan(s.row, PlanInput{Live: []Candidate{first}, View: s.members[0].view})
+	s.storedSplit, _ = Plan(s.storedSplit, PlanInput{Live: []Candidate{first}, View: s.members[0].view})
 	return s
 }
 
-func (s *sim) join() {
+func (s *sim) addMember() {
 	id := fmt.Sprintf("m%d", len(s.members))
-	m := &simMember{id: id, table: &Table{Self: id, OnFree: func(int32) {}}, boundTo: -1}
+	m := &simMember{id: id, table: &Table{Self: id, OnFree: func(int32) {}}, conditionalRevision: -1}
 	s.members = append(s.members, m)
 	s.install(m, 1)
 	s.confirm(m)
@@ -144,21 +144,21 @@
 	m.table.Install(m.view, m.counters, s.now)
 }
 
-// awake returns a random member that runs, or nil.
-func (s *sim) awake() *simMember {
+// randomRunning returns a random member, or nil if it is frozen or down.
+func (s *sim) randomRunning() *simMember {
 	m := s.members[s.rnd.IntN(len(s.members))]
-	if m.frozen || m.dead {
+	if m.frozen || m.down {
 		return nil
 	}
 	return m
 }
 
-// confirm reads the split from the platform; the answer can come late.
+// confirm reads the split from the platform. The response can be delayed.
 func (s *sim) confirm(m *simMember) {
-	asked, split := s.now, s.row
+	requestedAt, split := s.now, s.storedSplit
 	s.send(m, func() {
 		m.table.SetSplit(split, s.now)
-		m.confirmed = max(m.confirmed, asked)
+		m.confirmed = max(m.confirmed, requestedAt)
 		if s.variant.noFence {
 			s.dropFences(m)
 		}
@@ -167,9 +167,9 @@
 
 func (s *sim) dropFences(m *simMember) {
 	for _, p := range m.table.pools {
-		for _, k := range p.tokens {
-			if k.state == stateResting && p.spec.Kind != version.PoolRate {
-				k.until = s.now
+		for _, tok := range p.tokens {
+			if tok.state == stateDelayed && p.spec.Kind != version.PoolRate {
+				tok.until = s.now
 			}
 		}
 	}
@@ -180,33 +180,33 @@
 	switch s.rnd.IntN(8) {
 	case 0: // lost
 	case 1, 2:
-		s.mail = append(s.mail, mail{to, deliver})
+		s.messages = append(s.messages, message{to, deliver})
 	default:
-		s.deliver(mail{to, deliver})
+		s.deliver(message{to, deliver})
 	}
 }
 
-func (s *sim) deliver(m mail) {
-	if m.to.dead {
+func (s *sim) deliver(m message) {
+	if m.to.down {
 		return
 	}
 	if m.to.frozen {
-		s.mail = append(s.mail, m)
+		s.messages = append(s.messages, m)
 		return
 	}
 	m.deliver()
 }
 
 func (s *sim) fresh(m *simMember) bool {
-	return s.variant.noConfirm || s.now-m.confirmed < ConfirmTime
+	return s.variant.noConfirmation || s.now-m.confirmed < ConfirmationTTL
 }
 
-// step does one random thing.
+// step advances the clock and performs one random action.
 func (s *sim) step() {
 	s.now += time.Duration(s.rnd.IntN(200)) * time.Millisecond
-	s.landFlights()
-	s.deliverLate()
-	m := s.awake()
+	s.endExpiredRequests()
+	s.deliverDelayed()
+	m := s.randomRunning()
 	switch s.rnd.IntN(16) {
 	case 0, 1, 2, 3:
 		s.dispatch(m, m != nil && s.rnd.IntN(3) == 0)
@@ -215,20 +215,20 @@
 	case 5, 6:
 		s.borrow(m)
 	case 7:
-		s.upkeep(m)
+		s.maintainLeases(m)
 	case 8, 9:
 		for _, m := range s.members {
-			if !m.frozen && !m.dead {
+			if !m.frozen && !m.down {
 				m.table.Tick(s.now)
 				s.confirm(m)
 			}
 		}
 	case 10:
-		s.freezeOrDie()
+		s.freezeOrStop()
 	case 11:
 		s.thaw()
 	case 12, 13:
-		s.split(m)
+		s.updateSplit(m)
 	case 14, 15:
 		s.resize(m)
 	}
@@ -243,8 +243,8 @@
 	return nil
 }
 
-func (s *sim) freezeOrDie() {
-	m := s.awake()
+func (s *sim) freezeOrStop() {
+	m := s.randomRunning()
 	if m == nil {
 		return
 	}
@@ -253,9 +253,9 @@
 		m.frozen = true
 		return
 	}
-	m.dead = true
+	m.down = true
 	if len(s.members) < 6 {
-		s.join()
+		s.addMember()
 	}
 }
 
@@ -268,7 +268,7 @@
 	}
 }
 
-// simulate returns the first seed that breaks the rule, of n.
+// simulate runs n seeds and returns the first that violates conservation.
 func simulate(v variant, n uint64) (uint64, error) {
 	const steps = 600
 	for seed := range n {
@@ -282,21 +282,21 @@
 	return 0, nil
 }
 
-// TestTokensAreConserved runs the simulation as the code is, and then with
-// each rule off, which must be found.
-func TestTokensAreConserved(t *testing.T) {
+// Runs the simulation with all rules, and then with each rule disabled in turn, which the
+// check must detect.
+func TestTokenConservation(t *testing.T) {
 	seed, err := simulate(variant{}, 400)
 	assert.NilError(t, err, "seed %d", seed)
 	for name, v := range map[string]variant{
-		"no fence":                      {noFence: true},
-		"no confirmation":               {noConfirm: true},
-		"lease from arrival":            {lateLease: true},
-		"taken back at the lease's end": {noDeadline: true},
-		"no rest of rate tokens":        {noRest: true},
-		"ceding undone early":           {uncedeEarly: true},
+		"no fence":                     {noFence: true},
+		"no confirmation":              {noConfirmation: true},
+		"lease from arrival":           {leaseFromArrival: true},
+		"reclaimed at the lease's end": {reclaimAtLeaseEnd: true},
+		"no cooldown of rate tokens":   {noCooldown: true},
+		"transfer cancelled early":     {cancelTransferEarly: true},
 	} {
 		seed, err := simulate(v, 12000)
-		assert.Assert(t, err != nil, "%s was not found", name)
+		assert.Assert(t, err != nil, "%s was not detected", name)
 		t.Logf("%s: seed %d: %v", name, seed, err)
 	}
 }
